--- a/control/src/main/java/saltdale/control/ControlNode.java
+++ b/control/src/main/java/saltdale/control/ControlNode.java
@@ -17,9 +17,9 @@
 import saltdale.control.message.InstanceMessage.InstanceUpdates;
 import saltdale.control.message.InstanceMessage.StartIntents;
 import saltdale.control.message.Message;
-import saltdale.control.message.SessionMessage.ControlNodeLeaves;
+import saltdale.control.message.SessionMessage.ControlNodeLeaving;
+import saltdale.control.message.SessionMessage.LeaseExpired;
 import saltdale.control.message.SessionMessage.LeaseGrant;
-import saltdale.control.message.SessionMessage.LeaseOver;
 import saltdale.control.message.SessionMessage.LeaseRenewal;
 import saltdale.control.message.SessionMessage.QuorumLost;
 import saltdale.control.message.SessionMessage.SnapshotRequest;
@@ -143,7 +143,7 @@
     public void begin() {
         heartbeat();
         tick();
-        instanceLifecycle.begin();
+        instanceLifecycle.start();
     }
 
     // What others of the program see.
@@ -171,7 +171,7 @@
 
     /** Whether this control node holds the duty and knows that nobody can have taken it over. */
     boolean holds() {
-        return election.holds();
+        return election.holdsDuty();
     }
 
     long fence() {
@@ -239,12 +239,12 @@
         } else if (message instanceof InstanceReady ready) {
             Instance instance = instances.get(ready.instance());
             if (instance != null && instance.phase() == Instance.Phase.BOOTING) {
-                changed(List.of(instance.at(Instance.Phase.READY)), true);
+                changed(List.of(instance.withPhase(Instance.Phase.READY)), true);
             }
         } else if (message instanceof InstanceUpdates updates) {
             changed(updates.instances(), false);
         } else if (message instanceof StartIntents intents) {
-            instanceLifecycle.told(intents);
+            instanceLifecycle.applyStartIntents(intents);
         } else {
             throw new MalformedMessage("message " + message.kind() + " is not for a control node");
         }
@@ -272,12 +272,12 @@
     }
 
     private void demanded(DemandReport report) {
-        demand.reported(report.life(), report.demands(), environment.now());
-        PeerContacts.Peer holder = report.forwarded() ? null : election.holder();
+        demand.record(report.life(), report.demands(), environment.now());
+        PeerContacts.Peer holder = report.forwarded() ? null : election.holderPeer();
         if (holder != null) {
             environment.send(holder.host, new DemandReport(report.life(), report.demands(), true));
         }
-        instanceLifecycle.look();
+        instanceLifecycle.requestPlan();
     }
 
     // Proxies: leases and news.
@@ -292,7 +292,7 @@
         }
         if (members.of(member.life()) == null) {
             subscriptions.end(member.life());
-            environment.send(fromHost, new LeaseOver(renewal.count()));
+            environment.send(fromHost, new LeaseExpired(renewal.count()));
             return;
         }
         long newsSent = subscriptions.renewed(fromHost, renewal);
@@ -323,7 +323,7 @@
                 + state.duties());
         configurations.chosen(state, text);
         publish();
-        instanceLifecycle.look();
+        instanceLifecycle.requestPlan();
     }
 
     /** Replaces the whole configuration, or amends it. */
@@ -407,7 +407,7 @@
      */
     public void end(long within, Runnable done) {
         ending = true;
-        subscriptions.tellAll(new ControlNodeLeaves());
+        subscriptions.tellAll(new ControlNodeLeaving());
         sendHeartbeats();
         environment.after(within, () -> leave(done));
         election.resign(answer -> {
--- a/control/src/main/java/saltdale/control/Demand.java
+++ b/control/src/main/java/saltdale/control/Demand.java
@@ -3,9 +3,16 @@
 import java.util.List;
 
 /** Of one service in one zone: calls a second, seconds each runs, how many run, how many wait. */
-public record Demand(String service, String zone, double rate, double run, int busy, int waiting, double idleFor) {
+public record Demand(
+        String service,
+        String zone,
+        double callsPerSecond,
+        double runSeconds,
+        int busy,
+        int waiting,
+        double idleSeconds) {
     public List<Object> tree() {
-        return List.of(service, zone, rate, run, busy, waiting, idleFor);
+        return List.of(service, zone, callsPerSecond, runSeconds, busy, waiting, idleSeconds);
     }
 
     public static Demand of(Object tree) throws MalformedMessage {
@@ -13,19 +20,19 @@
                 && list.size() >= 7
                 && list.get(0) instanceof String service
                 && list.get(1) instanceof String zone
-                && list.get(2) instanceof Number rate
-                && list.get(3) instanceof Number run
+                && list.get(2) instanceof Number callsPerSecond
+                && list.get(3) instanceof Number runSeconds
                 && list.get(4) instanceof Number busy
                 && list.get(5) instanceof Number waiting
-                && list.get(6) instanceof Number idle) {
+                && list.get(6) instanceof Number idleSeconds) {
             return new Demand(
                     service,
                     zone,
-                    rate.doubleValue(),
-                    run.doubleValue(),
+                    callsPerSecond.doubleValue(),
+                    runSeconds.doubleValue(),
                     busy.intValue(),
                     waiting.intValue(),
-                    idle.doubleValue());
+                    idleSeconds.doubleValue());
         }
         throw new MalformedMessage("is no demand");
     }
--- a/control/src/main/java/saltdale/control/DemandTable.java
+++ b/control/src/main/java/saltdale/control/DemandTable.java
@@ -16,14 +16,14 @@
         this.counts = counts;
     }
 
-    void reported(String life, List<Demand> demands, long now) {
+    void record(String life, List<Demand> demands, long now) {
         Map<String, Demand> all = new HashMap<>();
         demands.forEach(demand -> all.put(demand.service(), demand));
         reports.put(life, new Report(now, all));
     }
 
     /** By service, what all owners together report. */
-    Map<String, List<Demand>> all(long now) {
+    Map<String, List<Demand>> byService(long now) {
         reports.values().removeIf(report -> now - report.at > counts);
         Map<String, List<Demand>> all = new HashMap<>();
         for (Report report : reports.values()) {
--- a/control/src/main/java/saltdale/control/WantedInstances.java
+++ b/control/src/main/java/saltdale/control/DesiredInstanceCounts.java
@@ -9,7 +9,7 @@
 import java.util.stream.Collectors;
 
 /** How many instances of a service the measured demand wants in each zone. Ratios are explained in docs/platform.md. */
-final class WantedInstances {
+final class DesiredInstanceCounts {
     /** Of an instance's slots busy: from here a zone has instances of its own. */
     private static final double OWN_ZONE = 0.35;
     /** Of that: down to here it keeps them. */
@@ -41,7 +41,7 @@
     private final long holdNanos;
 
     /** {@code holdNanos}: for how long an instance without work is held. */
-    WantedInstances(Configuration.Service service, double targetSeconds, long holdNanos) {
+    DesiredInstanceCounts(Configuration.Service service, double targetSeconds, long holdNanos) {
         this.service = service;
         this.targetSeconds = targetSeconds;
         this.holdNanos = holdNanos;
@@ -70,7 +70,7 @@
                 pooled.add(load);
             }
         });
-        double rate = demands.stream().mapToDouble(Demand::rate).sum();
+        double rate = demands.stream().mapToDouble(Demand::callsPerSecond).sum();
         // Between requests so rare that holding costs more than starting again, nothing is kept.
         if (rate * holdNanos / 1e9 < 1) {
             pooled.average = 0;
@@ -84,9 +84,9 @@
         double weights = 0;
         double sum = 0;
         for (Demand demand : demands) {
-            double weight = demand.rate() + LEAST_RATE;
-            weights += demand.run() > 0 ? weight : 0;
-            sum += demand.run() * weight;
+            double weight = demand.callsPerSecond() + LEAST_RATE;
+            weights += demand.runSeconds() > 0 ? weight : 0;
+            sum += demand.runSeconds() * weight;
         }
         return weights == 0 ? targetSeconds / 4 : sum / weights;
     }
@@ -98,7 +98,7 @@
         have.forEach(zone -> loads.put(zone, new ZoneLoad()));
         for (Demand demand : demands) {
             ZoneLoad load = loads.computeIfAbsent(demand.zone(), zone -> new ZoneLoad());
-            load.average += demand.rate() * runSeconds;
+            load.average += demand.callsPerSecond() * runSeconds;
             load.busy += demand.busy();
             load.waiting += demand.waiting() * runSeconds / clearsSeconds;
         }
--- a/control/src/main/java/saltdale/control/DutyElection.java
+++ b/control/src/main/java/saltdale/control/DutyElection.java
@@ -39,7 +39,7 @@
     }
 
     /** Whether this control node holds the duty and knows that nobody can have taken it over. */
-    boolean holds() {
+    boolean holdsDuty() {
         ReplicatedState state = register.chosen();
         return state != null && ownName().equals(state.duty(STARTING).holder()) && peers.hasQuorum();
     }
@@ -49,7 +49,7 @@
     }
 
     /** The peer that holds the duty; null where it is this control node, nobody, or one that was not heard. */
-    PeerContacts.Peer holder() {
+    PeerContacts.Peer holderPeer() {
         ReplicatedState state = register.chosen();
         String holder = state == null ? null : state.duty(STARTING).holder();
         for (PeerContacts.Peer peer : peers.all()) {
@@ -104,14 +104,14 @@
         }
         for (PeerContacts.Peer peer : peers.all()) {
             if (peer.identity != null && holder.startsWith(peer.identity.id() + "/")) {
-                return !holder.equals(peer.holderName()) || unheard(peer.heardAt);
+                return !holder.equals(peer.holderName()) || isLeaseExpired(peer.heardAt);
             }
         }
-        return unheard(startedAt);
+        return isLeaseExpired(startedAt);
     }
 
     /** Whether so long has passed since then that its lease is over, and we could have heard it. */
-    boolean unheard(long heardAt) {
+    boolean isLeaseExpired(long heardAt) {
         return environment.now() - Math.max(heardAt, startedAt) > settings.vacancy() && peers.hasSteadyQuorum();
     }
 }
--- a/control/src/main/java/saltdale/control/Instance.java
+++ b/control/src/main/java/saltdale/control/Instance.java
@@ -14,7 +14,7 @@
         GONE
     }
 
-    public Instance at(Phase later) {
+    public Instance withPhase(Phase later) {
         return new Instance(id, service, address, zone, worker, later, slots);
     }
 
--- a/control/src/main/java/saltdale/control/InstanceLifecycle.java
+++ b/control/src/main/java/saltdale/control/InstanceLifecycle.java
@@ -51,11 +51,11 @@
         this.controlNode = controlNode;
         this.platform = platform;
         this.nodeSettings = nodeSettings;
-        listReader = new InstanceListReader(environment, controlNode, platform, nodeSettings, this::look);
+        listReader = new InstanceListReader(environment, controlNode, platform, nodeSettings, this::requestPlan);
         workers = new WorkerTable(environment, platform, nodeSettings.heartbeat());
     }
 
-    void begin() {
+    void start() {
         listReader.read();
         turn();
     }
@@ -84,7 +84,7 @@
      * Something was heard that may want a start at once. A plan costs what all services in use are, and reports come as
      * often as there are proxies: so plans keep a distance, whatever the size of the deployment.
      */
-    void look() {
+    void requestPlan() {
         if (!looking) {
             looking = true;
             environment.after(Math.max(0, plannedAt + planGap() - environment.now()), () -> {
@@ -152,7 +152,7 @@
         while (!duties.isEmpty() && now - duties.peek() > 1_000_000_000L) {
             duties.poll();
         }
-        boolean may = duties.size() < Math.max(1, nodeSettings.rates().dutiesPerSecond() * 0.8);
+        boolean may = duties.size() < Math.max(1, nodeSettings.rates().dutyCallsPerSecond() * 0.8);
         if (may) {
             duties.add(now);
         }
@@ -165,13 +165,13 @@
                 intents.values().stream().map(intent -> intent.start).toList(),
                 controlNode.configuration().services());
         plannedAt = now;
-        StartsUnderWay underWay = new StartsUnderWay();
+        PendingStarts underWay = new PendingStarts();
         intents.values()
                 .forEach(intent -> underWay.add(intent.start.service(), intent.start.zone(), intent.start.worker()));
         Scaler.Plan plan = scaler.plan(
                 now,
                 controlNode.configuration(),
-                controlNode.demand().all(now),
+                controlNode.demand().byService(now),
                 controlNode.instances(),
                 workers.all(),
                 underWay);
@@ -210,7 +210,7 @@
         }
         for (Instance r : plan.stops()) {
             leaving.put(r.id(), now);
-            controlNode.changed(List.of(r.at(Instance.Phase.LEAVING)), true);
+            controlNode.changed(List.of(r.withPhase(Instance.Phase.LEAVING)), true);
         }
     }
 
@@ -219,7 +219,7 @@
         intent.at = now;
         intent.tries++;
         long askedWith = fence;
-        platform.begin(
+        platform.startInstance(
                 controlNode.name(),
                 fence,
                 intent.start.service(),
@@ -269,7 +269,7 @@
     }
 
     private void stop(String id) {
-        platform.stop(controlNode.name(), fence, id, answer -> {
+        platform.stopInstance(controlNode.name(), fence, id, answer -> {
             if (answer != null && (answer.status() == 200 || answer.status() == 404)) {
                 leaving.remove(id);
             }
@@ -277,7 +277,7 @@
     }
 
     /** Another control node's intents: those it has told of, and those that are over. */
-    void told(StartIntents message) {
+    void applyStartIntents(StartIntents message) {
         for (StartIntent each : message.intents()) {
             intents.putIfAbsent(each.nonce(), new Intent(each, environment.now()));
         }
--- a/control/src/main/java/saltdale/control/InstanceListReader.java
+++ b/control/src/main/java/saltdale/control/InstanceListReader.java
@@ -62,18 +62,18 @@
         }
         double atLeast = controlNode.voters()
                 * (pages + 1)
-                / (SHARE_OF_RATE * nodeSettings.rates().listsPerSecond());
+                / (SHARE_OF_RATE * nodeSettings.rates().listCallsPerSecond());
         environment.after(Math.max(nodeSettings.heartbeat() / 2, (long) (atLeast * 1e9)), this::read);
     }
 
     private long pageGap() {
         return (long)
-                (controlNode.voters() / (MOST_OF_RATE * nodeSettings.rates().listsPerSecond()) * 1e9);
+                (controlNode.voters() / (MOST_OF_RATE * nodeSettings.rates().listCallsPerSecond()) * 1e9);
     }
 
     private void page(String token, List<Instance> soFar, int page, long askedAt) {
         pageAt = environment.now();
-        platform.instances(token, answer -> {
+        platform.listInstances(token, answer -> {
             reading = false;
             if (answer == null || answer.status() != 200 || answer.body() == null) {
                 return;
@@ -118,7 +118,7 @@
     }
 
     private void listed(List<Instance> list, long askedAt) {
-        List<Instance> news = controlNode.instances().listed(list, askedAt, environment.now());
+        List<Instance> news = controlNode.instances().applyPlatformList(list, askedAt, environment.now());
         if (!news.isEmpty()) {
             tellOfEnds(news);
             controlNode.publish();
--- a/control/src/main/java/saltdale/control/InstanceTable.java
+++ b/control/src/main/java/saltdale/control/InstanceTable.java
@@ -19,7 +19,7 @@
         Instance instance;
         boolean listed; // the platform's list has shown it
         long since; // when it came into its phase, as far as we know
-        long edition;
+        long changeNumber;
     }
 
     /** So long what is gone is remembered, so that late news does not bring it back. */
@@ -29,8 +29,8 @@
 
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final Map<String, Set<String>> byService = new HashMap<>();
-    private final TreeMap<Long, Entry> byEdition = new TreeMap<>();
-    private long edition;
+    private final TreeMap<Long, Entry> byChangeNumber = new TreeMap<>();
+    private long changeNumber;
 
     InstanceTable(long listedWithin, long forget) {
         this.listedWithin = listedWithin;
@@ -38,24 +38,24 @@
     }
 
     /** Grows with each change of any instance. */
-    long edition() {
-        return edition;
+    long changeNumber() {
+        return changeNumber;
     }
 
-    /** Those that have changed since that edition. */
-    List<Instance> since(long then) {
-        return byEdition.tailMap(then, false).values().stream()
+    /** Those that have changed since that changeNumber. */
+    List<Instance> changedAfter(long then) {
+        return byChangeNumber.tailMap(then, false).values().stream()
                 .map(e -> e.instance)
                 .toList();
     }
 
-    Collection<Instance> of(String service) {
+    Collection<Instance> ofService(String service) {
         return byService.getOrDefault(service, Set.of()).stream()
                 .map(id -> entries.get(id).instance)
                 .toList();
     }
 
-    boolean has(String service) {
+    boolean hasInstancesOf(String service) {
         return !byService.getOrDefault(service, Set.of()).isEmpty();
     }
 
@@ -64,7 +64,7 @@
         return entry == null ? null : entry.instance;
     }
 
-    long since(String id) {
+    long phaseSince(String id) {
         return entries.get(id).since;
     }
 
@@ -84,14 +84,14 @@
         }
         entry.instance = copy;
         entry.since = now;
-        byEdition.remove(entry.edition);
-        entry.edition = ++edition;
-        byEdition.put(edition, entry);
+        byChangeNumber.remove(entry.changeNumber);
+        entry.changeNumber = ++changeNumber;
+        byChangeNumber.put(changeNumber, entry);
         return true;
     }
 
     /** The platform's whole list, as asked for at {@code askedAt}; what it does not show any more is gone. */
-    List<Instance> listed(List<Instance> list, long askedAt, long now) {
+    List<Instance> applyPlatformList(List<Instance> list, long askedAt, long now) {
         List<Instance> changed = new ArrayList<>();
         Set<String> seen = new HashSet<>();
         for (Instance each : list) {
@@ -108,14 +108,14 @@
                     && !seen.contains(known.id())
                     && overdue
                     && entry.since < askedAt) {
-                Instance gone = known.at(Instance.Phase.GONE);
+                Instance gone = known.withPhase(Instance.Phase.GONE);
                 merge(gone, now);
                 changed.add(gone);
             } else if (known.phase() == Instance.Phase.GONE
                     && now - entry.since > forget
                     && !seen.contains(known.id())) {
                 entries.remove(known.id());
-                byEdition.remove(entry.edition);
+                byChangeNumber.remove(entry.changeNumber);
                 byService.get(known.service()).remove(known.id());
             }
         }
--- a/control/src/main/java/saltdale/control/StartsUnderWay.java
+++ b/control/src/main/java/saltdale/control/PendingStarts.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 
 /** Counts of the starts that were decided on and are not yet known as instances, by service, zone and worker. */
-final class StartsUnderWay {
+final class PendingStarts {
     private record ServiceAt(String service, String place) {}
 
     private final Map<String, Integer> byService = new HashMap<>();
--- a/control/src/main/java/saltdale/control/Scaler.java
+++ b/control/src/main/java/saltdale/control/Scaler.java
@@ -76,7 +76,7 @@
             Map<String, List<Demand>> demand,
             InstanceTable instances,
             List<Worker> workers,
-            StartsUnderWay underWay) {
+            PendingStarts underWay) {
         if (functions == null || functions.configuration != configuration) {
             functions = new Functions(configuration);
         }
@@ -87,15 +87,15 @@
             List<Demand> demands = demand.getOrDefault(service.name(), List.of());
             double target = functions.targetSeconds(service);
             boolean slow = service.bootMs() / 1000.0 > target;
-            if (!slow && demands.isEmpty() && !instances.has(service.name())) {
+            if (!slow && demands.isEmpty() && !instances.hasInstancesOf(service.name())) {
                 continue; // as most functions are at most times
             }
-            List<Instance> live = instances.of(service.name()).stream()
+            List<Instance> live = instances.ofService(service.name()).stream()
                     .filter(instance -> instance.phase().compareTo(Instance.Phase.LEAVING) < 0)
                     .toList();
             // A start is paid for with memory while it lasts: idle instances are held for a few times that.
             long hold = (long) ((slow ? HARMFUL : HARMLESS) * service.bootMs() * 1e6);
-            Map<String, Integer> wanted = new WantedInstances(service, target, hold).byZone(demands, live);
+            Map<String, Integer> wanted = new DesiredInstanceCounts(service, target, hold).byZone(demands, live);
             // What a start takes longer than callers bear is kept warm, within a part of all the memory.
             if (slow && service.memoryMb() <= warmMb) {
                 warmMb -= service.memoryMb();
@@ -130,7 +130,7 @@
             Collection<Instance> live,
             InstanceTable instances,
             List<Worker> workers,
-            StartsUnderWay underWay,
+            PendingStarts underWay,
             Plan plan) {
         Map<String, List<Instance>> have = new TreeMap<>();
         live.forEach(instance ->
@@ -174,7 +174,7 @@
     private static void stop(List<Instance> live, int count, InstanceTable instances, Plan plan) {
         live.stream()
                 .sorted(Comparator.comparing((Instance instance) -> instance.phase())
-                        .thenComparing(instance -> -instances.since(instance.id())))
+                        .thenComparing(instance -> -instances.phaseSince(instance.id())))
                 .limit(count)
                 .forEach(plan.stops()::add);
     }
--- a/control/src/main/java/saltdale/control/ServiceOwnership.java
+++ b/control/src/main/java/saltdale/control/ServiceOwnership.java
@@ -10,7 +10,7 @@
     private ServiceOwnership() {}
 
     /** The owner of the service's instances in this zone; where the zone has no member, one of another adopts them. */
-    public static Member of(String service, String zone, Collection<Member> members) {
+    public static Member ownerOf(String service, String zone, Collection<Member> members) {
         Member own = heaviest(service, zone, members);
         return own == null ? heaviest(service, null, members) : own;
     }
--- a/control/src/main/java/saltdale/control/Subscriptions.java
+++ b/control/src/main/java/saltdale/control/Subscriptions.java
@@ -10,10 +10,10 @@
 import saltdale.control.message.SessionMessage;
 import saltdale.control.message.SessionMessage.ConfigurationChange;
 import saltdale.control.message.SessionMessage.ConfigurationOffer;
-import saltdale.control.message.SessionMessage.InstancesNews;
+import saltdale.control.message.SessionMessage.InstancesChange;
 import saltdale.control.message.SessionMessage.LeaseRenewal;
 import saltdale.control.message.SessionMessage.MembersChange;
-import saltdale.control.message.SessionMessage.News;
+import saltdale.control.message.SessionMessage.SessionUpdate;
 import saltdale.control.message.SessionMessage.SnapshotPart;
 import saltdale.control.message.SessionMessage.SnapshotRequest;
 
@@ -29,7 +29,7 @@
 
     /** Makes one piece of news of a session, given its number. */
     private interface Numbered {
-        News of(long number);
+        SessionUpdate of(long number);
     }
 
     private static final class Subscriber {
@@ -150,7 +150,7 @@
                 publishMembers(to, present);
             }
         }
-        if (to.instances != instances.edition() || to.ownedOf != members.edition()) {
+        if (to.instances != instances.changeNumber() || to.ownedOf != members.edition()) {
             publishInstances(to);
         }
     }
@@ -196,7 +196,7 @@
     private void publishInstances(Subscriber to) {
         boolean first = to.instances < 0; // what went while it had no session is told too: it may still count on it
         boolean moved = to.ownedOf != members.edition();
-        List<Instance> candidates = moved ? new ArrayList<>(instances.all()) : instances.since(to.instances);
+        List<Instance> candidates = moved ? new ArrayList<>(instances.all()) : instances.changedAfter(to.instances);
         List<Instance> news = new ArrayList<>();
         for (Instance instance : candidates) {
             boolean owns =
@@ -210,10 +210,10 @@
                 to.told.remove(instance.id()); // its next owner is told; this one forgets it with its services
             }
         }
-        to.instances = instances.edition();
+        to.instances = instances.changeNumber();
         to.ownedOf = members.edition();
         if (!news.isEmpty()) {
-            tell(to, number -> new InstancesNews(to.session, number, news));
+            tell(to, number -> new InstancesChange(to.session, number, news));
         }
     }
 
@@ -223,15 +223,15 @@
             owners.clear();
         }
         String owner = owners.computeIfAbsent(service + "@" + zone, key -> {
-            Member found = ServiceOwnership.of(service, zone, members.all());
+            Member found = ServiceOwnership.ownerOf(service, zone, members.all());
             return found == null ? "" : found.life();
         });
         return owner.equals(who.member.life());
     }
 
     private void tell(Subscriber to, Numbered numbered) {
-        News news = numbered.of(++to.sent);
-        if (!(news instanceof InstancesNews)) {
+        SessionUpdate news = numbered.of(++to.sent);
+        if (!(news instanceof InstancesChange)) {
             checkQuorum(news.kind().name());
         }
         environment.send(to.host, news);
--- a/control/src/main/java/saltdale/control/VoterChanges.java
+++ b/control/src/main/java/saltdale/control/VoterChanges.java
@@ -164,7 +164,7 @@
             return leaving;
         }
         PeerContacts.Peer peer = peers.at(voter.host());
-        return peer == null || peer.leaving || election.unheard(peer.is(voter.id()) ? peer.heardAt : 0);
+        return peer == null || peer.leaving || election.isLeaseExpired(peer.is(voter.id()) ? peer.heardAt : 0);
     }
 
     /** Puts these voters forward, unless others are by now. */
--- a/control/src/main/java/saltdale/control/WorkerPlacement.java
+++ b/control/src/main/java/saltdale/control/WorkerPlacement.java
@@ -17,7 +17,7 @@
 
     /** {@code live}: the service's instances that are not leaving. */
     WorkerPlacement(
-            Configuration.Service service, Collection<Instance> live, List<Worker> workers, StartsUnderWay underWay) {
+            Configuration.Service service, Collection<Instance> live, List<Worker> workers, PendingStarts underWay) {
         this.service = service;
         this.workers = workers;
         live.forEach(instance -> instancesOn.merge(instance.worker(), 1, Integer::sum));
--- a/control/src/main/java/saltdale/control/WorkerTable.java
+++ b/control/src/main/java/saltdale/control/WorkerTable.java
@@ -43,11 +43,11 @@
         if (now - askedAt > lasts) {
             askedAt = now;
             refreshSoon = false;
-            platform.workers(this::told);
+            platform.listWorkers(this::told);
         }
     }
 
-    private void told(Platform.Answer answer) {
+    private void told(Platform.Response answer) {
         if (answer == null || answer.status() != 200 || answer.body() == null) {
             return;
         }
--- a/control/src/main/java/saltdale/control/message/SessionMessage.java
+++ b/control/src/main/java/saltdale/control/message/SessionMessage.java
@@ -10,7 +10,7 @@
 /** Messages between a proxy and the control node that renews its lease and sends it its news. */
 public sealed interface SessionMessage extends Message {
     /** What a control node tells in a session; {@code number} counts from 1, so that a gap shows. */
-    sealed interface News extends SessionMessage {
+    sealed interface SessionUpdate extends SessionMessage {
         String session();
 
         long number();
@@ -48,9 +48,14 @@
         }
     }
 
-    /** The lease holds for so long from when the renewal was sent; {@code newsSent} counts the session's news. */
+    /** The lease holds for so long from when the renewal was sent; {@code updatesSent} counts the session's news. */
     record LeaseGrant(
-            long count, boolean hasQuorum, long validMillis, String session, long newsSent, List<String> controlHosts)
+            long count,
+            boolean hasQuorum,
+            long validMillis,
+            String session,
+            long updatesSent,
+            List<String> controlHosts)
             implements SessionMessage {
         @Override
         public MessageKind kind() {
@@ -59,7 +64,7 @@
 
         @Override
         public List<Object> fields() {
-            return List.of(count, hasQuorum, validMillis, session, newsSent, controlHosts);
+            return List.of(count, hasQuorum, validMillis, session, updatesSent, controlHosts);
         }
 
         static LeaseGrant read(FieldReader fields) throws MalformedMessage {
@@ -74,7 +79,7 @@
     }
 
     /** The lease is over for good: the proxy goes on as another member. */
-    record LeaseOver(long count) implements SessionMessage {
+    record LeaseExpired(long count) implements SessionMessage {
         @Override
         public MessageKind kind() {
             return MessageKind.LEASE_OVER;
@@ -85,8 +90,8 @@
             return List.of(count);
         }
 
-        static LeaseOver read(FieldReader fields) throws MalformedMessage {
-            return new LeaseOver(fields.whole("count"));
+        static LeaseExpired read(FieldReader fields) throws MalformedMessage {
+            return new LeaseExpired(fields.whole("count"));
         }
     }
 
@@ -108,7 +113,7 @@
     }
 
     /** The control node is about to end, as planned: its proxies are to go on at another one. */
-    record ControlNodeLeaves() implements SessionMessage {
+    record ControlNodeLeaving() implements SessionMessage {
         @Override
         public MessageKind kind() {
             return MessageKind.CONTROL_NODE_LEAVES;
@@ -119,8 +124,8 @@
             return List.of();
         }
 
-        static ControlNodeLeaves read(FieldReader fields) throws MalformedMessage {
-            return new ControlNodeLeaves();
+        static ControlNodeLeaving read(FieldReader fields) throws MalformedMessage {
+            return new ControlNodeLeaving();
         }
     }
 
@@ -133,7 +138,7 @@
             long revision,
             String digest,
             Map<String, Object> change)
-            implements News {
+            implements SessionUpdate {
         @Override
         public MessageKind kind() {
             return MessageKind.CONFIGURATION_CHANGE;
@@ -157,7 +162,7 @@
     }
 
     /** There is a configuration of this revision, or a newer one, and no change leads to it: the proxy fetches it. */
-    record ConfigurationOffer(String session, long number, long revision) implements News {
+    record ConfigurationOffer(String session, long number, long revision) implements SessionUpdate {
         @Override
         public MessageKind kind() {
             return MessageKind.CONFIGURATION_OFFER;
@@ -219,7 +224,7 @@
     /** Members that are new or changed, all of them where {@code whole}, and lives that are none any more. */
     record MembersChange(
             String session, long number, boolean whole, List<Member> changed, List<String> gone, String digest)
-            implements News {
+            implements SessionUpdate {
         @Override
         public MessageKind kind() {
             return MessageKind.MEMBERS_CHANGE;
@@ -243,7 +248,7 @@
     }
 
     /** Instances of the services that the proxy owns, those that changed. */
-    record InstancesNews(String session, long number, List<Instance> instances) implements News {
+    record InstancesChange(String session, long number, List<Instance> instances) implements SessionUpdate {
         @Override
         public MessageKind kind() {
             return MessageKind.INSTANCES_NEWS;
@@ -255,8 +260,8 @@
                     session, number, instances.stream().map(Instance::tree).toList());
         }
 
-        static InstancesNews read(FieldReader fields) throws MalformedMessage {
-            return new InstancesNews(
+        static InstancesChange read(FieldReader fields) throws MalformedMessage {
+            return new InstancesChange(
                     fields.text("session"), fields.whole("number"), fields.list("instances", Instance::of));
         }
     }
--- a/control/src/main/java/saltdale/control/message/SlotMessage.java
+++ b/control/src/main/java/saltdale/control/message/SlotMessage.java
@@ -6,18 +6,18 @@
 
 /** Messages between a proxy that carries a request and the owner of its service's slots. */
 public sealed interface SlotMessage extends Message {
-    /** Asks for a slot; times are what is left in milliseconds, {@code avoided} are instances that failed it. */
+    /** Asks for a slot; times are what is left in milliseconds, {@code avoidedInstances} are instances that failed it. */
     record SlotRequest(
             long number,
             String service,
             String life,
             String zone,
-            long untilMillis,
-            long targetMillis,
+            long remainingMillis,
+            long targetRemainingMillis,
             int priority,
-            boolean counts,
+            boolean countsAsDemand,
             int hops,
-            List<String> avoided)
+            List<String> avoidedInstances)
             implements SlotMessage {
         @Override
         public MessageKind kind() {
@@ -31,12 +31,12 @@
                     service,
                     life,
                     zone,
-                    untilMillis,
-                    targetMillis,
+                    remainingMillis,
+                    targetRemainingMillis,
                     (long) priority,
-                    counts,
+                    countsAsDemand,
                     (long) hops,
-                    avoided);
+                    avoidedInstances);
         }
 
         @Override
@@ -94,7 +94,7 @@
     }
 
     /** Another zone has instances. */
-    record SlotElsewhere(long number, String zone) implements SlotMessage {
+    record SlotRedirect(long number, String zone) implements SlotMessage {
         @Override
         public MessageKind kind() {
             return MessageKind.SLOT_ELSEWHERE;
@@ -105,13 +105,13 @@
             return List.of(number, zone);
         }
 
-        static SlotElsewhere read(FieldReader fields) throws MalformedMessage {
-            return new SlotElsewhere(fields.whole("number"), fields.text("zone"));
+        static SlotRedirect read(FieldReader fields) throws MalformedMessage {
+            return new SlotRedirect(fields.whole("number"), fields.text("zone"));
         }
     }
 
     /** No slot can be had in time; the client may come back after a pause. */
-    record SlotRefusal(long number, long pauseMillis) implements SlotMessage {
+    record SlotRefusal(long number, long retryAfterMillis) implements SlotMessage {
         @Override
         public MessageKind kind() {
             return MessageKind.SLOT_REFUSAL;
@@ -119,7 +119,7 @@
 
         @Override
         public List<Object> fields() {
-            return List.of(number, pauseMillis);
+            return List.of(number, retryAfterMillis);
         }
 
         static SlotRefusal read(FieldReader fields) throws MalformedMessage {
@@ -145,7 +145,7 @@
     }
 
     /** The slot is free again; {@code outcome} is how the attempt ended. */
-    record SlotReturn(String service, String key, String instance, int outcome, long ranMicros) implements SlotMessage {
+    record SlotReturn(String service, String key, String instance, int outcome, long runMicros) implements SlotMessage {
         @Override
         public MessageKind kind() {
             return MessageKind.SLOT_RETURN;
@@ -153,7 +153,7 @@
 
         @Override
         public List<Object> fields() {
-            return List.of(service, key, instance, (long) outcome, ranMicros);
+            return List.of(service, key, instance, (long) outcome, runMicros);
         }
 
         static SlotReturn read(FieldReader fields) throws MalformedMessage {
@@ -184,9 +184,9 @@
     }
 
     /** A slot in use: the key of its grant and the life of the proxy that holds it. */
-    record HeldSlot(String service, String instance, String key, String life, long leftMillis) {
+    record HeldSlot(String service, String instance, String key, String life, long remainingMillis) {
         List<Object> tree() {
-            return List.of(service, instance, key, life, leftMillis);
+            return List.of(service, instance, key, life, remainingMillis);
         }
 
         static HeldSlot of(Object tree) throws MalformedMessage {
@@ -196,8 +196,8 @@
                     && list.get(1) instanceof String instance
                     && list.get(2) instanceof String key
                     && list.get(3) instanceof String life
-                    && list.get(4) instanceof Long leftMillis) {
-                return new HeldSlot(service, instance, key, life, leftMillis);
+                    && list.get(4) instanceof Long remainingMillis) {
+                return new HeldSlot(service, instance, key, life, remainingMillis);
             }
             throw new MalformedMessage("is no held slot");
         }
--- a/control/src/test/java/saltdale/control/ScalerTest.java
+++ b/control/src/test/java/saltdale/control/ScalerTest.java
@@ -19,7 +19,7 @@
     private static final int PLANS = 200;
 
     private final InstanceTable instances = new InstanceTable(1, 1);
-    private final StartsUnderWay underWay = new StartsUnderWay();
+    private final PendingStarts underWay = new PendingStarts();
     private final Map<String, List<Demand>> demands = new HashMap<>();
 
     private static Configuration configuration(int services) throws Exception {
--- a/node/src/main/java/saltdale/node/PlatformClient.java
+++ b/node/src/main/java/saltdale/node/PlatformClient.java
@@ -32,17 +32,18 @@
     }
 
     @Override
-    public void instances(String token, Consumer<Answer> answer) {
+    public void listInstances(String token, Consumer<Response> answer) {
         get(token == null ? "/runners" : "/runners?page_token=" + token, answer);
     }
 
     @Override
-    public void workers(Consumer<Answer> answer) {
+    public void listWorkers(Consumer<Response> answer) {
         get("/workers", answer);
     }
 
     @Override
-    public void begin(String holder, long fence, String service, String worker, String nonce, Consumer<Answer> answer) {
+    public void startInstance(
+            String holder, long fence, String service, String worker, String nonce, Consumer<Response> answer) {
         post(
                 "/begin",
                 holder,
@@ -52,15 +53,15 @@
     }
 
     @Override
-    public void stop(String holder, long fence, String id, Consumer<Answer> answer) {
+    public void stopInstance(String holder, long fence, String id, Consumer<Response> answer) {
         post("/stop", holder, fence, Fields.tree("identifier", id), answer);
     }
 
-    private void get(String target, Consumer<Answer> answer) {
+    private void get(String target, Consumer<Response> answer) {
         ask(HttpWriter.request("GET", target, host), NOTHING, answer);
     }
 
-    private void post(String target, String holder, long fence, Map<String, Object> tree, Consumer<Answer> answer) {
+    private void post(String target, String holder, long fence, Map<String, Object> tree, Consumer<Response> answer) {
         byte[] body = Trees.json(tree);
         ask(
                 HttpWriter.request(
@@ -74,7 +75,7 @@
                 answer);
     }
 
-    private void ask(byte[] head, byte[] body, Consumer<Answer> answer) {
+    private void ask(byte[] head, byte[] body, Consumer<Response> answer) {
         OutgoingCall.begin(environment.loop, pool, WITHIN, head, body, whole -> {
             if (whole == null) {
                 answer.accept(null);
@@ -90,7 +91,7 @@
                             + new String(text, 0, Math.min(80, text.length), StandardCharsets.UTF_8));
                 }
             }
-            answer.accept(new Answer(whole.head().status(), tree));
+            answer.accept(new Response(whole.head().status(), tree));
         });
     }
 }
--- a/node/src/test/java/saltdale/node/ChainConnection.java
+++ b/node/src/test/java/saltdale/node/ChainConnection.java
@@ -79,8 +79,8 @@
     }
 
     private void dial() {
-        cluster.at(
-                2 * cluster.hop(),
+        cluster.schedule(
+                2 * cluster.randomDelayNanos(),
                 () -> cluster.deliver(process, () -> {
                     if (!open) {
                         return;
@@ -121,7 +121,7 @@
             return;
         }
         if (model.happens(model.partialWrites)) { // the kernel takes a part, then the connection breaks
-            byte[] part = Arrays.copyOf(bytes, cluster.chance().nextInt(bytes.length));
+            byte[] part = Arrays.copyOf(bytes, cluster.random().nextInt(bytes.length));
             toInstance(() -> instanceSide.received(part));
             toInstance(() -> instanceSide.breakOff(false));
             return;
@@ -129,7 +129,7 @@
         written = true;
         if (model.happens(model.stalls)) {
             toInstanceAt =
-                    Math.max(toInstanceAt, cluster.now()) + cluster.chance().nextLong(4_000_000_000L);
+                    Math.max(toInstanceAt, cluster.now()) + cluster.random().nextLong(4_000_000_000L);
         }
         toInstance(() -> instanceSide.received(bytes));
     }
@@ -153,8 +153,8 @@
 
     /** In order: what was written before the end is there before it. */
     private void toInstance(Runnable what) {
-        toInstanceAt = Math.max(toInstanceAt, cluster.now() + cluster.hop());
-        cluster.at(toInstanceAt - cluster.now(), what);
+        toInstanceAt = Math.max(toInstanceAt, cluster.now() + cluster.randomDelayNanos());
+        cluster.schedule(toInstanceAt - cluster.now(), what);
     }
 
     private void read() {
@@ -189,8 +189,8 @@
     }
 
     private void toProxy(Runnable what) {
-        toProxyAt = Math.max(toProxyAt, cluster.now() + cluster.hop());
-        cluster.at(toProxyAt - cluster.now(), () -> {
+        toProxyAt = Math.max(toProxyAt, cluster.now() + cluster.randomDelayNanos());
+        cluster.schedule(toProxyAt - cluster.now(), () -> {
             what.run();
             cluster.deliver(process, this::read);
         });
--- a/node/src/test/java/saltdale/node/ChainInstance.java
+++ b/node/src/test/java/saltdale/node/ChainInstance.java
@@ -35,7 +35,7 @@
         }
 
         boolean takesConnections() {
-            return model.cluster.takesConnections(id);
+            return model.cluster.acceptsConnections(id);
         }
 
         void received(byte[] bytes) {
@@ -106,8 +106,8 @@
             busy++;
             working = true;
             model.ran(path, attemptId, body, id);
-            long work = 10_000_000L + model.cluster.chance().nextLong(150_000_000L);
-            model.cluster.at(work, () -> {
+            long work = 10_000_000L + model.cluster.random().nextLong(150_000_000L);
+            model.cluster.schedule(work, () -> {
                 boolean still = working;
                 done();
                 if (still && !over) {
@@ -122,7 +122,7 @@
                 return;
             }
             if (model.happens(model.breaks)) {
-                answer(good.substring(0, model.cluster.chance().nextInt(good.length())));
+                answer(good.substring(0, model.cluster.random().nextInt(good.length())));
                 breakOff(model.happens(0.5));
             } else if (model.happens(model.lies)) { // it ran, and says what promises that it did not
                 answer(message("503 Busy", "", attemptId, ""));
@@ -142,15 +142,15 @@
             if (!model.happens(model.answersTwice)) {
                 return;
             }
-            String surplus = switch (model.cluster.chance().nextInt(4)) {
+            String surplus = switch (model.cluster.random().nextInt(4)) {
                 case 0 -> good;
                 case 1 -> message("421 Misdirected Request", "", null, "");
                 case 2 -> message("503 Busy", "X-Saltdale-Not-Executed: 1\r\n", null, "");
                 default -> message("503 Busy", "X-Saltdale-Not-Executed: 1\r\n", attemptId, "");
             };
-            switch (model.cluster.chance().nextInt(3)) {
+            switch (model.cluster.random().nextInt(3)) {
                 case 0 -> answer(surplus);
-                case 1 -> model.cluster.at(model.cluster.chance().nextLong(300_000_000L), () -> answer(surplus));
+                case 1 -> model.cluster.schedule(model.cluster.random().nextLong(300_000_000L), () -> answer(surplus));
                 default -> late = surplus;
             }
         }
@@ -162,7 +162,7 @@
             byte[] bytes = text.getBytes(StandardCharsets.ISO_8859_1);
             int cut = bytes.length == 0 || model.happens(0.7)
                     ? 0
-                    : model.cluster.chance().nextInt(bytes.length);
+                    : model.cluster.random().nextInt(bytes.length);
             connection.answer(Arrays.copyOf(bytes, cut));
             connection.answer(Arrays.copyOfRange(bytes, cut, bytes.length));
         }
--- a/node/src/test/java/saltdale/node/ChainModel.java
+++ b/node/src/test/java/saltdale/node/ChainModel.java
@@ -118,7 +118,7 @@
     }
 
     boolean happens(double share) {
-        return share > 0 && cluster.chance().nextDouble() < share;
+        return share > 0 && cluster.random().nextDouble() < share;
     }
 
     void fault(String what) {
@@ -134,8 +134,8 @@
     /** So many requests a second for a while, each to any proxy of the first {@code proxies} that is ready. */
     void load(double perSecond, long millis, int proxies) {
         for (long at = 0; at < Environment.millis(millis); at += (long) (1e9 / perSecond)) {
-            cluster.at(at + cluster.chance().nextLong(1_000_000), () -> {
-                Environment process = cluster.ready(cluster.chance().nextInt(proxies));
+            cluster.schedule(at + cluster.random().nextLong(1_000_000), () -> {
+                Environment process = cluster.readyProcess(cluster.random().nextInt(proxies));
                 if (process != null) {
                     request(process);
                 }
@@ -145,18 +145,18 @@
 
     private void request(Environment process) {
         int number = byPath.size();
-        String path = (cluster.chance().nextBoolean() ? "/a/" : "/b/") + number;
+        String path = (cluster.random().nextBoolean() ? "/a/" : "/b/") + number;
         Configuration.Route route = cluster.route(process, path);
-        byte[] body = new byte[cluster.chance().nextInt(40)];
+        byte[] body = new byte[cluster.random().nextInt(40)];
         Arrays.fill(body, (byte) ('a' + number % 26));
         ClientRequest client = new ClientRequest(path, attemptId(number), body, route, process, cluster.now());
         byPath.put(path, client);
-        long left = Environment.millis(300 + cluster.chance().nextInt(3000));
+        long left = Environment.millis(300 + cluster.random().nextInt(3000));
         cluster.deliver(process, () -> {
             Request request = cluster.proxy(process).arrived(client.attemptId, route, left, "10.9.9.9", client);
             if (happens(leaves)) {
-                cluster.at(
-                        cluster.chance().nextLong(200_000_000L),
+                cluster.schedule(
+                        cluster.random().nextLong(200_000_000L),
                         () -> cluster.deliver(process, () -> {
                             client.left = client.answers == 0;
                             cluster.proxy(process).left(request);
@@ -169,7 +169,7 @@
     private String attemptId(int number) {
         if (number > 10 && happens(sharesId)) {
             return List.copyOf(byPath.values())
-                    .get(number - 1 - cluster.chance().nextInt(10))
+                    .get(number - 1 - cluster.random().nextInt(10))
                     .attemptId;
         }
         String form = List.of("id-x", "ID-X", "a b\"c%0d%0a;", "\u00e9\u00ff,=").get(number % 4);
@@ -230,7 +230,7 @@
                 fault(client.path + " has no answer");
             }
         }
-        faults.addAll(cluster.faults());
+        faults.addAll(cluster.violations());
     }
 
     /** Carries a proxy's bytes, as the process does. */
@@ -278,10 +278,10 @@
 
         @Override
         public void tryConnection(String id, String address) {
-            cluster.at(
-                    2 * cluster.hop(),
+            cluster.schedule(
+                    2 * cluster.randomDelayNanos(),
                     () -> cluster.deliver(
-                            process, () -> cluster.proxy(process).tried(id, cluster.takesConnections(id))));
+                            process, () -> cluster.proxy(process).tried(id, cluster.acceptsConnections(id))));
         }
 
         @Override
--- a/node/src/test/java/saltdale/node/ChainTest.java
+++ b/node/src/test/java/saltdale/node/ChainTest.java
@@ -75,7 +75,7 @@
         model.load(150, 7000, PROXIES);
         for (int i = 0; i < 6; i++) {
             model.cluster.run(1000);
-            processTrouble(model, model.cluster.chance().nextInt(PROXIES));
+            processTrouble(model, model.cluster.random().nextInt(PROXIES));
         }
         model.cluster.run(6000);
         model.checkAnswers();
@@ -83,18 +83,18 @@
     }
 
     private static void processTrouble(ChainModel model, int proxy) {
-        Environment process = model.cluster.ready(proxy);
+        Environment process = model.cluster.readyProcess(proxy);
         if (process == null) {
             return;
         }
-        switch (model.cluster.chance().nextInt(5)) {
+        switch (model.cluster.random().nextInt(5)) {
             case 0 -> model.cluster.restart(proxy);
-            case 1 -> model.cluster.roll(proxy);
+            case 1 -> model.cluster.rollingRestart(proxy);
             case 2 -> {
-                model.cluster.standsStill(proxy, 200 + model.cluster.chance().nextInt(3000));
+                model.cluster.freezeFor(proxy, 200 + model.cluster.random().nextInt(3000));
                 model.troubled(process);
             }
-            case 3 -> model.cluster.losePower(proxy % 3);
+            case 3 -> model.cluster.powerCycle(proxy % 3);
             default -> {}
         }
     }
@@ -142,7 +142,7 @@
 
     private static int calm(long seed, UnaryOperator<Message> onItsWay) {
         ChainModel model = new ChainModel(seed, PROXIES, UpstreamExchange::new);
-        model.cluster.tamper(onItsWay);
+        model.cluster.rewriteMessages(onItsWay);
         model.load(400, 3000, PROXIES);
         model.cluster.run(6000);
         model.checkAnswers();
--- a/node/src/test/java/saltdale/node/SettingsTest.java
+++ b/node/src/test/java/saltdale/node/SettingsTest.java
@@ -38,7 +38,7 @@
         assertThat(settings.heartbeat, is(1_200_000_000L));
         assertThat(settings.firstStart, is(true));
         assertThat(settings.toleratedLosses, is(new ToleratedLosses(1, 2, 0)));
-        assertThat(settings.rates.listsPerSecond(), is(26.0));
+        assertThat(settings.rates.listCallsPerSecond(), is(26.0));
     }
 
     @Test
--- a/node/src/test/java/saltdale/proxy/SimCluster.java
+++ b/node/src/test/java/saltdale/proxy/SimCluster.java
@@ -16,35 +16,35 @@
     public SimCluster(long seed, int proxies, Function<Environment, Transport> transports) {
         world = new SimWorld(seed);
         world.transports = transports::apply;
-        SimOperator.serving(world, 3, proxies);
+        SimOperator.servingCluster(world, 3, proxies);
     }
 
-    public SplittableRandom chance() {
-        return world.chance;
+    public SplittableRandom random() {
+        return world.random;
     }
 
     public long now() {
         return world.now();
     }
 
-    public void at(long nanos, Runnable what) {
-        world.at(nanos, what);
+    public void schedule(long nanos, Runnable what) {
+        world.schedule(nanos, what);
     }
 
     public void run(long millis) {
         world.run(millis);
     }
 
-    public long hop() {
-        return world.hop();
+    public long randomDelayNanos() {
+        return world.randomDelayNanos();
     }
 
-    public List<String> faults() {
-        return world.faults;
+    public List<String> violations() {
+        return world.violations;
     }
 
-    public void tamper(UnaryOperator<Message> change) {
-        world.rewriting = (from, to, message) -> change.apply(message);
+    public void rewriteMessages(UnaryOperator<Message> change) {
+        world.messageRewriter = (from, to, message) -> change.apply(message);
     }
 
     /** Has this process do it when it can: after it stands still no more, and never where it is dead. */
@@ -61,7 +61,7 @@
     }
 
     /** The process of one of the proxies; null where it is down or not ready. */
-    public Environment ready(int proxy) {
+    public Environment readyProcess(int proxy) {
         SimMachine machine = machine(proxy);
         return machine.proxy() == null || !machine.proxy().isReady() || machine.frozen ? null : machine.process;
     }
@@ -75,10 +75,10 @@
     }
 
     /** It stands still for so long. */
-    public void standsStill(int proxy, long millis) {
+    public void freezeFor(int proxy, long millis) {
         SimMachine machine = machine(proxy);
         machine.freeze();
-        world.at(Environment.millis(millis), () -> {
+        world.schedule(Environment.millis(millis), () -> {
             if (machine.frozen) {
                 machine.thaw();
             }
@@ -87,38 +87,38 @@
 
     public void restart(int proxy) {
         machine(proxy).kill();
-        world.at(Environment.millis(300), machine(proxy)::start);
+        world.schedule(Environment.millis(300), machine(proxy)::start);
     }
 
     /** It is told to end, and starts anew once it has. */
-    public void roll(int proxy) {
+    public void rollingRestart(int proxy) {
         SimMachine machine = machine(proxy);
         if (machine.proxy() == null || machine.frozen) {
             return;
         }
         Proxy ending = machine.proxy();
         ending.end(Environment.millis(700));
-        world.at(Environment.millis(2000), () -> {
+        world.schedule(Environment.millis(2000), () -> {
             if (machine.proxy() == ending) {
                 machine.process.deliver(ending::endNow);
             }
         });
-        world.at(Environment.millis(2100), () -> {
+        world.schedule(Environment.millis(2100), () -> {
             if (machine.proxy() == ending) {
                 restart(proxy);
             }
         });
     }
 
-    public void losePower(int controlNode) {
+    public void powerCycle(int controlNode) {
         SimMachine machine = world.controlNodes.get(controlNode);
         machine.powerOff();
-        world.at(Environment.millis(1500), machine::start);
+        world.schedule(Environment.millis(1500), machine::start);
     }
 
-    public boolean takesConnections(String instance) {
+    public boolean acceptsConnections(String instance) {
         SimPlatform.Instance at = world.platform.instances.get(instance);
-        return at != null && at.takes();
+        return at != null && at.acceptsConnections();
     }
 
     public int slots(String instance) {
--- a/proxy/src/main/java/saltdale/proxy/BootingInstances.java
+++ b/proxy/src/main/java/saltdale/proxy/BootingInstances.java
@@ -70,7 +70,7 @@
 
     private void ready(SlotAllocator allocator, InstanceSlots slots) {
         slots.trying = false;
-        allocator.heard(slots.instance.at(Instance.Phase.READY), environment.now());
+        allocator.heard(slots.instance.withPhase(Instance.Phase.READY), environment.now());
         String controlNode = cluster.session().controlNode();
         if (controlNode != null) {
             environment.send(controlNode, new InstanceReady(slots.instance.id()));
--- a/proxy/src/main/java/saltdale/proxy/ClusterView.java
+++ b/proxy/src/main/java/saltdale/proxy/ClusterView.java
@@ -106,7 +106,7 @@
     /** Who grants the slots of this service's instances in this zone; null where nobody does. */
     Member owner(String service, String zone) {
         return owners.computeIfAbsent(zone, z -> new HashMap<>())
-                .computeIfAbsent(service, s -> ServiceOwnership.of(s, zone, members));
+                .computeIfAbsent(service, s -> ServiceOwnership.ownerOf(s, zone, members));
     }
 
     boolean isOwner(String service, String zone) {
--- a/proxy/src/main/java/saltdale/proxy/ControlSession.java
+++ b/proxy/src/main/java/saltdale/proxy/ControlSession.java
@@ -12,12 +12,12 @@
 import saltdale.control.Member;
 import saltdale.control.message.ContactMessage;
 import saltdale.control.message.SessionMessage;
-import saltdale.control.message.SessionMessage.ControlNodeLeaves;
+import saltdale.control.message.SessionMessage.ControlNodeLeaving;
+import saltdale.control.message.SessionMessage.LeaseExpired;
 import saltdale.control.message.SessionMessage.LeaseGrant;
-import saltdale.control.message.SessionMessage.LeaseOver;
 import saltdale.control.message.SessionMessage.LeaseRenewal;
-import saltdale.control.message.SessionMessage.News;
 import saltdale.control.message.SessionMessage.QuorumLost;
+import saltdale.control.message.SessionMessage.SessionUpdate;
 import saltdale.control.message.SessionMessage.SnapshotPart;
 
 /**
@@ -188,15 +188,15 @@
         }
         if (message instanceof QuorumLost) {
             contact.lostQuorum();
-        } else if (message instanceof ControlNodeLeaves) {
+        } else if (message instanceof ControlNodeLeaving) {
             contact.leaves();
         } else if (message instanceof LeaseGrant grant) {
             granted(grant);
-        } else if (message instanceof LeaseOver over) {
+        } else if (message instanceof LeaseExpired over) {
             if (sentAt.remove(over.count()) != null) {
                 over();
             }
-        } else if (message instanceof News told && told.session().equals(session)) {
+        } else if (message instanceof SessionUpdate told && told.session().equals(session)) {
             told(told);
         } else if (message instanceof SnapshotPart part
                 && news.isFetching()
@@ -206,7 +206,7 @@
         }
     }
 
-    private void told(News message) throws MalformedMessage {
+    private void told(SessionUpdate message) throws MalformedMessage {
         boolean fits = false;
         try {
             fits = news.take(message);
@@ -247,8 +247,8 @@
     }
 
     private void grantedInStep(LeaseGrant grant, long until) {
-        if (!news.hasAll(grant.newsSent())) {
-            environment.note(grant.newsSent() + " news were sent, " + news.count() + " came");
+        if (!news.hasAll(grant.updatesSent())) {
+            environment.note(grant.updatesSent() + " news were sent, " + news.count() + " came");
             beginAgain();
         } else if (!news.isFetching()) {
             // The control node knew, when it answered, all that was chosen before its last contact with a majority.
--- a/proxy/src/main/java/saltdale/proxy/OwnedServices.java
+++ b/proxy/src/main/java/saltdale/proxy/OwnedServices.java
@@ -13,9 +13,9 @@
 import saltdale.control.Member;
 import saltdale.control.message.InstanceMessage.DemandReport;
 import saltdale.control.message.SlotMessage.HeldSlot;
-import saltdale.control.message.SlotMessage.SlotElsewhere;
 import saltdale.control.message.SlotMessage.SlotGrant;
 import saltdale.control.message.SlotMessage.SlotQueued;
+import saltdale.control.message.SlotMessage.SlotRedirect;
 import saltdale.control.message.SlotMessage.SlotRefusal;
 import saltdale.control.message.SlotMessage.SlotReturn;
 import saltdale.probing.ProbeLoop;
@@ -206,7 +206,8 @@
             if (returnedUntil.containsKey(slot.key())) {
                 continue;
             }
-            InUse inUse = new InUse(slot.instance(), slot.life(), environment.now() + slot.leftMillis() * 1_000_000);
+            InUse inUse =
+                    new InUse(slot.instance(), slot.life(), environment.now() + slot.remainingMillis() * 1_000_000);
             if (!isOwner(slot.service()) || !place(allocator(slot.service()), slot.key(), inUse)) {
                 unplaced.put(slot.key(), inUse);
             }
@@ -287,7 +288,7 @@
             if (claim.host == null) {
                 later(own -> own.elsewhere(claim.number, zone));
             } else {
-                environment.send(claim.host, new SlotElsewhere(claim.number, zone));
+                environment.send(claim.host, new SlotRedirect(claim.number, zone));
             }
         }
 
--- a/proxy/src/main/java/saltdale/proxy/Proxy.java
+++ b/proxy/src/main/java/saltdale/proxy/Proxy.java
@@ -16,9 +16,9 @@
 import saltdale.control.message.SessionMessage;
 import saltdale.control.message.SlotMessage;
 import saltdale.control.message.SlotMessage.SlotCancel;
-import saltdale.control.message.SlotMessage.SlotElsewhere;
 import saltdale.control.message.SlotMessage.SlotGrant;
 import saltdale.control.message.SlotMessage.SlotQueued;
+import saltdale.control.message.SlotMessage.SlotRedirect;
 import saltdale.control.message.SlotMessage.SlotRefusal;
 import saltdale.control.message.SlotMessage.SlotRequest;
 import saltdale.control.message.SlotMessage.SlotReturn;
@@ -251,15 +251,15 @@
 
     private void slotMessage(String from, SlotMessage message) {
         if (message instanceof SlotRequest request) {
-            ownedServices.request(claim(from, request), request.service(), request.counts());
+            ownedServices.request(claim(from, request), request.service(), request.countsAsDemand());
         } else if (message instanceof SlotGrant grant) {
             slotRequester.granted(grant.number(), grant.instance());
         } else if (message instanceof SlotQueued queued) {
             slotRequester.queued(queued.number());
-        } else if (message instanceof SlotElsewhere elsewhere) {
+        } else if (message instanceof SlotRedirect elsewhere) {
             slotRequester.elsewhere(elsewhere.number(), elsewhere.zone());
         } else if (message instanceof SlotRefusal refusal) {
-            slotRequester.refused(refusal.number(), refusal.pauseMillis());
+            slotRequester.refused(refusal.number(), refusal.retryAfterMillis());
         } else if (message instanceof SlotCancel cancel) {
             ownedServices.cancel(cancel.service(), cancel.key());
         } else if (message instanceof SlotReturn returned) {
@@ -277,10 +277,10 @@
                 from,
                 request.number(),
                 request.zone(),
-                now + request.untilMillis() * 1_000_000,
-                now + request.targetMillis() * 1_000_000,
+                now + request.remainingMillis() * 1_000_000,
+                now + request.targetRemainingMillis() * 1_000_000,
                 request.priority(),
-                new HashSet<>(request.avoided()),
+                new HashSet<>(request.avoidedInstances()),
                 request.hops());
     }
 
@@ -291,7 +291,7 @@
                     returned.key(),
                     returned.instance(),
                     Attempt.End.values()[returned.outcome()],
-                    returned.ranMicros() * 1000);
+                    returned.runMicros() * 1000);
         }
     }
 }
--- a/proxy/src/main/java/saltdale/proxy/RequestLifecycle.java
+++ b/proxy/src/main/java/saltdale/proxy/RequestLifecycle.java
@@ -204,7 +204,7 @@
     void ownersChanged(Collection<Member> before) {
         HeldSlotsByHost held = new HeldSlotsByHost();
         for (Attempt attempt : attempts) {
-            Member was = ServiceOwnership.of(attempt.request.service, attempt.zone, before);
+            Member was = ServiceOwnership.ownerOf(attempt.request.service, attempt.zone, before);
             Member is = cluster.owner(attempt.request.service, attempt.zone);
             boolean moved = was == null || is != null && !was.life().equals(is.life());
             boolean renewed = !attempt.life.equals(cluster.life());
--- a/proxy/src/main/java/saltdale/proxy/SessionNews.java
+++ b/proxy/src/main/java/saltdale/proxy/SessionNews.java
@@ -6,9 +6,9 @@
 import saltdale.control.message.Message;
 import saltdale.control.message.SessionMessage.ConfigurationChange;
 import saltdale.control.message.SessionMessage.ConfigurationOffer;
-import saltdale.control.message.SessionMessage.InstancesNews;
+import saltdale.control.message.SessionMessage.InstancesChange;
 import saltdale.control.message.SessionMessage.MembersChange;
-import saltdale.control.message.SessionMessage.News;
+import saltdale.control.message.SessionMessage.SessionUpdate;
 import saltdale.control.message.SessionMessage.SnapshotPart;
 import saltdale.control.message.SessionMessage.SnapshotRequest;
 
@@ -70,7 +70,7 @@
     }
 
     /** Takes what is next; false where it does not fit what came before, so that another session must begin. */
-    boolean take(News message) throws MalformedMessage {
+    boolean take(SessionUpdate message) throws MalformedMessage {
         if (message.number() != count + 1) {
             environment.note("news " + message.number() + " came after " + count);
             return false;
@@ -83,7 +83,7 @@
             fetch();
         } else if (message instanceof MembersChange change) {
             return changed(change);
-        } else if (message instanceof InstancesNews told) {
+        } else if (message instanceof InstancesChange told) {
             reader.instances(told.instances());
         }
         return true;
--- a/proxy/src/test/java/saltdale/control/WrongOrders.java
+++ b/proxy/src/test/java/saltdale/control/FaultyOrderHandling.java
@@ -5,7 +5,7 @@
 import java.util.function.Consumer;
 
 /** Control nodes that deal with operators' orders wrongly, each in one way that the tests of orders must find. */
-public enum WrongOrders {
+public enum FaultyOrderHandling {
     /** Remembers 64 orders, and refuses those that it forgot as if they had lost. */
     FORGETS_AFTER_64 {
         @Override
--- a/proxy/src/test/java/saltdale/control/WrongVoterChanges.java
+++ b/proxy/src/test/java/saltdale/control/FaultyVoterChanges.java
@@ -3,11 +3,11 @@
 import java.util.Map;
 
 /** Control nodes that change their voters in a wrong way: tests must find them out. */
-public final class WrongVoterChanges {
-    private WrongVoterChanges() {}
+public final class FaultyVoterChanges {
+    private FaultyVoterChanges() {}
 
     /** A change of voters is ended by the proposer that saw it chosen, or not at all. */
-    public static ControlNode settledOnlyByItsProposer(
+    public static ControlNode finishedOnlyByProposer(
             Environment environment, ControlNodeSettings settings, Platform platform, Map<String, byte[]> records)
             throws MalformedMessage {
         return new ControlNode(
--- a/proxy/src/test/java/saltdale/control/OrderMemory.java
+++ b/proxy/src/test/java/saltdale/control/RememberedOrders.java
@@ -3,8 +3,8 @@
 import java.nio.charset.StandardCharsets;
 
 /** What a state remembers of operators' orders, for tests of other packages. */
-public final class OrderMemory {
-    private OrderMemory() {}
+public final class RememberedOrders {
+    private RememberedOrders() {}
 
     /** Whether the state knows that this order was taken. */
     public static boolean holds(ReplicatedState state, boolean amends, long base, String body) {
--- a/proxy/src/test/java/saltdale/proxy/AgreementTest.java
+++ b/proxy/src/test/java/saltdale/proxy/AgreementTest.java
@@ -12,9 +12,9 @@
 import static org.hamcrest.Matchers.nullValue;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static saltdale.proxy.SimOperator.config;
-import static saltdale.proxy.SimOperator.insists;
 import static saltdale.proxy.SimOperator.read;
 import static saltdale.proxy.SimOperator.replace;
+import static saltdale.proxy.SimOperator.replaceUntilAcknowledged;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -29,7 +29,7 @@
 /** What the core acknowledges it keeps, and there is one line of versions, whatever its machines go through. */
 class AgreementTest {
     private static SimWorld world(long seed, int controlNodes) {
-        SimWorld world = new SimWorld(seed).of(controlNodes, 0).begin();
+        SimWorld world = new SimWorld(seed).withNodes(controlNodes, 0).startAll();
         world.run(2500);
         return world;
     }
@@ -45,9 +45,9 @@
     void acknowledgesOnlyWhatAMajorityHoldsSynced(int controlNodes) {
         for (int seed = 0; seed < 10; seed++) {
             SimWorld world = world(seed, controlNodes);
-            world.controlNodes.forEach(k -> k.syncNanos = (1 + world.chance.nextInt(150)) * 1_000_000L);
+            world.controlNodes.forEach(k -> k.syncNanos = (1 + world.random.nextInt(150)) * 1_000_000L);
             for (int revision = 1; revision <= 5; revision++) {
-                int by = world.chance.nextInt(controlNodes);
+                int by = world.random.nextInt(controlNodes);
                 assertThat(replace(world, world.controlNodes.get(by), revision - 1, config(revision)), is(200));
                 assertThat(holding(world, revision), greaterThanOrEqualTo(controlNodes / 2 + 1L));
             }
@@ -61,7 +61,7 @@
             List<Integer> got = new ArrayList<>();
             replace(world.controlNodes.get(seed % 3), 0, config(3, 1), reply -> got.add(reply.status()));
             replace(world.controlNodes.get((seed + 1) % 3), 0, config(4, 2), reply -> got.add(reply.status()));
-            assertTrue(world.until(5000, () -> got.size() == 2));
+            assertTrue(world.runUntil(5000, () -> got.size() == 2));
             got.sort(null);
             assertThat("seed " + seed, got, is(List.of(200, 412)));
         }
@@ -83,7 +83,7 @@
     void whoAcknowledgedMayLoseAllRightAfter(int controlNodes, boolean withDisk) {
         for (int seed = 0; seed < 10; seed++) {
             SimWorld world = world(seed, controlNodes);
-            assertTrue(insists(world, 0, config(1), 5000));
+            assertTrue(replaceUntilAcknowledged(world, 0, config(1), 5000));
             SimMachine by = world.controlNodes.get(seed % controlNodes);
             SimMachine second = world.controlNodes.get((seed + 1) % controlNodes);
             assertThat(replace(world, by, 1, config(2)), is(200));
@@ -103,7 +103,7 @@
             for (SimMachine each : world.controlNodes) {
                 assertThat("seed " + seed, read(world, each), containsString("\"revision\":2"));
             }
-            assertThat(world.faults, is(empty()));
+            assertThat(world.violations, is(empty()));
         }
     }
 
@@ -111,7 +111,7 @@
     void anEmptyDiskDoesNotVoteUntilItIsAVoterAgain() throws Exception {
         for (int seed = 0; seed < 10; seed++) {
             SimWorld world = world(seed, 3);
-            assertTrue(insists(world, 0, config(1), 5000));
+            assertTrue(replaceUntilAcknowledged(world, 0, config(1), 5000));
             SimMachine lost = world.controlNodes.get(0);
             SimMachine off = world.controlNodes.get(1);
             String before = lost.id();
@@ -130,8 +130,8 @@
             assertThat(world.isJoint(), is(false));
             world.controlNodes.get(2).powerOff();
             world.run(2500);
-            assertTrue(insists(world, 1, config(2), 5000), "its vote counts now");
-            assertThat(world.faults, is(empty()));
+            assertTrue(replaceUntilAcknowledged(world, 1, config(2), 5000), "its vote counts now");
+            assertThat(world.violations, is(empty()));
         }
     }
 
@@ -139,7 +139,7 @@
     void aControlNodeAtANewAddressTakesThePlaceOfOneGone() throws Exception {
         for (int seed = 0; seed < 10; seed++) {
             SimWorld world = world(seed, 3);
-            assertTrue(insists(world, 0, config(1), 5000));
+            assertTrue(replaceUntilAcknowledged(world, 0, config(1), 5000));
             SimMachine gone = world.controlNodes.get(seed % 3);
             gone.wipe();
             SimMachine next = world.controlNode("10.0.0.9", world.controlNodes.get(0).seeds, false);
@@ -154,7 +154,7 @@
             off.start();
             world.run(2000);
             assertThat(read(world, off), containsString("\"revision\":2"));
-            assertThat(world.faults, is(empty()));
+            assertThat(world.violations, is(empty()));
         }
     }
 
@@ -162,7 +162,7 @@
     @ValueSource(ints = {3, 5})
     void aMinorityAcknowledgesAndReadsNothing(int controlNodes) {
         SimWorld world = world(4, controlNodes);
-        assertTrue(insists(world, 0, config(1), 5000));
+        assertTrue(replaceUntilAcknowledged(world, 0, config(1), 5000));
         List<SimMachine> few = world.controlNodes.subList(0, controlNodes / 2);
         List<SimMachine> most = world.controlNodes.subList(controlNodes / 2, controlNodes);
         few.forEach(f -> most.forEach(m -> world.cut(f, m)));
@@ -172,7 +172,7 @@
         }
         assertThat(replace(world, most.get(0), 1, config(3)), is(200));
         assertThat(read(world, few.get(0)), is(nullValue()));
-        world.cuts.clear();
+        world.cutLinks.clear();
         world.run(3000);
         assertThat(read(world, few.get(0)), containsString("\"revision\":3"));
     }
@@ -182,10 +182,10 @@
     void aCoreKilledAtOnceIsBack(int controlNodes) {
         for (int seed = 0; seed < 10; seed++) {
             SimWorld world = world(seed, controlNodes);
-            assertTrue(insists(world, 0, config(1), 5000));
+            assertTrue(replaceUntilAcknowledged(world, 0, config(1), 5000));
             List<Integer> got = new ArrayList<>();
             replace(world.controlNodes.get(0), 1, config(2), reply -> got.add(reply.status()));
-            world.run(world.chance.nextInt(20));
+            world.run(world.random.nextInt(20));
             world.controlNodes.forEach(SimMachine::kill);
             world.run(900);
             world.controlNodes.forEach(SimMachine::start);
@@ -194,22 +194,22 @@
             assertThat(is, containsString(got.isEmpty() ? "\"revision\":" : "\"revision\":2"));
             assertTrue(
                     is.contains("\"revision\":1")
-                            ? insists(world, 1, config(2), 5000)
-                            : insists(world, 2, config(3), 5000));
-            assertThat(world.faults, is(empty()));
+                            ? replaceUntilAcknowledged(world, 1, config(2), 5000)
+                            : replaceUntilAcknowledged(world, 2, config(3), 5000));
+            assertThat(world.violations, is(empty()));
         }
     }
 
     @Test
     void aCoreKilledWhileItFirstBeginsIsBack() {
         for (int ms = 20; ms <= 1500; ms += 100) {
-            SimWorld world = new SimWorld(ms).of(3, 0).begin();
+            SimWorld world = new SimWorld(ms).withNodes(3, 0).startAll();
             world.run(ms);
             world.controlNodes.forEach(SimMachine::kill);
             world.run(500);
             world.controlNodes.forEach(SimMachine::start);
             world.run(2500);
-            assertTrue(insists(world, 0, config(1), 5000), "killed after " + ms + " ms");
+            assertTrue(replaceUntilAcknowledged(world, 0, config(1), 5000), "killed after " + ms + " ms");
         }
     }
 
@@ -227,8 +227,8 @@
         }
 
         void next() {
-            on.world.at(on.world.chance.nextInt(400) * 1_000_000L, () -> {
-                SimMachine at = on.world.controlNodes.get(on.world.chance.nextInt(on.world.controlNodes.size()));
+            on.world.schedule(on.world.random.nextInt(400) * 1_000_000L, () -> {
+                SimMachine at = on.world.controlNodes.get(on.world.random.nextInt(on.world.controlNodes.size()));
                 if (at.process == null) {
                     next();
                 } else if (body == null) {
@@ -247,12 +247,12 @@
                     String is = new String(reply.body());
                     base = revision(is);
                     on.seen(base, is, least);
-                    revision = base + 1 + on.world.chance.nextInt(3);
+                    revision = base + 1 + on.world.random.nextInt(3);
                     body = config(revision, 1 + number);
                 }
                 done[0] |= again(done);
             }));
-            on.world.at(1_000_000_000L, () -> done[0] |= again(done));
+            on.world.schedule(1_000_000_000L, () -> done[0] |= again(done));
         }
 
         private void send(SimMachine at) {
@@ -267,7 +267,7 @@
                 body = (reply.status() == 200 || reply.status() == 412) && sent.equals(body) ? null : body;
                 done[0] |= again(done);
             });
-            on.world.at(1_000_000_000L, () -> done[0] |= again(done));
+            on.world.schedule(1_000_000_000L, () -> done[0] |= again(done));
         }
 
         private boolean again(boolean[] done) {
@@ -292,7 +292,7 @@
         boolean over;
 
         Schedule(long seed, int controlNodes, int wipes) {
-            world = new SimWorld(seed).of(controlNodes, 0).begin();
+            world = new SimWorld(seed).withNodes(controlNodes, 0).startAll();
             troubles = new SimTroubles(world, wipes);
         }
 
@@ -304,14 +304,14 @@
             Long other = builtOn.putIfAbsent(base, revision);
             String text = acked.putIfAbsent(revision, body);
             if (other != null && other != revision || text != null && !text.equals(body)) {
-                world.faults.add("two changes on " + base + " are acknowledged: " + other + " and " + revision);
+                world.violations.add("two changes on " + base + " are acknowledged: " + other + " and " + revision);
             }
         }
 
         void seen(long revision, String text, long least) {
             String before = read.putIfAbsent(revision, text);
             if (revision < least || before != null && !before.equals(text)) {
-                world.faults.add("read " + revision + " though " + least + " was acknowledged, or another text");
+                world.violations.add("read " + revision + " though " + least + " was acknowledged, or another text");
             }
         }
     }
@@ -330,11 +330,11 @@
             world.run(1500);
             for (int i = 0; i < 4; i++) {
                 schedule.troubles.strike();
-                world.run(world.chance.nextInt(400));
+                world.run(world.random.nextInt(400));
                 schedule.troubles.strike();
-                world.run(world.chance.nextInt(1500));
+                world.run(world.random.nextInt(1500));
                 schedule.troubles.heal();
-                world.run(world.chance.nextInt(2000));
+                world.run(world.random.nextInt(2000));
             }
             schedule.over = true;
             schedule.troubles.heal();
@@ -342,7 +342,7 @@
             String last = read(world, world.controlNodes.get(seed % controlNodes));
             assertThat("seed " + seed, last, is(not(nullValue())));
             schedule.seen(revision(last), last, schedule.newest());
-            assertThat("seed " + seed, world.faults, is(empty()));
+            assertThat("seed " + seed, world.violations, is(empty()));
             acknowledged += schedule.acked.size();
         }
         assertThat("enough came through to tell", acknowledged, greaterThanOrEqualTo(4 * seeds));
@@ -353,17 +353,17 @@
     @ValueSource(ints = {3, 5})
     void ballotsOfAllControlNodesDoNotHoldEachOtherUp(int controlNodes) {
         for (int seed = 0; seed < 5; seed++) {
-            SimWorld world = SimOperator.serving(seed, controlNodes, 1);
+            SimWorld world = SimOperator.servingCluster(seed, controlNodes, 1);
             List<Long> took = new ArrayList<>();
             for (int i = 0; i < 300; i++) {
-                SimMachine at = world.controlNodes.get(world.chance.nextInt(controlNodes));
+                SimMachine at = world.controlNodes.get(world.random.nextInt(controlNodes));
                 long asked = world.now();
                 at.controlNode().read(reply -> {
                     if (reply.status() == 200) {
                         took.add((world.now() - asked) / 1_000_000);
                     }
                 });
-                world.run(13 + world.chance.nextInt(25));
+                world.run(13 + world.random.nextInt(25));
             }
             world.run(4000);
             assertThat("seed " + seed + ", all are answered", took, hasSize(300));
--- a/proxy/src/test/java/saltdale/proxy/CatchUpTest.java
+++ b/proxy/src/test/java/saltdale/proxy/CatchUpTest.java
@@ -11,7 +11,7 @@
 import static saltdale.proxy.SimOperator.config;
 import static saltdale.proxy.SimOperator.load;
 import static saltdale.proxy.SimOperator.replace;
-import static saltdale.proxy.SimOperator.serving;
+import static saltdale.proxy.SimOperator.servingCluster;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -53,8 +53,8 @@
     }
 
     /** How many milliseconds a member, and a proxy that knows only this member, need for the newest configuration. */
-    private static long catchUp(int seed, Absence absence, SimWorld.Rewriting rewriting) {
-        SimWorld world = serving(seed, 3, 3);
+    private static long catchUp(int seed, Absence absence, SimWorld.MessageRewriter rewriting) {
+        SimWorld world = servingCluster(seed, 3, 3);
         SimMachine off = world.controlNodes.get(seed % 3);
         switch (absence) {
             case KILLED -> off.kill();
@@ -72,8 +72,9 @@
         SimMachine back = absence == Absence.REPLACED
                 ? world.controlNode("10.0.0.9", List.of(off.host, others.get(0).host, others.get(1).host), false)
                 : off;
-        world.rewriting = (from, to, message) -> from.equals(back.host) ? rewriting.of(from, to, message) : message;
-        world.cuts.clear();
+        world.messageRewriter =
+                (from, to, message) -> from.equals(back.host) ? rewriting.of(from, to, message) : message;
+        world.cutLinks.clear();
         if (absence == Absence.STANDS_STILL) {
             off.thaw();
         }
@@ -83,8 +84,8 @@
         others.forEach(other -> world.cut(other, proxy));
         proxy.start();
         long begun = world.now();
-        boolean known = world.until(4 * CATCH_UP_MS, () -> revision(proxy) == CHANGES + 1);
-        assertThat(world.faults, is(empty()));
+        boolean known = world.runUntil(4 * CATCH_UP_MS, () -> revision(proxy) == CHANGES + 1);
+        assertThat(world.violations, is(empty()));
         return known ? (world.now() - begun) / 1_000_000 : Long.MAX_VALUE;
     }
 
@@ -106,7 +107,7 @@
 
     // Fencing.
 
-    private static final long LEASE = SimWorld.BEAT * 5 / 4;
+    private static final long LEASE = SimWorld.HEARTBEAT_NANOS * 5 / 4;
 
     /** Calls that came under a fence after the next holder must have been known to its sender. */
     private static List<String> late(SimWorld world, TreeMap<Long, Long> fences) {
@@ -122,18 +123,20 @@
 
     /** Holders are cut off or stand still amid hundreds of changes; what starts and stops came late, by fence. */
     private static List<String> holdersComeAndGo(int seed, boolean forgesAcknowledgements) {
-        SimWorld world = serving(seed, 3, 3);
+        SimWorld world = servingCluster(seed, 3, 3);
         TreeMap<Long, Long> fences = new TreeMap<>(); // when each was first told to be won
         Map<String, PeerIdentity> identities = new HashMap<>();
         fences.put(DutyTest.fence(world), world.now());
-        world.spy = message -> {
+        world.messageObserver = message -> {
             if (message instanceof Chosen chosen) {
                 fences.putIfAbsent(chosen.state().duty("starting").fence(), world.now());
             } else if (message instanceof Heartbeat heartbeat && forgesAcknowledgements) {
                 identities.put(heartbeat.from().host(), heartbeat.from());
                 String way = heartbeat.from().host() + ">";
-                boolean cutOff =
-                        world.cuts.stream().filter(cut -> cut.startsWith(way)).count() == 2;
+                boolean cutOff = world.cutLinks.stream()
+                                .filter(cut -> cut.startsWith(way))
+                                .count()
+                        == 2;
                 identities.values().stream()
                         .filter(peer -> cutOff)
                         .forEach(peer -> world.send(
@@ -148,13 +151,13 @@
         for (int i = 0; i < 4; i++) {
             world.run(1500);
             SimMachine holder = DutyTest.holder(world);
-            switch (world.chance.nextInt(4)) {
+            switch (world.random.nextInt(4)) {
                 case 0 -> holder.freeze();
                 case 1 -> holder.kill();
                 default -> world.isolate(holder);
             }
-            world.run(3000 + world.chance.nextInt(4000));
-            world.cuts.clear();
+            world.run(3000 + world.random.nextInt(4000));
+            world.cutLinks.clear();
             if (holder.frozen) {
                 holder.thaw();
             }
@@ -189,34 +192,34 @@
     void aLateStartOrStopOfTheHolderBeforeDoesNoHarm(boolean refuses) {
         int lateOnes = 0;
         for (int seed = 0; seed < 4; seed++) {
-            SimWorld world = serving(seed, 3, 3);
+            SimWorld world = servingCluster(seed, 3, 3);
             world.platform.refusesOldFences = refuses;
             load(world, 60, 15_000);
             world.run(3000);
             SimMachine holder = DutyTest.holder(world);
             long before = DutyTest.fence(world);
-            world.platform.lateMs.put(holder.host, 4000L + world.chance.nextInt(2000));
-            world.run(world.chance.nextInt(700));
+            world.platform.dutyDelayMs.put(holder.host, 4000L + world.random.nextInt(2000));
+            world.run(world.random.nextInt(700));
             world.platform.call(world.proxies.get(0), "h.example", "/a/1", 5000);
             // All at once more than there is room for: it starts some.
             load(world, 400, 600);
             world.run(400);
             holder.powerOff();
-            assertTrue(world.until(6000, () -> DutyTest.fence(world) > before));
+            assertTrue(world.runUntil(6000, () -> DutyTest.fence(world) > before));
             long won = world.now();
             holder.start();
             world.run(25_000);
             lateOnes += (int) world.platform.duties.stream()
                     .filter(duty -> duty.fence() <= before && duty.at() > won)
                     .count();
-            for (SimPlatform.OutgoingCall call : world.platform.all) {
+            for (SimPlatform.OutgoingCall call : world.platform.calls) {
                 assertThat("one answer", call.answers.size(), is(1));
                 assertThat("idempotent or run once", call.idempotent || call.runs <= 1, is(true));
             }
             world.run(20_000);
             // Each is known to whoever holds the duty, and so is stopped once it is idle.
-            assertThat("seed " + seed, world.platform.live("fn"), is(empty()));
-            assertThat(world.faults, is(empty()));
+            assertThat("seed " + seed, world.platform.liveInstances("fn"), is(empty()));
+            assertThat(world.violations, is(empty()));
         }
         assertThat(lateOnes, greaterThan(3));
     }
@@ -226,7 +229,7 @@
      * once there is another holder, or 0 where that is not the one that was cut off.
      */
     private static int instancesAfterMissedStart(int seed, boolean toldOnce) {
-        SimWorld world = serving(seed, 3, 3);
+        SimWorld world = servingCluster(seed, 3, 3);
         world.platform.bootMs = 9000; // it is not in the list before another has taken over
         SimMachine holder = DutyTest.holder(world);
         List<SimMachine> others =
@@ -234,20 +237,20 @@
         world.isolate(others.get(0));
         world.run(300);
         world.platform.call(world.proxies.get(0), "h.example", "/a/1", 20_000);
-        assertTrue(world.until(3000, () -> !world.platform.instances.isEmpty()));
-        world.cuts.clear();
+        assertTrue(world.runUntil(3000, () -> !world.platform.instances.isEmpty()));
+        world.cutLinks.clear();
         if (toldOnce) {
-            world.rewriting = (from, to, message) ->
+            world.messageRewriter = (from, to, message) ->
                     to.equals(others.get(0).host) && message instanceof InstanceMessage ? null : message;
         }
         world.run(2000);
-        world.rewriting = (from, to, message) -> message;
+        world.messageRewriter = (from, to, message) -> message;
         others.get(1).freeze(); // so that the one that missed it takes over
         holder.powerOff();
         world.run(3000);
         others.get(1).thaw();
         world.run(4000);
-        assertThat(world.faults, is(empty()));
+        assertThat(world.violations, is(empty()));
         return DutyTest.holder(world) == others.get(0) ? world.platform.instances.size() : 0;
     }
 
@@ -277,16 +280,16 @@
     @Test
     void whoCannotReachThePlatformHearsOfDrainsFromOthers() {
         for (int seed = 0; seed < 4; seed++) {
-            SimWorld world = serving(seed, 3, 6);
+            SimWorld world = servingCluster(seed, 3, 6);
             SimMachine holder = DutyTest.holder(world);
             world.controlNodes.stream()
                     .filter(each -> each != holder)
-                    .forEach(each -> world.platform.unheard.add(each.host));
+                    .forEach(each -> world.platform.unreachableHosts.add(each.host));
             load(world, 120, 10_000);
             world.run(3000);
-            world.platform.live("fn").get(0).drain();
+            world.platform.liveInstances("fn").get(0).drain();
             world.run(7000);
-            assertThat("seed " + seed, world.platform.afterDrain, is(empty()));
+            assertThat("seed " + seed, world.platform.callsAfterDrain, is(empty()));
         }
     }
 
@@ -294,17 +297,17 @@
     @Test
     void nothingIsSentToWhatBeganToDrainWhileThereWasNoMajority() {
         for (int seed = 0; seed < 4; seed++) {
-            SimWorld world = serving(seed, 3, 6);
+            SimWorld world = servingCluster(seed, 3, 6);
             load(world, 120, 16_000);
             world.run(3000);
             world.controlNodes.forEach(world::isolate);
-            world.run(world.chance.nextInt(2500));
-            world.platform.live("fn").get(0).drain();
-            world.run(3000 + world.chance.nextInt(2000));
-            world.cuts.clear();
+            world.run(world.random.nextInt(2500));
+            world.platform.liveInstances("fn").get(0).drain();
+            world.run(3000 + world.random.nextInt(2000));
+            world.cutLinks.clear();
             world.run(12_000);
-            assertThat("seed " + seed, world.platform.afterDrain, is(empty()));
-            assertThat(world.platform.all.get(world.platform.all.size() - 1).answers, is(List.of(200)));
+            assertThat("seed " + seed, world.platform.callsAfterDrain, is(empty()));
+            assertThat(world.platform.calls.get(world.platform.calls.size() - 1).answers, is(List.of(200)));
         }
     }
 }
--- a/proxy/src/test/java/saltdale/proxy/ConfigurationOrdersTest.java
+++ b/proxy/src/test/java/saltdale/proxy/ConfigurationOrdersTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 import saltdale.control.ControlNode;
-import saltdale.control.OrderMemory;
-import saltdale.control.WrongOrders;
+import saltdale.control.FaultyOrderHandling;
+import saltdale.control.RememberedOrders;
 import saltdale.control.message.BallotMessage;
 import saltdale.control.message.Message;
 
@@ -33,7 +33,7 @@
     private static SimWorld world(long seed, int controlNodes, SimWorld.ControlNodeFactory factory) {
         SimWorld world = new SimWorld(seed);
         world.controlNodeFactory = factory;
-        return world.of(controlNodes, 0).begin();
+        return world.withNodes(controlNodes, 0).startAll();
     }
 
     /** Eight operators and troubles of all kinds; gives the model that judged them. */
@@ -47,11 +47,11 @@
         world.run(2500);
         for (int i = 0; i < 4; i++) {
             troubles.strike();
-            world.run(world.chance.nextInt(400));
+            world.run(world.random.nextInt(400));
             troubles.strike();
-            world.run(world.chance.nextInt(2500));
+            world.run(world.random.nextInt(2500));
             troubles.heal();
-            world.run(world.chance.nextInt(2000));
+            world.run(world.random.nextInt(2000));
         }
         world.run(4000);
         operators.forEach(OrderingOperator::over);
@@ -67,27 +67,27 @@
         for (int seed = from; seed < from + seeds; seed++) {
             SimWorld world = world(seed, controlNodes, ControlNode::new);
             clear += day(world, wipes).clearAnswers;
-            assertThat("seed " + seed, world.faults, is(empty()));
+            assertThat("seed " + seed, world.violations, is(empty()));
         }
         assertThat("enough was answered to tell", clear, greaterThan(20 * seeds));
     }
 
     @ParameterizedTest
     @EnumSource(
-            value = WrongOrders.class,
+            value = FaultyOrderHandling.class,
             names = {"ACKNOWLEDGES_BEFORE_CHOSEN", "REFUSES_BEFORE_CHOSEN", "CHECKS_CONTENT_FIRST"})
-    void theModelFindsWrongVariants(WrongOrders wrong) {
+    void theModelFindsWrongVariants(FaultyOrderHandling wrong) {
         List<String> found = new ArrayList<>();
         String fault = faultOf(wrong);
         for (int seed = 0; seed < 30 && found.stream().noneMatch(each -> each.contains(fault)); seed++) {
             SimWorld world = world(seed, 3, wrong::node);
             day(world, 1);
-            found.addAll(world.faults);
+            found.addAll(world.violations);
         }
         assertThat(found, hasItem(containsString(fault)));
     }
 
-    private static String faultOf(WrongOrders wrong) {
+    private static String faultOf(FaultyOrderHandling wrong) {
         return switch (wrong) {
             case ACKNOWLEDGES_BEFORE_CHOSEN -> "acknowledged and not chosen";
             case REFUSES_BEFORE_CHOSEN -> "refused with 412 on top of the newest revision";
@@ -117,12 +117,12 @@
 
     /** Strikes when this message of a ballot is sent, the first being 1. */
     private static void strikeAt(SimWorld world, SimMachine at, Blow blow, int message) {
-        Consumer<Message> model = world.spy;
+        Consumer<Message> model = world.messageObserver;
         int[] seen = new int[1];
-        world.spy = sent -> {
+        world.messageObserver = sent -> {
             model.accept(sent);
             if (sent instanceof BallotMessage && ++seen[0] == message) {
-                world.at(0, () -> blow.strike(world, at));
+                world.schedule(0, () -> blow.strike(world, at));
             }
         };
     }
@@ -150,7 +150,7 @@
                 SimWorld world = world(100 * message + seed, 3, ControlNode::new);
                 OrdersModel model = new OrdersModel(world);
                 world.run(2500);
-                assertTrue(SimOperator.insists(world, 0, SimOperator.config(1), 5000));
+                assertTrue(SimOperator.replaceUntilAcknowledged(world, 0, SimOperator.config(1), 5000));
                 List<SimMachine> nodes = world.controlNodes;
                 OrdersModel.Order one = OrdersModel.Order.replace(1, 3, 0);
                 OrdersModel.Order other = seed == 0 ? one : OrdersModel.Order.replace(1, 3, 1);
@@ -158,7 +158,8 @@
                 List<Integer> toOne = new ArrayList<>();
                 List<Integer> toOther = new ArrayList<>();
                 send(model, nodes.get(0), one, toOne);
-                world.at(world.chance.nextInt(1500) * 1_000_000L, () -> send(model, nodes.get(2), other, toOther));
+                world.schedule(
+                        world.random.nextInt(1500) * 1_000_000L, () -> send(model, nodes.get(2), other, toOther));
                 world.run(1000);
                 send(model, nodes.get(1), one, toOne);
                 world.run(3000);
@@ -171,7 +172,7 @@
                 world.run(3000);
                 model.over();
                 String what = blow + " at message " + message + " seed " + seed;
-                assertThat(what, world.faults, is(empty()));
+                assertThat(what, world.violations, is(empty()));
                 assertThat(what, toOne.contains(200) || toOther.contains(200), is(true));
                 assertThat(what, toOne.isEmpty() || toOther.isEmpty(), is(false));
             }
@@ -190,7 +191,7 @@
             SimWorld world = world(seed, controlNodes, ControlNode::new);
             OrdersModel model = new OrdersModel(world);
             world.run(2500);
-            assertTrue(SimOperator.insists(world, 0, SimOperator.config(1), 5000));
+            assertTrue(SimOperator.replaceUntilAcknowledged(world, 0, SimOperator.config(1), 5000));
             List<SimMachine> nodes = world.controlNodes;
             SimMachine lost = nodes.get(1);
             lost.wipe();
@@ -199,17 +200,17 @@
             } else {
                 lost.start();
             }
-            world.until(6000, world::isJoint);
+            world.runUntil(6000, world::isJoint);
             joint += world.isJoint() ? 1 : 0;
-            world.run(world.chance.nextInt(12));
+            world.run(world.random.nextInt(12));
             OrdersModel.Order one = OrdersModel.Order.replace(1, 3, 0);
             OrdersModel.Order other = seed % 4 == 0 ? one : OrdersModel.Order.replace(1, 3, 1);
             List<Integer> toOne = new ArrayList<>();
             List<Integer> toOther = new ArrayList<>();
             send(model, nodes.get(0), one, toOne);
-            world.run(world.chance.nextInt(40));
+            world.run(world.random.nextInt(40));
             Blow.values()[seed % Blow.values().length].strike(world, nodes.get(0));
-            world.at(world.chance.nextInt(1500) * 1_000_000L, () -> send(model, nodes.get(2), other, toOther));
+            world.schedule(world.random.nextInt(1500) * 1_000_000L, () -> send(model, nodes.get(2), other, toOther));
             world.run(1000);
             send(model, nodes.get(nodes.size() - 1), one, toOne);
             world.run(3000);
@@ -219,7 +220,7 @@
             nodes.forEach(each -> send(model, each, other, toOther));
             world.run(3000);
             model.over();
-            assertThat("seed " + seed, world.faults, is(empty()));
+            assertThat("seed " + seed, world.violations, is(empty()));
             assertThat("seed " + seed, toOne.contains(200) || toOther.contains(200), is(true));
         }
         assertThat("the change of voters was met", joint, greaterThan(15));
@@ -243,7 +244,7 @@
     }
 
     private static int sendsAgain(SimWorld world, OrdersModel model, OrdersModel.Order order) {
-        SimMachine at = world.controlNodes.get(world.chance.nextInt(3));
+        SimMachine at = world.controlNodes.get(world.random.nextInt(3));
         int status = SimOperator.replace(world, at, order.base(), order.body());
         model.answered(order, status);
         return status;
@@ -266,9 +267,9 @@
         OrdersModel.Order ahead = OrdersModel.Order.replace(changes + 1, changes + 2, 0);
         assertThat("on a base that is not there yet", sendsAgain(world, model, ahead), is(412));
         model.over();
-        assertThat(world.faults, is(empty()));
+        assertThat(world.violations, is(empty()));
         // A digest of six bytes, and one for the step to the next revision.
-        assertThat(OrderMemory.bytes(world.newest), is(7 * remembered));
+        assertThat(RememberedOrders.bytes(world.newestChosen), is(7 * remembered));
     }
 
     @Test
@@ -285,16 +286,16 @@
             base = revision;
         }
         model.over();
-        assertThat(world.faults, is(empty()));
+        assertThat(world.violations, is(empty()));
     }
 
     @Test
     void theModelFindsAMemoryOf64Orders() {
-        SimWorld world = world(1, 3, WrongOrders.FORGETS_AFTER_64::node);
+        SimWorld world = world(1, 3, FaultyOrderHandling.FORGETS_AFTER_64::node);
         OrdersModel model = new OrdersModel(world);
         List<OrdersModel.Order> orders = longDay(world, model, 100);
         sendsAgain(world, model, orders.get(10));
-        assertThat(world.faults, hasItem(containsString(faultOf(WrongOrders.FORGETS_AFTER_64))));
+        assertThat(world.violations, hasItem(containsString(faultOf(FaultyOrderHandling.FORGETS_AFTER_64))));
     }
 
     /** One control node is down, loses its disk, comes back, and gives its place to another machine for good. */
@@ -318,7 +319,9 @@
             SimMachine at = world.controlNodes.get(i % 2);
             int status = SimOperator.replace(world, at, i, SimOperator.config(i + 1, 5));
             assertThat(
-                    "change " + i, status == 200 || SimOperator.insists(world, i, SimOperator.config(i + 1, 5), 9000));
+                    "change " + i,
+                    status == 200
+                            || SimOperator.replaceUntilAcknowledged(world, i, SimOperator.config(i + 1, 5), 9000));
             for (SimMachine each : world.controlNodes) {
                 most = Math.max(most, recordBytes(each));
             }
@@ -329,7 +332,7 @@
                 world.voters(),
                 hasItem(world.controlNodes.get(3).id()));
         assertThat("one text, one state", most, lessThanOrEqualTo(text + 7 * 512 + 1500));
-        assertThat(world.faults, is(empty()));
+        assertThat(world.violations, is(empty()));
     }
 
     private static int recordBytes(SimMachine of) {
--- a/proxy/src/test/java/saltdale/proxy/ContactChecks.java
+++ b/proxy/src/test/java/saltdale/proxy/ContactChecks.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import saltdale.control.ControlNode;
 import saltdale.control.Environment;
-import saltdale.control.OrderMemory;
+import saltdale.control.RememberedOrders;
 import saltdale.control.message.BallotMessage.Chosen;
 import saltdale.control.message.HeartbeatMessage.Heartbeat;
 import saltdale.control.message.Message;
@@ -28,9 +28,9 @@
     }
 
     private static final long APPLY = Environment.millis(3000);
-    private static final long LEASE = SimWorld.BEAT * 5 / 4;
+    private static final long LEASE = SimWorld.HEARTBEAT_NANOS * 5 / 4;
     private static final long ON_THE_WAY = Environment.millis(60); // the longest way of a message, and a little
-    private static final long TICK = SimWorld.BEAT / 6;
+    private static final long TICK = SimWorld.HEARTBEAT_NANOS / 6;
 
     final SimWorld world;
     final ContactModel contact;
@@ -56,9 +56,9 @@
         this.world = world;
         contact = new ContactModel(world);
         acknowledged.put(world.now(), revision);
-        world.afterEach = this::check;
-        SimWorld.Rewriting before = world.rewriting;
-        world.rewriting = (from, to, message) -> {
+        world.afterEachEvent = this::check;
+        SimWorld.MessageRewriter before = world.messageRewriter;
+        world.messageRewriter = (from, to, message) -> {
             Message sent = before.of(from, to, message);
             if (sent != null) {
                 sent(from, sent);
@@ -69,8 +69,8 @@
 
     private void fault(String what) {
         // The first of each kind tells enough.
-        if (world.faults.size() < 5) {
-            world.faults.add(world.now() / 1_000_000 - 1_000_000 + " ms: " + what);
+        if (world.violations.size() < 5) {
+            world.violations.add(world.now() / 1_000_000 - 1_000_000 + " ms: " + what);
         }
     }
 
@@ -154,7 +154,7 @@
     // The operator: one change at a time, sent again until there is a clear answer.
 
     void begin() {
-        send(revision, revision + 1 + world.chance.nextInt(3));
+        send(revision, revision + 1 + world.random.nextInt(3));
         look();
     }
 
@@ -166,14 +166,14 @@
         if (over) {
             return;
         }
-        SimMachine at = world.controlNodes.get(world.chance.nextInt(world.controlNodes.size()));
+        SimMachine at = world.controlNodes.get(world.random.nextInt(world.controlNodes.size()));
         boolean[] done = new boolean[1];
         if (at.process != null) {
             byte[] body = SimOperator.config(next, 1).getBytes(StandardCharsets.UTF_8);
             at.process.deliver(() -> at.controlNode()
                     .change(false, Long.toString(base), body, reply -> answered(at, base, next, reply, done)));
         }
-        world.at(Environment.millis(1000), () -> {
+        world.schedule(Environment.millis(1000), () -> {
             if (!done[0]) {
                 done[0] = true;
                 send(base, next);
@@ -184,8 +184,8 @@
     /** Who wakes may find the proof that the order was chosen among what has come meanwhile. */
     private boolean isProven(int status, long base, long next) {
         return status == 200
-                && world.newest != null
-                && OrderMemory.holds(world.newest, false, base, SimOperator.config(next, 1));
+                && world.newestChosen != null
+                && RememberedOrders.holds(world.newestChosen, false, base, SimOperator.config(next, 1));
     }
 
     private void answered(SimMachine at, long base, long next, ControlNode.Reply reply, boolean[] done) {
@@ -202,9 +202,9 @@
         if (!done[0]) {
             done[0] = true;
             boolean taken = reply.status() == 200;
-            world.at(
-                    Environment.millis(100 + world.chance.nextInt(600)),
-                    () -> send(taken ? next : base, taken ? next + 1 + world.chance.nextInt(3) : next));
+            world.schedule(
+                    Environment.millis(100 + world.random.nextInt(600)),
+                    () -> send(taken ? next : base, taken ? next + 1 + world.random.nextInt(3) : next));
         }
     }
 
@@ -212,7 +212,7 @@
         if (over) {
             return;
         }
-        SimMachine at = world.controlNodes.get(world.chance.nextInt(world.controlNodes.size()));
+        SimMachine at = world.controlNodes.get(world.random.nextInt(world.controlNodes.size()));
         long least = acknowledged.lastEntry().getValue();
         if (at.process != null) {
             at.process.deliver(() -> reading.read(at, reply -> {
@@ -222,10 +222,10 @@
                 }
             }));
         }
-        world.at(TICK, this::look);
+        world.schedule(TICK, this::look);
     }
 
     List<String> faults() {
-        return world.faults;
+        return world.violations;
     }
 }
--- a/proxy/src/test/java/saltdale/proxy/ContactModel.java
+++ b/proxy/src/test/java/saltdale/proxy/ContactModel.java
@@ -27,7 +27,7 @@
 
     /** Takes note of how the machines are; to be called after each event. Returns whether anything changed. */
     boolean observe() {
-        int now = Objects.hash(stateOf(world.controlNodes), stateOf(world.proxies), world.cuts);
+        int now = Objects.hash(stateOf(world.controlNodes), stateOf(world.proxies), world.cutLinks);
         boolean changed = now != seen;
         if (changed) {
             seen = now;
@@ -41,7 +41,7 @@
     /** Whether the disk of a control node is in trouble: the core is not settled then. */
     private boolean hasSlowDisk() {
         return world.controlNodes.stream()
-                .anyMatch(each -> each.disk != SimMachine.Disk.WELL || each.syncNanos > SimMachine.USUAL_SYNC);
+                .anyMatch(each -> each.disk != SimMachine.Disk.WELL || each.syncNanos > SimMachine.NORMAL_SYNC_NANOS);
     }
 
     private void changed() {
@@ -71,24 +71,24 @@
                     + Objects.hash(
                             System.identityHashCode(one.process),
                             one.frozen,
-                            one.timeOfDayStep,
-                            world.stalled.contains(one.host));
+                            one.wallClockOffsetNanos,
+                            world.stalledHosts.contains(one.host));
         }
         return all;
     }
 
     private List<Boolean> coreCuts() {
         return world.controlNodes.stream()
-                .flatMap(a -> world.controlNodes.stream().map(b -> world.cuts.contains(a.host + ">" + b.host)))
+                .flatMap(a -> world.controlNodes.stream().map(b -> world.cutLinks.contains(a.host + ">" + b.host)))
                 .toList();
     }
 
     private boolean runs(SimMachine machine) {
-        return machine.process != null && !machine.frozen && !world.stalled.contains(machine.host);
+        return machine.process != null && !machine.frozen && !world.stalledHosts.contains(machine.host);
     }
 
     private boolean joined(SimMachine a, SimMachine b) {
-        return !world.cuts.contains(a.host + ">" + b.host) && !world.cuts.contains(b.host + ">" + a.host);
+        return !world.cutLinks.contains(a.host + ">" + b.host) && !world.cutLinks.contains(b.host + ">" + a.host);
     }
 
     /** Whether this control node reaches more than half of the core, itself included, in both directions. */
--- a/proxy/src/test/java/saltdale/proxy/ControlNodeReplacementTest.java
+++ b/proxy/src/test/java/saltdale/proxy/ControlNodeReplacementTest.java
@@ -8,8 +8,8 @@
 import static org.hamcrest.Matchers.lessThan;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static saltdale.proxy.SimOperator.config;
-import static saltdale.proxy.SimOperator.insists;
-import static saltdale.proxy.SimOperator.serving;
+import static saltdale.proxy.SimOperator.replaceUntilAcknowledged;
+import static saltdale.proxy.SimOperator.servingCluster;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -44,7 +44,7 @@
             next.start();
             world.run(1500);
             old.terminate(GRACE, () -> remove(world, old));
-            world.until(GRACE + 100, () -> !world.controlNodes.contains(old));
+            world.runUntil(GRACE + 100, () -> !world.controlNodes.contains(old));
         }
     }
 
@@ -57,16 +57,16 @@
     void proxiesInTouchHaveTheNewestWhileControlNodesAreReplaced() {
         List<String> faults = new ArrayList<>();
         for (int seed = 0; seed < 8; seed++) {
-            SimWorld world = serving(seed, seed % 4 == 3 ? 5 : 3, 4);
+            SimWorld world = servingCluster(seed, seed % 4 == 3 ? 5 : 3, 4);
             ContactChecks checks = new ContactChecks(world);
             checks.begin();
             for (int round = 0; round < ROUNDS; round++) {
                 replaceOldest(world, round);
-                world.run(4500 + world.chance.nextInt(3000));
+                world.run(4500 + world.random.nextInt(3000));
             }
             checks.end();
             assertThat(checks.acknowledged.lastEntry().getValue(), greaterThan(50L));
-            for (String fault : world.faults) {
+            for (String fault : world.violations) {
                 faults.add("seed " + seed + ", " + fault);
             }
         }
@@ -77,7 +77,7 @@
     @Test
     void whoWasCutOffWhileAllWereReplacedFindsItsWayBack() {
         for (int seed = 0; seed < 6; seed++) {
-            SimWorld world = serving(seed, 3, 4);
+            SimWorld world = servingCluster(seed, 3, 4);
             SimMachine proxy = world.proxies.get(seed % 4);
             long revision = 1;
             for (int round = 0; round < 3; round++) {
@@ -85,19 +85,19 @@
                 replaceOldest(world, round);
                 world.controlNodes.forEach(each -> world.cut(each, proxy));
                 world.run(6000);
-                assertTrue(insists(world, revision, config(++revision), 5000));
+                assertTrue(replaceUntilAcknowledged(world, revision, config(++revision), 5000));
             }
             assertThat(proxy.proxy().revision(), is(1L));
-            world.cuts.clear();
+            world.cutLinks.clear();
             long newest = revision;
-            assertTrue(world.until(4000, () -> proxy.proxy().revision() == newest), "seed " + seed);
+            assertTrue(world.runUntil(4000, () -> proxy.proxy().revision() == newest), "seed " + seed);
         }
     }
 
     /** The same with no other proxy to ask: the settings, read again, name control nodes that are there. */
     @Test
     void whoHasNobodyToAskFindsItsWayBackByItsSettings() {
-        SimWorld world = serving(1, 3, 1);
+        SimWorld world = servingCluster(1, 3, 1);
         SimMachine proxy = world.proxies.get(0);
         for (int round = 0; round < 3; round++) {
             world.controlNodes.forEach(each -> world.cut(each, proxy));
@@ -105,24 +105,24 @@
             world.controlNodes.forEach(each -> world.cut(each, proxy));
             world.run(6000);
         }
-        world.cuts.clear();
-        assertTrue(insists(world, 1, config(2), 5000));
+        world.cutLinks.clear();
+        assertTrue(replaceUntilAcknowledged(world, 1, config(2), 5000));
         world.run(5000);
         assertThat("knows nobody", proxy.proxy().revision(), is(1L));
         proxy.proxy().seeds(world.controlNodes.stream().map(each -> each.host).toList());
-        assertTrue(world.until(1000, () -> proxy.proxy().revision() == 2));
+        assertTrue(world.runUntil(1000, () -> proxy.proxy().revision() == 2));
     }
 
     /** The only control node there is ends as planned and begins anew: its proxies do not wait for another one. */
     @Test
     void whoHasOneControlNodeGoesOnWithItAfterItsRestart() {
-        SimWorld world = serving(3, 1, 2);
+        SimWorld world = servingCluster(3, 1, 2);
         SimMachine only = world.controlNodes.get(0);
         only.terminate(GRACE, () -> {});
-        world.until(GRACE + 100, () -> only.process == null);
+        world.runUntil(GRACE + 100, () -> only.process == null);
         only.start();
-        assertTrue(insists(world, 1, config(2), 5000));
-        assertTrue(world.until(
+        assertTrue(replaceUntilAcknowledged(world, 1, config(2), 5000));
+        assertTrue(world.runUntil(
                 3000, () -> world.proxies.stream().allMatch(p -> p.proxy().revision() == 2)));
         long probes = probes(world);
         world.run(3000);
@@ -137,10 +137,10 @@
 
     /** How old the configuration of a proxy may become while its control node is lost in this way, in milliseconds. */
     private static long oldest(int seed, Consumer<SimMachine> loss) {
-        SimWorld world = serving(seed, 3, 4);
+        SimWorld world = servingCluster(seed, 3, 4);
         world.run(1000);
         long[] most = new long[1];
-        world.afterEach = () -> world.proxies.forEach(
+        world.afterEachEvent = () -> world.proxies.forEach(
                 each -> most[0] = Math.max(most[0], each.proxy().configurationAge() / 1_000_000));
         loss.accept(world.controlNodes.get(seed % 3));
         world.run(6000);
@@ -159,18 +159,18 @@
     @Test
     void whoCannotKnowWhatIsInForceDeniesNoRoute() {
         for (int seed = 0; seed < 4; seed++) {
-            SimWorld world = serving(seed, 3, 4);
+            SimWorld world = servingCluster(seed, 3, 4);
             SimMachine proxy = world.proxies.get(0);
             assertThat(world.platform.call(proxy, "h.example", "/x0/1", 3000).answers, contains(404));
             world.controlNodes.forEach(each -> world.cut(each, proxy));
-            assertTrue(insists(world, 1, config(2, 1), 5000)); // adds the route
+            assertTrue(replaceUntilAcknowledged(world, 1, config(2, 1), 5000)); // adds the route
             world.run(4000);
             SimPlatform.OutgoingCall asked = world.platform.call(proxy, "h.example", "/x0/1", 3000);
             assertThat("seed " + seed, asked.answers, contains(503));
-            world.cuts.clear();
+            world.cutLinks.clear();
             world.run(2000);
             SimPlatform.OutgoingCall again = world.platform.call(proxy, "h.example", "/x0/1", 3000);
-            assertTrue(world.until(3000, () -> !again.answers.isEmpty()));
+            assertTrue(world.runUntil(3000, () -> !again.answers.isEmpty()));
             assertThat("seed " + seed, again.answers, contains(200));
         }
     }
--- a/proxy/src/test/java/saltdale/proxy/ControlNodeSearchTest.java
+++ b/proxy/src/test/java/saltdale/proxy/ControlNodeSearchTest.java
@@ -28,7 +28,7 @@
             new ControlNodeSearch(world.proxy("10.1.0.1", "z-a").new Process(), directory, () -> List.of("fellow"));
 
     ControlNodeSearchTest() {
-        world.wire = (from, to, message) -> {
+        world.sendObserver = (from, to, message) -> {
             asked.add(to);
             numbers.add(((ContactProbe) message).number());
         };
--- a/proxy/src/test/java/saltdale/proxy/CutOffTest.java
+++ b/proxy/src/test/java/saltdale/proxy/CutOffTest.java
@@ -7,8 +7,8 @@
 import static org.hamcrest.Matchers.not;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static saltdale.proxy.SimOperator.config;
-import static saltdale.proxy.SimOperator.insists;
-import static saltdale.proxy.SimOperator.serving;
+import static saltdale.proxy.SimOperator.replaceUntilAcknowledged;
+import static saltdale.proxy.SimOperator.servingCluster;
 
 import java.io.IOException;
 import java.nio.file.Files;
@@ -65,7 +65,7 @@
         Run(SimWorld world, int controlNodes, WrongVariant variant) {
             this.world = world;
             this.variant = variant;
-            serving(world, controlNodes, 4);
+            servingCluster(world, controlNodes, 4);
             checks = new ContactChecks(world);
         }
 
@@ -84,8 +84,8 @@
             switch (cut) {
                 case STANDSTILL -> off.freeze();
                 case ANSWERS_LATE -> {
-                    world.stalled.add(off.host);
-                    world.at(world.chance.nextInt(1000) * 1_000_000L, off::freeze);
+                    world.stalledHosts.add(off.host);
+                    world.schedule(world.random.nextInt(1000) * 1_000_000L, off::freeze);
                 }
                 case REPLACED -> {
                     SimMachine next = world.controlNode("10.0.0.9", List.of(off.host, "10.0.0.1", "10.0.0.2"), false);
@@ -93,17 +93,18 @@
                     next.start();
                 }
                 case CLOCK_STEP ->
-                    world.at(world.chance.nextInt(1200) * 1_000_000L, () -> off.timeOfDayStep -= 30_000_000_000L);
+                    world.schedule(
+                            world.random.nextInt(1200) * 1_000_000L, () -> off.wallClockOffsetNanos -= 30_000_000_000L);
                 default -> {}
             }
         }
 
         private void heal(SimMachine off) {
-            world.cuts.clear();
+            world.cutLinks.clear();
             if (off.frozen) {
                 off.thaw();
             }
-            world.release();
+            world.releaseStalled();
         }
 
         /** One schedule: cut off, a proxy begins anew meanwhile, and back; often right as it acknowledges a change. */
@@ -111,26 +112,26 @@
             applyVariant();
             checks.begin();
             world.run(800);
-            SimMachine off = world.controlNodes.get(world.chance.nextInt(3));
+            SimMachine off = world.controlNodes.get(world.random.nextInt(3));
             boolean[] isOff = new boolean[1];
-            if (world.chance.nextBoolean()) {
+            if (world.random.nextBoolean()) {
                 checks.onAcknowledgement = at -> {
                     if (at == off && !isOff[0]) {
                         isOff[0] = true;
                         cut(off, cut);
                     }
                 };
-                world.until(8000, () -> isOff[0]);
+                world.runUntil(8000, () -> isOff[0]);
             }
             if (!isOff[0]) {
                 isOff[0] = true;
                 cut(off, cut);
             }
-            world.run(3000 + world.chance.nextInt(9000));
-            SimMachine fresh = world.proxies.get(world.chance.nextInt(4));
+            world.run(3000 + world.random.nextInt(9000));
+            SimMachine fresh = world.proxies.get(world.random.nextInt(4));
             fresh.kill();
             fresh.start();
-            world.run(20_000 - world.chance.nextInt(9000));
+            world.run(20_000 - world.random.nextInt(9000));
             heal(off);
             world.run(7000);
             checks.end();
@@ -138,7 +139,7 @@
             long newest = checks.acknowledged.lastEntry().getValue();
             assertThat(newest, greaterThan(20L));
             assertThat(checks.stepsInTouch, greaterThan(1000));
-            return world.faults;
+            return world.violations;
         }
 
         private void applyVariant() {
@@ -151,10 +152,10 @@
                     answer.accept(last.getOrDefault(at, reply));
                 });
             } else if (variant == WrongVariant.LEASE_BY_TIME_OF_DAY) {
-                world.machines.values().forEach(machine -> machine.leasesByTimeOfDay = true);
+                world.machines.values().forEach(machine -> machine.leasesByWallClock = true);
             } else if (variant == WrongVariant.KEEPS_DUTY_WITHOUT_QUORUM) {
                 Map<String, PeerIdentity> identities = new HashMap<>();
-                world.spy = message -> {
+                world.messageObserver = message -> {
                     if (message instanceof Heartbeat heartbeat) {
                         identities.put(heartbeat.from().host(), heartbeat.from());
                         world.controlNodes.stream()
@@ -195,15 +196,15 @@
     @Test
     void whatOnlyTheOneCutOffKnewToBeChosenIsFoundOut() {
         for (int seed = 0; seed < 12; seed++) {
-            SimWorld world = serving(seed, seed % 2 == 0 ? 3 : 5, 4);
+            SimWorld world = servingCluster(seed, seed % 2 == 0 ? 3 : 5, 4);
             SimMachine by = world.controlNodes.get(seed % 3);
             int[] status = new int[1];
             SimOperator.replace(by, 1, config(2), reply -> {
                 status[0] = reply.status();
                 world.isolate(by); // what it has just sent is lost as well
             });
-            assertTrue(world.until(2000, () -> status[0] == 200));
-            boolean known = world.until(
+            assertTrue(world.runUntil(2000, () -> status[0] == 200));
+            boolean known = world.runUntil(
                     3000,
                     () -> world.proxies.stream()
                             .allMatch(p -> p.proxy().configuration().revision() == 2));
@@ -215,23 +216,24 @@
      * One of three is replaced while it is cut off; then one more is cut off with it that has accepted the new voters
      * and has not heard that they were chosen. The two are a majority of the voters that they know, and of no others.
      */
-    private static SimWorld cutOffWithTheVotersThatWere(int seed, SimWorld.Rewriting rewriting) {
-        SimWorld world = serving(seed, 3, 4);
+    private static SimWorld cutOffWithTheVotersThatWere(int seed, SimWorld.MessageRewriter rewriting) {
+        SimWorld world = servingCluster(seed, 3, 4);
         SimMachine old = world.controlNodes.get(0);
         SimMachine second = world.controlNodes.get(1);
         SimMachine third = world.controlNodes.get(2);
         world.isolate(old);
         SimMachine next = world.controlNode("10.0.0.9", List.of(second.host, third.host), false);
         world.cut(old, next);
-        world.rewriting = (from, to, message) -> to.equals(second.host)
+        world.messageRewriter = (from, to, message) -> to.equals(second.host)
                         && message instanceof Chosen news
                         && news.state().voters().stream()
                                 .anyMatch(voter -> voter.host().equals(next.host))
                 ? null
                 : rewriting.of(from, to, message);
         next.start();
-        assertTrue(world.until(12_000, () -> world.voters().contains(next.id()) && !world.isJoint()), "seed " + seed);
-        world.cuts.clear();
+        assertTrue(
+                world.runUntil(12_000, () -> world.voters().contains(next.id()) && !world.isJoint()), "seed " + seed);
+        world.cutLinks.clear();
         for (SimMachine one : List.of(old, second)) {
             world.cut(one, third);
             world.cut(one, next);
@@ -252,14 +254,14 @@
         for (int seed = 0; seed < 8; seed++) {
             SimWorld world = cutOffWithTheVotersThatWere(seed, (from, to, message) -> message);
             assertThat("seed " + seed, believers(world), is(0L));
-            boolean settled = insists(world, 1, config(2), 4000);
+            boolean settled = replaceUntilAcknowledged(world, 1, config(2), 4000);
             counted += settled ? 1 : 0;
-            boolean known = world.until(
+            boolean known = world.runUntil(
                     3000,
                     () -> world.proxies.stream()
                             .allMatch(p -> p.proxy().configuration().revision() == 2));
             assertThat("seed " + seed, known, is(settled));
-            assertThat(world.faults, is(empty()));
+            assertThat(world.violations, is(empty()));
         }
         assertThat(counted, greaterThan(4));
     }
--- a/proxy/src/test/java/saltdale/proxy/DiskTest.java
+++ b/proxy/src/test/java/saltdale/proxy/DiskTest.java
@@ -7,9 +7,9 @@
 import static org.hamcrest.Matchers.lessThan;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static saltdale.proxy.SimOperator.config;
-import static saltdale.proxy.SimOperator.insists;
 import static saltdale.proxy.SimOperator.read;
 import static saltdale.proxy.SimOperator.replace;
+import static saltdale.proxy.SimOperator.replaceUntilAcknowledged;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -26,9 +26,9 @@
     @EnumSource(SimMachine.Disk.class)
     void oneBadDiskHoldsNobodyUp(SimMachine.Disk disk) {
         for (int seed = 0; seed < 10; seed++) {
-            SimWorld world = new SimWorld(seed).of(3, 0).begin();
+            SimWorld world = new SimWorld(seed).withNodes(3, 0).startAll();
             world.run(2500);
-            assertTrue(insists(world, 0, config(1), 5000));
+            assertTrue(replaceUntilAcknowledged(world, 0, config(1), 5000));
             SimMachine bad = world.controlNodes.get(seed % 3);
             bad.disk = disk;
             bad.syncNanos = 2_000_000_000L; // slow, where it is neither full nor hanging
@@ -38,13 +38,13 @@
                 assertThat("the others answer for it", (world.now() - begun) / 1_000_000, lessThan(1000L));
             }
             bad.powerOff();
-            bad.heals();
+            bad.repairDisk();
             bad.syncNanos = 3_000_000;
             bad.start();
             world.controlNodes.get((seed + 1) % 3).powerOff();
             world.run(3000);
             assertThat(read(world, bad), containsString("\"revision\":5"));
-            assertThat(world.faults, is(empty()));
+            assertThat(world.violations, is(empty()));
         }
     }
 
@@ -52,24 +52,24 @@
     @Test
     void aVoteOnDiskIsNeverWithoutItsIdentity() {
         for (int seed = 0; seed < 20; seed++) {
-            SimWorld world = new SimWorld(seed).of(3, 0).begin();
+            SimWorld world = new SimWorld(seed).withNodes(3, 0).startAll();
             world.run(2500);
-            assertTrue(insists(world, 0, config(1), 5000));
+            assertTrue(replaceUntilAcknowledged(world, 0, config(1), 5000));
             SimMachine wiped = world.controlNodes.get(seed % 3);
             wiped.wipe();
             wiped.disk = SimMachine.Disk.FULL;
             wiped.start();
-            world.run(500 + world.chance.nextInt(3000));
-            wiped.heals();
-            assertTrue(insists(world, 1, config(2), 5000));
-            assertTrue(world.until(5000, () -> wiped.synced.containsKey("acceptor")), "it votes");
+            world.run(500 + world.random.nextInt(3000));
+            wiped.repairDisk();
+            assertTrue(replaceUntilAcknowledged(world, 1, config(2), 5000));
+            assertTrue(world.runUntil(5000, () -> wiped.synced.containsKey("acceptor")), "it votes");
             assertTrue(wiped.synced.containsKey("identity"), "seed " + seed);
             wiped.powerOff();
             String before = wiped.id();
             wiped.start();
             world.run(5000);
             assertThat("seed " + seed, wiped.id(), is(before));
-            assertThat(world.faults, is(empty()));
+            assertThat(world.violations, is(empty()));
         }
     }
 
@@ -77,18 +77,18 @@
     @Test
     void whoVotedKnowsTheFirstVoters() {
         for (int seed = 0; seed < 20; seed++) {
-            SimWorld world = new SimWorld(seed).of(3, 0);
+            SimWorld world = new SimWorld(seed).withNodes(3, 0);
             world.controlNodes.forEach(controlNode -> controlNode.disk = SimMachine.Disk.FULL);
-            world.begin().run(1000 + world.chance.nextInt(1000));
-            world.controlNodes.forEach(SimMachine::heals);
+            world.startAll().run(1000 + world.random.nextInt(1000));
+            world.controlNodes.forEach(SimMachine::repairDisk);
             int votes = 1 + seed % 3;
-            assertTrue(world.until(5000, () -> votedOnDisk(world) >= votes), "seed " + seed);
+            assertTrue(world.runUntil(5000, () -> votedOnDisk(world) >= votes), "seed " + seed);
             world.controlNodes.forEach(SimMachine::powerOff);
             world.run(500);
             world.controlNodes.forEach(SimMachine::start);
             world.run(2500);
-            assertTrue(insists(world, 0, config(1), 5000), "seed " + seed);
-            assertThat("seed " + seed, world.faults, is(empty()));
+            assertTrue(replaceUntilAcknowledged(world, 0, config(1), 5000), "seed " + seed);
+            assertThat("seed " + seed, world.violations, is(empty()));
         }
     }
 
@@ -101,7 +101,7 @@
     /** Two proposers put different texts forward in turn, faster than the disk syncs. */
     @Test
     void aTextThatIsPutAgainBeforeTheDiskIsDoneIsThereAfterALossOfPower() throws Exception {
-        SimWorld world = new SimWorld(1).of(3, 0).begin();
+        SimWorld world = new SimWorld(1).withNodes(3, 0).startAll();
         world.run(2500);
         SimMachine controlNode = world.controlNodes.get(0);
         List<Voter> voters = world.controlNodes.stream()
@@ -118,7 +118,7 @@
         world.run(1000);
         controlNode.powerOff();
         controlNode.start();
-        assertThat(world.faults, is(empty()));
+        assertThat(world.violations, is(empty()));
     }
 
     private static void accept(SimMachine controlNode, long round, ReplicatedState state, String text)
--- a/proxy/src/test/java/saltdale/proxy/DutyTest.java
+++ b/proxy/src/test/java/saltdale/proxy/DutyTest.java
@@ -9,9 +9,9 @@
 import static org.hamcrest.Matchers.not;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static saltdale.proxy.SimOperator.config;
-import static saltdale.proxy.SimOperator.insists;
 import static saltdale.proxy.SimOperator.load;
-import static saltdale.proxy.SimOperator.serving;
+import static saltdale.proxy.SimOperator.replaceUntilAcknowledged;
+import static saltdale.proxy.SimOperator.servingCluster;
 
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -26,7 +26,7 @@
 class DutyTest {
     /** The machine of the control node that holds the duty, as the newest chosen state says. */
     static SimMachine holder(SimWorld world) {
-        String name = world.newest.duty("starting").name();
+        String name = world.newestChosen.duty("starting").name();
         return world.controlNodes.stream()
                 .filter(k -> ("n-" + k.host).equals(name))
                 .findAny()
@@ -34,7 +34,7 @@
     }
 
     static long fence(SimWorld world) {
-        return world.newest.duty("starting").fence();
+        return world.newestChosen.duty("starting").fence();
     }
 
     private static List<SimPlatform.Duty> stale(SimWorld world) {
@@ -45,13 +45,13 @@
     void aFrozenHolderDoesNothingUntilItKnowsThatItStillHolds() {
         int changes = 0;
         for (int seed = 0; seed < 7; seed++) {
-            SimWorld world = serving(seed, 3, 3);
+            SimWorld world = servingCluster(seed, 3, 3);
             load(world, 15, 12_000);
-            world.run(500 + world.chance.nextInt(1500));
+            world.run(500 + world.random.nextInt(1500));
             SimMachine frozen = holder(world);
             long before = fence(world);
             frozen.freeze();
-            world.run(300 + world.chance.nextInt(5000));
+            world.run(300 + world.random.nextInt(5000));
             changes += fence(world) > before ? 1 : 0;
             frozen.thaw();
             world.run(3000);
@@ -62,7 +62,7 @@
             next.thaw();
             world.run(2000);
             assertThat("seed " + seed, stale(world), is(empty()));
-            assertThat("seed " + seed, world.faults, is(empty()));
+            assertThat("seed " + seed, world.violations, is(empty()));
         }
         assertThat("in most of them another took over", changes, greaterThan(2));
     }
@@ -70,13 +70,13 @@
     @Test
     void fencesOnlyGrowAndNoTwoHoldersPassWithOne() {
         for (int seed = 0; seed < 7; seed++) {
-            SimWorld world = serving(seed, 3, 3);
-            world.platform.losesAnswers = 0.1;
+            SimWorld world = servingCluster(seed, 3, 3);
+            world.platform.lostResponseProbability = 0.1;
             load(world, 40, 14_000);
             long highest = 0;
             for (int i = 0; i < 6; i++) {
                 SimMachine holder = holder(world);
-                switch (world.chance.nextInt(5)) {
+                switch (world.random.nextInt(5)) {
                     case 0 -> holder.kill();
                     case 1 -> holder.freeze();
                     case 2 -> world.isolate(holder);
@@ -84,13 +84,13 @@
                     default ->
                         world.cutOneWay(holder, world.controlNodes.get((world.controlNodes.indexOf(holder) + 1) % 3));
                 }
-                world.run(world.chance.nextInt(4000));
-                world.cuts.clear();
+                world.run(world.random.nextInt(4000));
+                world.cutLinks.clear();
                 if (holder.frozen) {
                     holder.thaw();
                 }
                 holder.start();
-                world.run(world.chance.nextInt(1500));
+                world.run(world.random.nextInt(1500));
                 assertThat(fence(world), greaterThanOrEqualTo(highest));
                 highest = fence(world);
             }
@@ -99,18 +99,18 @@
                 assertThat(duty.status() == 403 || duty.fence() >= passed, is(true));
                 passed = Math.max(passed, duty.status() == 403 ? 0 : duty.fence());
             }
-            assertThat("seed " + seed, world.faults, is(empty()));
+            assertThat("seed " + seed, world.violations, is(empty()));
         }
     }
 
     @Test
     void whoTakesOverLearnsWhatWasBegun() {
         for (int seed = 0; seed < 8; seed++) {
-            SimWorld world = serving(seed, 3, 3);
+            SimWorld world = servingCluster(seed, 3, 3);
             world.platform.bootMs = 6000; // it is not in the list before another has taken over
             SimMachine holder = holder(world);
             world.platform.call(world.proxies.get(0), "h.example", "/a/1", 20_000);
-            assertTrue(world.until(1000, () -> !world.platform.instances.isEmpty()));
+            assertTrue(world.runUntil(1000, () -> !world.platform.instances.isEmpty()));
             holder.powerOff();
             world.run(5000);
             assertThat(holder(world), is(not(holder)));
@@ -133,9 +133,9 @@
     void thePlatformsRatesAreKept(double lists, double duties, int slots, double perSecond) {
         SimWorld world = new SimWorld(7);
         world.rates = new Platform.Rates(lists, duties, List.of("starting"));
-        serving(world, 3, 6);
+        servingCluster(world, 3, 6);
         world.platform.slots.put("fn", slots);
-        assertTrue(insists(
+        assertTrue(replaceUntilAcknowledged(
                 world,
                 1,
                 config(2)
@@ -146,15 +146,15 @@
         world.platform.workMs = 600;
         load(world, perSecond, 12_000);
         world.run(5000);
-        int most = world.platform.live("fn").size();
+        int most = world.platform.liveInstances("fn").size();
         holder(world).kill();
         world.run(4000);
         world.controlNodes.forEach(SimMachine::start);
         world.run(3000);
-        world.platform.losesAnswers = 0.3;
+        world.platform.lostResponseProbability = 0.3;
         world.run(5000);
         assertThat(most, greaterThan(2));
-        assertThat(world.platform.overRate, is(empty()));
+        assertThat(world.platform.rateViolations, is(empty()));
     }
 
     /** Workers without room: starts are refused, and that is no reason to ask more often than allowed. */
@@ -162,11 +162,11 @@
     void thePlatformsRatesAreKeptWhereItHasNoRoom() {
         SimWorld world = new SimWorld(8);
         world.rates = new Platform.Rates(6, 10, List.of("starting"));
-        serving(world, 3, 3);
+        servingCluster(world, 3, 3);
         world.platform.workers.values().forEach(w -> w.draining = true);
         load(world, 100, 8000);
         world.run(9000);
         assertThat(world.platform.duties.size(), greaterThan(0));
-        assertThat(world.platform.overRate, is(empty()));
+        assertThat(world.platform.rateViolations, is(empty()));
     }
 }
--- a/proxy/src/test/java/saltdale/proxy/InputTest.java
+++ b/proxy/src/test/java/saltdale/proxy/InputTest.java
@@ -9,11 +9,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static saltdale.proxy.SimOperator.change;
 import static saltdale.proxy.SimOperator.config;
-import static saltdale.proxy.SimOperator.insists;
 import static saltdale.proxy.SimOperator.read;
 import static saltdale.proxy.SimOperator.replace;
+import static saltdale.proxy.SimOperator.replaceUntilAcknowledged;
 import static saltdale.proxy.SimOperator.route;
-import static saltdale.proxy.SimOperator.serving;
+import static saltdale.proxy.SimOperator.servingCluster;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -106,9 +106,9 @@
 
     @Test
     void aBadConfigurationIsRefusedAndChangesNothing() {
-        SimWorld world = new SimWorld(1).of(3, 0).begin();
+        SimWorld world = new SimWorld(1).withNodes(3, 0).startAll();
         world.run(2500);
-        assertTrue(insists(world, 0, config(1), 5000));
+        assertTrue(replaceUntilAcknowledged(world, 0, config(1), 5000));
         SimMachine at = world.controlNodes.get(1);
         String before = read(world, at);
         badReplacements().forEach(body -> assertThat(brief(body), change(world, at, false, "1", body), is(400)));
@@ -117,7 +117,7 @@
             assertThat("based on " + base, change(world, at, false, base, config(2)), is(400));
         }
         assertThat(read(world, at), is(before));
-        assertThat(world.newest.revision(), is(1L));
+        assertThat(world.newestChosen.revision(), is(1L));
         assertThat(
                 change(
                         world,
@@ -133,11 +133,11 @@
 
     @Test
     void whatIsReadBackIsWhatWasSent() throws Exception {
-        SimWorld world = new SimWorld(4).of(3, 0).begin();
+        SimWorld world = new SimWorld(4).withNodes(3, 0).startAll();
         world.run(2500);
         String sent = config(1, 5)
                 .replace("\"priority\":1", "\"priority\":1,\"more\":[null,1.25,-7,true,{\"\u00e9\":\"\u20ac\"}]");
-        assertTrue(insists(world, 0, sent, 5000));
+        assertTrue(replaceUntilAcknowledged(world, 0, sent, 5000));
         assertThat(
                 Trees.fromJson(read(world, world.controlNodes.get(2)).getBytes(StandardCharsets.UTF_8)),
                 is(Trees.fromJson(sent.getBytes(StandardCharsets.UTF_8))));
@@ -152,13 +152,13 @@
     void malformedMessagesChangeNothing() throws Exception {
         SimWorld world = new SimWorld(2);
         Map<MessageKind, List<Message>> seen = new EnumMap<>(MessageKind.class);
-        world.spy = m -> {
+        world.messageObserver = m -> {
             List<Message> kind = seen.computeIfAbsent(m.kind(), k -> new ArrayList<>());
             if (kind.size() < 3) {
                 kind.add(m);
             }
         };
-        serving(world, 3, 4);
+        servingCluster(world, 3, 4);
         SimOperator.load(world, 20, 4000);
         world.run(3000);
         world.proxies.get(0).powerOff();
@@ -167,7 +167,7 @@
         world.controlNodes.get(0).kill();
         world.controlNodes.get(0).start();
         world.run(4000);
-        world.spy = m -> {};
+        world.messageObserver = m -> {};
         String before = read(world, world.controlNodes.get(0));
         List<String> voters = world.voters();
         int sent = 0;
@@ -192,7 +192,7 @@
         SimPlatform.OutgoingCall asked = world.platform.call(world.proxies.get(1), "h.example", "/a/1", 3000);
         world.run(3000);
         assertThat(asked.answers, is(List.of(200)));
-        assertThat(world.faults, is(empty()));
+        assertThat(world.violations, is(empty()));
     }
 
     private static void send(SimMachine to, Object tree) {
@@ -240,9 +240,9 @@
     /** A renewal that cannot be read to its end makes nobody a member. */
     @Test
     void aMalformedRenewalMakesNoMember() throws Exception {
-        SimWorld world = serving(3, 3, 2);
+        SimWorld world = servingCluster(3, 3, 2);
         List<Member> told = new ArrayList<>();
-        world.spy = m -> {
+        world.messageObserver = m -> {
             if (m instanceof MembersChange news) {
                 told.addAll(news.changed());
             }
--- a/proxy/src/test/java/saltdale/proxy/InvariantsTest.java
+++ b/proxy/src/test/java/saltdale/proxy/InvariantsTest.java
@@ -7,15 +7,15 @@
 import static org.hamcrest.Matchers.is;
 import static saltdale.proxy.SimOperator.config;
 import static saltdale.proxy.SimOperator.replace;
-import static saltdale.proxy.SimOperator.serving;
+import static saltdale.proxy.SimOperator.servingCluster;
 
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 import saltdale.control.Counters;
+import saltdale.control.FaultyOrderHandling;
 import saltdale.control.Invariant;
 import saltdale.control.MalformedMessage;
 import saltdale.control.ReplicatedState;
-import saltdale.control.WrongOrders;
 import saltdale.control.message.BallotMessage.Chosen;
 
 /** The invariants that the code itself checks see wrong variants, and count what they see. */
@@ -24,25 +24,25 @@
         Counters counters = at.process.counters();
         assertThat(counters.violations(invariant), greaterThan(0L));
         assertThat(counters.text(), containsString(invariant.label() + " " + counters.violations(invariant)));
-        assertThat(world.faults.toString(), containsString(invariant.name()));
+        assertThat(world.violations.toString(), containsString(invariant.name()));
     }
 
     @Test
     void anAcknowledgementBeforeTheChoiceIsSeen() {
-        SimWorld world = serving(1, 3, 2);
+        SimWorld world = servingCluster(1, 3, 2);
         SimMachine at = world.controlNodes.get(0);
         at.kill();
-        world.controlNodeFactory = WrongOrders.ACKNOWLEDGES_BEFORE_CHOSEN::node;
+        world.controlNodeFactory = FaultyOrderHandling.ACKNOWLEDGES_BEFORE_CHOSEN::node;
         at.start();
         world.run(3000);
-        assertThat(world.faults, is(empty()));
+        assertThat(world.violations, is(empty()));
         replace(world, at, 1, config(2));
         assertViolated(world, at, Invariant.ACKNOWLEDGED_IS_CHOSEN);
     }
 
     /** A state that is told as chosen, on top of the newest one. */
     private static void tells(SimWorld world, SimMachine to, long revision, String text) throws MalformedMessage {
-        ReplicatedState newest = world.newest;
+        ReplicatedState newest = world.newestChosen;
         ReplicatedState next = new ReplicatedState(
                 newest.version() + 1,
                 newest.before(),
@@ -56,7 +56,7 @@
 
     @Test
     void aRevisionThatFallsIsSeen() throws MalformedMessage {
-        SimWorld world = serving(2, 3, 2);
+        SimWorld world = servingCluster(2, 3, 2);
         replace(world, world.controlNodes.get(0), 1, config(9));
         world.run(1000);
         SimMachine at = world.controlNodes.get(1);
@@ -66,7 +66,7 @@
 
     @Test
     void anInvalidConfigurationThatIsChosenIsSeen() throws MalformedMessage {
-        SimWorld world = serving(3, 3, 2);
+        SimWorld world = servingCluster(3, 3, 2);
         SimMachine at = world.controlNodes.get(1);
         tells(world, at, 3, config(3).replace("\"timeout_ms\":5000", "\"timeout_ms\":0"));
         assertViolated(world, at, Invariant.CHOSEN_IS_VALID);
--- a/proxy/src/test/java/saltdale/proxy/MembershipChangeTest.java
+++ b/proxy/src/test/java/saltdale/proxy/MembershipChangeTest.java
@@ -7,7 +7,7 @@
 import static org.hamcrest.Matchers.not;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static saltdale.proxy.SimOperator.config;
-import static saltdale.proxy.SimOperator.insists;
+import static saltdale.proxy.SimOperator.replaceUntilAcknowledged;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
-import saltdale.control.WrongVoterChanges;
+import saltdale.control.FaultyVoterChanges;
 import saltdale.control.message.BallotMessage;
 import saltdale.proxy.SimCore.Loss;
 
@@ -39,10 +39,10 @@
     private enum Variant {
         AS_IT_IS(core -> {}),
         SETTLED_ONLY_BY_ITS_PROPOSER(
-                core -> core.world.controlNodeFactory = WrongVoterChanges::settledOnlyByItsProposer),
-        LEAVES_BEFORE_SUCCESSOR_VOTES(core -> core.endsAtOnce = true),
-        VOTES_FROM_EMPTY_DISK(core -> core.keepsIdentity = true),
-        TELLS_BEFORE_SYNC(core -> core.world.tellsBeforeSync = true),
+                core -> core.world.controlNodeFactory = FaultyVoterChanges::finishedOnlyByProposer),
+        LEAVES_BEFORE_SUCCESSOR_VOTES(core -> core.departsAtOnce = true),
+        VOTES_FROM_EMPTY_DISK(core -> core.keepsIdentityOnWipe = true),
+        TELLS_BEFORE_SYNC(core -> core.world.acknowledgesBeforeSync = true),
         VOTERS_ADDED_FOR_THOSE_GONE(core -> core.world.toleratedLosses = 3);
 
         final Consumer<SimCore> in;
@@ -62,37 +62,37 @@
         int play(List<String> faults) {
             SimCore core = new SimCore(seed, controlNodes);
             variant.in.accept(core);
-            core.begin();
-            core.operates = false;
+            core.start();
+            core.operatorRunning = false;
             core.world.run(300);
             int[] count = new int[1];
-            core.world.wire = (from, to, what) -> {
+            core.world.sendObserver = (from, to, what) -> {
                 if (what instanceof BallotMessage && count[0]++ == message) {
-                    core.world.at(0, () -> strike(core, from, to));
+                    core.world.schedule(0, () -> strike(core, from, to));
                 }
             };
             core.lose(loss, core.victim((int) seed));
-            core.untilCaughtUp();
-            core.untilLeft();
+            core.runUntilRecovered();
+            core.runUntilDeparted();
             int sent = count[0];
-            core.operate();
-            core.loseAll(Loss.WIPE, (int) seed + 1);
-            core.untilCaughtUp();
-            core.close((int) seed + 2);
-            faults.addAll(core.world.faults);
+            core.startOperator();
+            core.loseTolerated(Loss.WIPE, (int) seed + 1);
+            core.runUntilRecovered();
+            core.loseDisksAndPower((int) seed + 2);
+            faults.addAll(core.world.violations);
             return sent;
         }
 
         private void strike(SimCore core, String from, String to) {
             // Longer than a proposer tries to end its change, shorter than until its duty is vacant.
-            core.away = seed % 2 == 0 ? 1000 : 1900;
+            core.outageMs = seed % 2 == 0 ? 1000 : 1900;
             switch (strike) {
-                case KILL_SENDER -> core.lose(Loss.KILL, core.at(from));
-                case CUT_SENDER -> core.lose(Loss.CUT, core.at(from));
+                case KILL_SENDER -> core.lose(Loss.KILL, core.machine(from));
+                case CUT_SENDER -> core.lose(Loss.CUT, core.machine(from));
                 case POWER_OFF_ALL ->
                     List.copyOf(core.world.controlNodes).forEach(each -> core.lose(Loss.POWER_OFF, each));
-                case WIPE_SENDER -> core.lose(Loss.WIPE, core.at(from));
-                default -> core.lose(Loss.WIPE, core.at(to));
+                case WIPE_SENDER -> core.lose(Loss.WIPE, core.machine(from));
+                default -> core.lose(Loss.WIPE, core.machine(to));
             }
         }
     }
@@ -151,16 +151,16 @@
     private static List<String> inOrder(Variant variant, long seed, int controlNodes, List<Loss> losses) {
         SimCore core = new SimCore(seed, controlNodes);
         variant.in.accept(core);
-        core.begin();
+        core.start();
         for (int i = 0; i < losses.size(); i++) {
             core.lose(losses.get(i), core.victim((int) seed % 5));
             if (core.tolerated == 2) {
                 core.lose(losses.get((i + 1) % losses.size()), core.victim((int) seed % 5 + 1));
             }
-            core.untilCaughtUp();
+            core.runUntilRecovered();
         }
-        core.close((int) seed % 7);
-        return core.world.faults;
+        core.loseDisksAndPower((int) seed % 7);
+        return core.world.violations;
     }
 
     @ParameterizedTest
@@ -182,21 +182,21 @@
     private static List<String> staleMemberAndEmptyDisk(Variant variant, long seed) {
         SimCore core = new SimCore(seed, 3);
         variant.in.accept(core);
-        core.begin();
+        core.start();
         SimMachine wiped = core.victim(0);
         SimMachine stale = core.victim(1);
         SimMachine holder = core.victim(2);
-        core.away = 3000;
+        core.outageMs = 3000;
         core.lose(Loss.CUT, stale);
         core.world.run(2900);
-        core.operates = false;
-        core.untilCaughtUp();
-        core.away = 500;
+        core.operatorRunning = false;
+        core.runUntilRecovered();
+        core.outageMs = 500;
         core.lose(Loss.WIPE, wiped);
         core.lose(Loss.CUT, holder);
-        core.untilCaughtUp();
-        core.close((int) seed);
-        return core.world.faults;
+        core.runUntilRecovered();
+        core.loseDisksAndPower((int) seed);
+        return core.world.violations;
     }
 
     @Test
@@ -214,24 +214,24 @@
     @Test
     void oneZoneAfterTheOtherIsLost() {
         for (int seed = 0; seed < 20; seed++) {
-            SimWorld world = new SimWorld(seed).of(5, 0);
+            SimWorld world = new SimWorld(seed).withNodes(5, 0);
             world.toleratedLosses = 1;
             world.toleratedZones = 1;
-            world.begin().run(2500);
-            assertTrue(insists(world, 0, config(1), 5000), "seed " + seed);
+            world.startAll().run(2500);
+            assertTrue(replaceUntilAcknowledged(world, 0, config(1), 5000), "seed " + seed);
             world.run(5000);
             long revision = 1;
             for (List<SimMachine> zone : List.of(world.controlNodes.subList(0, 2), world.controlNodes.subList(2, 4))) {
                 zone.forEach(SimMachine::powerOff);
                 assertTrue(
-                        insists(world, revision, config(revision + 1), 5000),
+                        replaceUntilAcknowledged(world, revision, config(revision + 1), 5000),
                         "seed " + seed + ", revision " + revision);
                 revision++;
-                world.run(world.chance.nextInt(8000));
+                world.run(world.random.nextInt(8000));
                 zone.forEach(SimMachine::start);
                 world.run(4000); // catch_up_s
             }
-            assertThat(world.faults, is(empty()));
+            assertThat(world.violations, is(empty()));
         }
     }
 
@@ -240,16 +240,16 @@
     void aSlowDiskHoldsUpNoRepair(int controlNodes) {
         for (int seed = 0; seed < 12; seed++) {
             SimCore core = new SimCore(seed, controlNodes);
-            core.begin();
+            core.start();
             for (int i = 0; i < core.tolerated; i++) {
                 core.victim(core.tolerated + i).syncNanos = 150_000_000;
             }
-            core.loseAll(seed % 2 == 0 ? Loss.REPLACE : Loss.WIPE, 0);
-            core.hasLonger(core.catchUp);
-            core.untilCaughtUp();
+            core.loseTolerated(seed % 2 == 0 ? Loss.REPLACE : Loss.WIPE, 0);
+            core.extendRecovery(core.recoveryMs);
+            core.runUntilRecovered();
             core.world.controlNodes.forEach(each -> each.syncNanos = 3_000_000);
-            core.close(0);
-            assertThat("seed " + seed, core.world.faults, is(empty()));
+            core.loseDisksAndPower(0);
+            assertThat("seed " + seed, core.world.violations, is(empty()));
         }
     }
 
--- a/proxy/src/test/java/saltdale/proxy/NarrowLinksTest.java
+++ b/proxy/src/test/java/saltdale/proxy/NarrowLinksTest.java
@@ -8,7 +8,7 @@
 import static org.hamcrest.Matchers.lessThan;
 import static org.hamcrest.Matchers.not;
 import static org.junit.jupiter.api.Assertions.assertTrue;
-import static saltdale.proxy.SimOperator.insists;
+import static saltdale.proxy.SimOperator.replaceUntilAcknowledged;
 
 import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
@@ -38,7 +38,7 @@
         final Map<String, Set<String>> sessions = new HashMap<>(); // by host
 
         Traffic(SimWorld world) {
-            world.spy = message -> {
+            world.messageObserver = message -> {
                 if (message instanceof LeaseRenewal renewal) {
                     sessions.computeIfAbsent(renewal.member().host(), host -> new HashSet<>())
                             .add(renewal.session());
@@ -80,7 +80,7 @@
     }
 
     private static SimWorld world(long seed, int proxies) {
-        SimWorld world = new SimWorld(seed).of(5, proxies);
+        SimWorld world = new SimWorld(seed).withNodes(5, proxies);
         world.proxies.forEach(proxy -> world.linkSpeeds.put(proxy.host, SPEED));
         return world;
     }
@@ -91,9 +91,9 @@
 
     private static SimWorld ready(long seed, int proxies) {
         SimWorld world = world(seed, proxies);
-        world.begin().run(4000);
-        assertTrue(insists(world, 0, configuration(1), 5000));
-        assertTrue(world.until(5000, () -> ready(world) == proxies), "seed " + seed);
+        world.startAll().run(4000);
+        assertTrue(replaceUntilAcknowledged(world, 0, configuration(1), 5000));
+        assertTrue(world.runUntil(5000, () -> ready(world) == proxies), "seed " + seed);
         world.run(2000);
         return world;
     }
@@ -103,16 +103,16 @@
     void allAreReadyBeforeTheTrafficStarts(int proxies) {
         SimWorld world = world(proxies, proxies);
         Traffic traffic = new Traffic(world);
-        world.begin().run(4000);
-        assertTrue(insists(world, 0, configuration(1), 5000));
+        world.startAll().run(4000);
+        assertTrue(replaceUntilAcknowledged(world, 0, configuration(1), 5000));
         long acknowledged = world.now();
-        assertTrue(world.until(LEAD_MS, () -> ready(world) == proxies));
+        assertTrue(world.runUntil(LEAD_MS, () -> ready(world) == proxies));
         assertThat("ms to be ready", (world.now() - acknowledged) / 1_000_000, lessThan(1000L));
         world.run(LEAD_MS);
         assertThat("one session each", traffic.sessionCount(), is(proxies));
         assertThat(traffic.of(MessageKind.SNAPSHOT_PART) / proxies, lessThan(20_000L));
         assertThat(traffic.of(MessageKind.MEMBERS_CHANGE) / proxies, lessThan(12_000L));
-        assertThat(world.faults, is(empty()));
+        assertThat(world.violations, is(empty()));
     }
 
     /**
@@ -131,8 +131,8 @@
                     case MEMBERS_CHANGE -> 70L * proxies;
                     default -> encoded.length;
                 });
-        world.begin().run(4000);
-        assertTrue(insists(world, 0, configuration(1), 5000));
+        world.startAll().run(4000);
+        assertTrue(replaceUntilAcknowledged(world, 0, configuration(1), 5000));
         world.run(1000);
         assertThat("not all are ready in time", ready(world), lessThan((long) proxies));
         world.run(LEAD_MS / 2 - 1000);
@@ -143,8 +143,8 @@
         for (int i = 0; i < CHANGES; i++) {
             world.run(200);
             for (SimMachine proxy : world.proxies) {
-                long behind =
-                        world.newest.revision() - proxy.proxy().configuration().revision();
+                long behind = world.newestChosen.revision()
+                        - proxy.proxy().configuration().revision();
                 mostBehind = Math.max(mostBehind, behind);
             }
         }
@@ -184,14 +184,14 @@
         assertThat(traffic.of(MessageKind.CONFIGURATION_CHANGE) / proxies / CHANGES, lessThan(700L));
         assertThat(traffic.of(MessageKind.SNAPSHOT_PART), is(0L));
         assertThat(traffic.of(MessageKind.MEMBERS_CHANGE), is(0L));
-        assertThat(world.faults, is(empty()));
+        assertThat(world.violations, is(empty()));
     }
 
     private static void occupyLinks(SimWorld world, long ms) {
         long end = world.now() + Environment.millis(ms);
         long each = SPEED / 8 / 2 / 20;
-        world.at(Environment.millis(50), () -> {
-            world.proxies.forEach(proxy -> world.occupy(proxy.host, each));
+        world.schedule(Environment.millis(50), () -> {
+            world.proxies.forEach(proxy -> world.addLinkTraffic(proxy.host, each));
             if (world.now() < end) {
                 occupyLinks(world, (end - world.now()) / 1_000_000);
             }
@@ -210,7 +210,7 @@
                         body.getBytes(StandardCharsets.UTF_8),
                         reply -> acknowledgedAt[revision] = reply.status() == 200 ? world.now() : 0);
         if (revision <= CHANGES) {
-            world.at(Environment.millis(333), () -> changeEachThird(world, revision + 1, acknowledgedAt));
+            world.schedule(Environment.millis(333), () -> changeEachThird(world, revision + 1, acknowledgedAt));
         }
     }
 
@@ -233,30 +233,30 @@
     void whatIsLostOnTheWayIsMadeGood() {
         for (int seed = 0; seed < 8; seed++) {
             SimWorld world = world(seed, 6);
-            world.begin().run(3000);
-            assertTrue(insists(world, 0, configuration(1), 5000));
+            world.startAll().run(3000);
+            assertTrue(replaceUntilAcknowledged(world, 0, configuration(1), 5000));
             for (int i = 0; i < 10; i++) {
-                SimMachine controlNode = world.controlNodes.get(world.chance.nextInt(5));
-                SimMachine proxy = world.proxies.get(world.chance.nextInt(6));
-                if (world.chance.nextBoolean()) {
+                SimMachine controlNode = world.controlNodes.get(world.random.nextInt(5));
+                SimMachine proxy = world.proxies.get(world.random.nextInt(6));
+                if (world.random.nextBoolean()) {
                     world.cut(controlNode, proxy);
                 } else {
                     world.cutOneWay(controlNode, proxy);
                 }
-                world.run(world.chance.nextInt(80));
-                world.cuts.clear();
-                world.run(world.chance.nextInt(40));
+                world.run(world.random.nextInt(80));
+                world.cutLinks.clear();
+                world.run(world.random.nextInt(40));
             }
-            assertTrue(insists(world, 1, configuration(2), 5000));
+            assertTrue(replaceUntilAcknowledged(world, 1, configuration(2), 5000));
             long revision = 2;
             assertTrue(
-                    world.until(
+                    world.runUntil(
                             APPLY_MS,
                             () -> world.proxies.stream()
                                     .allMatch(p -> p.proxy().isReady()
                                             && p.proxy().configuration().revision() == revision)),
                     "seed " + seed);
-            assertThat(world.faults, is(empty()));
+            assertThat(world.violations, is(empty()));
         }
     }
 }
--- a/proxy/src/test/java/saltdale/proxy/OrderingOperator.java
+++ b/proxy/src/test/java/saltdale/proxy/OrderingOperator.java
@@ -31,17 +31,17 @@
 
     void next() {
         int mine = ++turn;
-        world.at(world.chance.nextInt(250) * 1_000_000L, () -> {
-            SimMachine at = world.controlNodes.get(world.chance.nextInt(world.controlNodes.size()));
+        world.schedule(world.random.nextInt(250) * 1_000_000L, () -> {
+            SimMachine at = world.controlNodes.get(world.random.nextInt(world.controlNodes.size()));
             if (over || mine != turn) {
                 return;
             } else if (at.process == null) {
                 next();
                 return;
             }
-            world.at(SILENCE, () -> goOn(mine));
-            if (order == null && !done.isEmpty() && world.chance.nextInt(4) == 0) {
-                order = done.get(world.chance.nextInt(done.size()));
+            world.schedule(SILENCE, () -> goOn(mine));
+            if (order == null && !done.isEmpty() && world.random.nextInt(4) == 0) {
+                order = done.get(world.random.nextInt(done.size()));
             }
             if (order == null) {
                 look(at, mine);
@@ -69,8 +69,8 @@
     /** Pairs of operators send equal bodies at times, and all pick the same numbers at times. */
     private OrdersModel.Order draw(long base) {
         // An order whose revision does not rise is invalid.
-        long revision = base > 0 && world.chance.nextInt(16) == 0 ? base : base + 1 + world.chance.nextInt(2);
-        if (base > 0 && world.chance.nextInt(3) == 0) {
+        long revision = base > 0 && world.random.nextInt(16) == 0 ? base : base + 1 + world.random.nextInt(2);
+        if (base > 0 && world.random.nextInt(3) == 0) {
             return OrdersModel.Order.amend(base, revision, "m" + number);
         }
         return OrdersModel.Order.replace(base, revision, number / 2);
@@ -81,7 +81,7 @@
         byte[] body = sent.body().getBytes(StandardCharsets.UTF_8);
         at.process.deliver(() -> at.controlNode().change(sent.amends(), Long.toString(sent.base()), body, reply -> {
             model.answered(sent, reply.status());
-            boolean lost = world.chance.nextInt(3) == 0;
+            boolean lost = world.random.nextInt(3) == 0;
             if (mine == turn && !lost) {
                 if (reply.status() != 503) {
                     done.add(sent);
--- a/proxy/src/test/java/saltdale/proxy/OrdersModel.java
+++ b/proxy/src/test/java/saltdale/proxy/OrdersModel.java
@@ -5,7 +5,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import java.util.TreeMap;
-import saltdale.control.OrderMemory;
+import saltdale.control.RememberedOrders;
 import saltdale.control.ReplicatedState;
 import saltdale.control.message.BallotMessage.Accept;
 import saltdale.control.message.BallotMessage.Chosen;
@@ -51,7 +51,7 @@
 
     OrdersModel(SimWorld world) {
         this.world = world;
-        world.spy = this::sees;
+        world.messageObserver = this::sees;
     }
 
     private void sees(Message message) {
@@ -76,7 +76,7 @@
     }
 
     private void fault(String what, Object of) {
-        world.faults.add(what + ": " + of);
+        world.violations.add(what + ": " + of);
     }
 
     long newestRevision() {
@@ -91,7 +91,7 @@
         }
         // A state whose proposer ended before it could tell of it is known by the next one alone.
         return !chosen.isEmpty()
-                && OrderMemory.holds(chosen.lastEntry().getValue(), order.amends(), order.base(), order.body());
+                && RememberedOrders.holds(chosen.lastEntry().getValue(), order.amends(), order.base(), order.body());
     }
 
     /** An answer came. */
--- a/proxy/src/test/java/saltdale/proxy/OverlappingTroublesTest.java
+++ b/proxy/src/test/java/saltdale/proxy/OverlappingTroublesTest.java
@@ -6,7 +6,7 @@
 import static org.hamcrest.Matchers.greaterThan;
 import static org.hamcrest.Matchers.is;
 import static saltdale.proxy.SimOperator.read;
-import static saltdale.proxy.SimOperator.serving;
+import static saltdale.proxy.SimOperator.servingCluster;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -32,20 +32,20 @@
         private int successors;
 
         Run(long seed) {
-            world = serving(seed, seed % 3 == 2 ? 5 : 3, 4);
+            world = servingCluster(seed, seed % 3 == 2 ? 5 : 3, 4);
             checks = new ContactChecks(world);
             checks.standstillsAreSingle = false;
         }
 
         private SimMachine any(List<SimMachine> machines) {
-            return machines.get(world.chance.nextInt(machines.size()));
+            return machines.get(world.random.nextInt(machines.size()));
         }
 
         void play() {
             checks.begin();
             long end = world.now() + LENGTH_MS * 1_000_000;
             while (world.now() < end) {
-                world.run(200 + world.chance.nextInt(2800));
+                world.run(200 + world.random.nextInt(2800));
                 strike();
             }
             world.run(LONGEST_MS + CATCH_UP_MS);
@@ -54,7 +54,7 @@
 
         private void strike() {
             boolean calm = under.isEmpty() && world.now() - calmSince > CATCH_UP_MS * 1_000_000;
-            switch (world.chance.nextInt(calm ? 13 : 11)) {
+            switch (world.random.nextInt(calm ? 13 : 11)) {
                 case 0 -> freezeProxy();
                 case 1, 2 -> cutProxy();
                 case 3 -> restartProxy();
@@ -63,8 +63,11 @@
                 case 6 -> ofCore(any(world.controlNodes), world::isolate, this::join);
                 case 7 -> ofCore(any(world.controlNodes), this::cutOneWay, this::join);
                 case 8 ->
-                    ofCore(any(world.controlNodes), this::slowDown, node -> node.syncNanos = SimMachine.USUAL_SYNC);
-                case 9 -> ofCore(any(world.controlNodes), this::spoilDisk, SimMachine::heals);
+                    ofCore(
+                            any(world.controlNodes),
+                            this::slowDown,
+                            node -> node.syncNanos = SimMachine.NORMAL_SYNC_NANOS);
+                case 9 -> ofCore(any(world.controlNodes), this::spoilDisk, SimMachine::repairDisk);
                 case 10 -> ofCore(any(world.controlNodes), this::restart, node -> {});
                 case 11 -> ofCore(any(world.controlNodes), SimMachine::wipe, SimMachine::start);
                 default -> replace(world.controlNodes.get(0));
@@ -76,14 +79,14 @@
         }
 
         private long someTime() {
-            return (200 + world.chance.nextInt(LONGEST_MS - 200)) * 1_000_000L;
+            return (200 + world.random.nextInt(LONGEST_MS - 200)) * 1_000_000L;
         }
 
         private void freezeProxy() {
             SimMachine proxy = any(world.proxies);
             if (proxy.process != null && !proxy.frozen) {
                 proxy.freeze();
-                world.at(someTime(), proxy::thaw);
+                world.schedule(someTime(), proxy::thaw);
             }
         }
 
@@ -91,16 +94,16 @@
             SimMachine proxy = any(world.proxies);
             if (proxy.process != null && !proxy.frozen) {
                 proxy.kill();
-                world.at(someTime(), proxy::start);
+                world.schedule(someTime(), proxy::start);
             }
         }
 
         private void cutProxy() {
             SimMachine proxy = any(world.proxies);
             List<SimMachine> from =
-                    world.chance.nextBoolean() ? List.copyOf(world.controlNodes) : List.of(any(world.controlNodes));
+                    world.random.nextBoolean() ? List.copyOf(world.controlNodes) : List.of(any(world.controlNodes));
             from.forEach(each -> world.cut(each, proxy));
-            world.at(someTime(), () -> from.forEach(each -> join(each, proxy)));
+            world.schedule(someTime(), () -> from.forEach(each -> join(each, proxy)));
         }
 
         /** One trouble of a control node at a time may befall each; several may be under way. */
@@ -111,7 +114,7 @@
             begins.on(node);
             Runnable over = () -> ends.on(node);
             under.add(over);
-            world.at(someTime(), () -> {
+            world.schedule(someTime(), () -> {
                 over.run();
                 under.remove(over);
                 calmSince = world.now();
@@ -119,11 +122,11 @@
         }
 
         private void slowDown(SimMachine node) {
-            node.syncNanos = (20 + world.chance.nextInt(130)) * 1_000_000L;
+            node.syncNanos = (20 + world.random.nextInt(130)) * 1_000_000L;
         }
 
         private void spoilDisk(SimMachine node) {
-            node.disk = world.chance.nextBoolean() ? SimMachine.Disk.FULL : SimMachine.Disk.HANGING;
+            node.disk = world.random.nextBoolean() ? SimMachine.Disk.FULL : SimMachine.Disk.HANGING;
         }
 
         /** As planned; it begins again as soon as it has ended. */
@@ -143,8 +146,8 @@
         }
 
         private void join(SimMachine a, SimMachine b) {
-            world.cuts.remove(a.host + ">" + b.host);
-            world.cuts.remove(b.host + ">" + a.host);
+            world.cutLinks.remove(a.host + ">" + b.host);
+            world.cutLinks.remove(b.host + ">" + a.host);
         }
 
         /** It is gone for good; a new one comes at another address. */
@@ -169,7 +172,7 @@
 
         /** As many disks as tolerated are lost while all machines lose power, also those that do not count. */
         private void closing() {
-            int first = world.chance.nextInt(world.controlNodes.size());
+            int first = world.random.nextInt(world.controlNodes.size());
             world.controlNodes.forEach(SimMachine::powerOff);
             world.proxies.forEach(SimMachine::powerOff);
             for (int i = 0; i < world.toleratedLosses; i++) {
@@ -194,19 +197,19 @@
 
     /** How many of the reads at a control node are answered after it stood still in the middle of a ballot. */
     private static int readsAfterStandstill(int seed) {
-        SimWorld world = serving(seed, 3, 1);
+        SimWorld world = servingCluster(seed, 3, 1);
         SimMachine node = world.controlNodes.get(seed % 3);
         boolean[] stands = new boolean[1];
-        world.wire = (from, to, message) -> {
+        world.sendObserver = (from, to, message) -> {
             if (!stands[0] && from.equals(node.host) && message instanceof Prepare) {
                 stands[0] = true;
-                world.at(0, node::freeze);
-                world.at(4_000_000_000L, node::thaw);
+                world.schedule(0, node::freeze);
+                world.schedule(4_000_000_000L, node::thaw);
             }
         };
         int[] answered = new int[1];
         node.controlNode().read(reply -> {});
-        assertThat(world.until(2000, () -> stands[0]), is(true));
+        assertThat(world.runUntil(2000, () -> stands[0]), is(true));
         world.run(4500);
         for (int i = 0; i < 100; i++) {
             // The others are busy, so that ballots meet.
@@ -246,7 +249,7 @@
             } catch (AssertionError | RuntimeException e) {
                 faults.add("seed " + seed + ": " + e);
             }
-            for (String fault : run.world.faults) {
+            for (String fault : run.world.violations) {
                 faults.add("seed " + seed + ", " + fault);
             }
         }
--- a/proxy/src/test/java/saltdale/proxy/ProxyClusterTest.java
+++ b/proxy/src/test/java/saltdale/proxy/ProxyClusterTest.java
@@ -12,10 +12,10 @@
 import static org.hamcrest.Matchers.not;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static saltdale.proxy.SimOperator.config;
-import static saltdale.proxy.SimOperator.insists;
 import static saltdale.proxy.SimOperator.load;
 import static saltdale.proxy.SimOperator.replace;
-import static saltdale.proxy.SimOperator.serving;
+import static saltdale.proxy.SimOperator.replaceUntilAcknowledged;
+import static saltdale.proxy.SimOperator.servingCluster;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -38,9 +38,9 @@
 import saltdale.control.message.InstanceMessage.InstanceUpdates;
 import saltdale.control.message.SessionMessage.ConfigurationChange;
 import saltdale.control.message.SessionMessage.ConfigurationOffer;
-import saltdale.control.message.SessionMessage.InstancesNews;
+import saltdale.control.message.SessionMessage.InstancesChange;
 import saltdale.control.message.SessionMessage.LeaseRenewal;
-import saltdale.control.message.SessionMessage.News;
+import saltdale.control.message.SessionMessage.SessionUpdate;
 import saltdale.control.message.SessionMessage.SnapshotPart;
 
 /**
@@ -59,25 +59,25 @@
     @Test
     void noProxyGoesBackWithinOneLife() {
         for (int seed = 0; seed < 6; seed++) {
-            SimWorld world = serving(seed, 3, 4);
+            SimWorld world = servingCluster(seed, 3, 4);
             Map<Proxy, Long> highest = new HashMap<>();
             long[] acknowledged = {1};
             for (int i = 0; i < 160; i++) {
                 if (i % 8 == 0) {
-                    SimMachine one = world.controlNodes.get(world.chance.nextInt(3));
-                    world.cuts.clear();
+                    SimMachine one = world.controlNodes.get(world.random.nextInt(3));
+                    world.cutLinks.clear();
                     world.controlNodes.forEach(SimMachine::start);
                     world.controlNodes.stream().filter(k -> k.frozen).forEach(SimMachine::thaw);
-                    switch (world.chance.nextInt(5)) {
+                    switch (world.random.nextInt(5)) {
                         case 0 -> one.kill();
                         case 1 -> one.freeze();
                         case 2 -> world.isolate(one);
                         case 3 -> world.proxies.forEach(p -> world.cutOneWay(one, p));
-                        default -> world.proxies.get(world.chance.nextInt(4)).kill();
+                        default -> world.proxies.get(world.random.nextInt(4)).kill();
                     }
                     world.proxies.forEach(SimMachine::start);
                     long next = acknowledged[0] + 1;
-                    SimMachine at = world.controlNodes.get(world.chance.nextInt(3));
+                    SimMachine at = world.controlNodes.get(world.random.nextInt(3));
                     if (at.process != null) {
                         replace(
                                 at,
@@ -96,7 +96,7 @@
                 }
             }
             assertThat(acknowledged[0], greaterThan(4L));
-            assertThat(world.faults, is(empty()));
+            assertThat(world.violations, is(empty()));
         }
     }
 
@@ -106,15 +106,15 @@
         SimWorld world = new SimWorld(1);
         String[] session = new String[1];
         Map<String, Long> last = new HashMap<>(); // the number of the newest piece of news, by session
-        world.spy = m -> {
+        world.messageObserver = m -> {
             if (m instanceof LeaseRenewal renewal && renewal.member().host().equals("10.1.0.1")) {
                 session[0] = renewal.session();
-            } else if (m instanceof News news) {
+            } else if (m instanceof SessionUpdate news) {
                 last.put(news.session(), news.number());
             }
         };
-        serving(world, 3, 1);
-        assertTrue(insists(world, 1, config(2), 5000));
+        servingCluster(world, 3, 1);
+        assertTrue(replaceUntilAcknowledged(world, 1, config(2), 5000));
         world.run(1000);
         SimMachine proxy = world.proxies.get(0);
         assertThat(revision(proxy), is(2L));
@@ -136,15 +136,15 @@
                     controlNode.host, new SnapshotPart(session[0], snapshot.digest(), 0, bytes.length, bytes));
         }
         assertThat("by a snapshot", revision(proxy), is(2L));
-        assertTrue(insists(world, 2, config(3), 5000));
-        assertTrue(world.until(3000, () -> revision(proxy) == 3), "and it goes on from there");
+        assertTrue(replaceUntilAcknowledged(world, 2, config(3), 5000));
+        assertTrue(world.runUntil(3000, () -> revision(proxy) == 3), "and it goes on from there");
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"both", "hears", "speaks"})
     void proxiesOfAControlNodeThatIsCutOffMoveOn(String way) {
         for (int seed = 0; seed < 6; seed++) {
-            SimWorld world = serving(seed, 3, 6);
+            SimWorld world = servingCluster(seed, 3, 6);
             SimMachine off = world.controlNodes.get(seed % 3);
             for (SimMachine other : world.controlNodes) {
                 if (other != off && !way.equals("hears")) {
@@ -154,9 +154,10 @@
                     world.cutOneWay(off, other);
                 }
             }
-            world.run(world.chance.nextInt(2000));
+            world.run(world.random.nextInt(2000));
             assertThat(replace(world, world.controlNodes.get((seed + 1) % 3), 1, config(2)), is(200));
-            assertTrue(world.until(3000, () -> world.proxies.stream().allMatch(p -> revision(p) == 2)), "seed " + seed);
+            assertTrue(
+                    world.runUntil(3000, () -> world.proxies.stream().allMatch(p -> revision(p) == 2)), "seed " + seed);
         }
     }
 
@@ -179,7 +180,7 @@
         int served = 0;
         for (int seed = 0; seed < 2; seed++) {
             // Six services, each with a few instances of one slot, all of them busy most of the time.
-            SimWorld world = serving(seed, 3, 6);
+            SimWorld world = servingCluster(seed, 3, 6);
             world.platform.workers.values().forEach(w -> w.memory = 256);
             StringBuilder services = new StringBuilder();
             StringBuilder routes = new StringBuilder();
@@ -193,14 +194,14 @@
                         .append(SimOperator.route(
                                 "r-s" + i, "/s" + i + "/", i % 2 == 0 ? "idempotent" : "non_idempotent", "s" + i));
             }
-            assertTrue(insists(
+            assertTrue(replaceUntilAcknowledged(
                     world,
                     1,
                     config(2)
                             .replace("}],\"services\"", "}" + routes + "],\"services\"")
                             .replace("\"max_concurrency\":4}", "\"max_concurrency\":4}" + services),
                     5000));
-            load(world, 240, 8000, () -> "/s" + world.chance.nextInt(6) + "/1");
+            load(world, 240, 8000, () -> "/s" + world.random.nextInt(6) + "/1");
             world.run(3000);
             for (int i = 0; i < 2; i++) {
                 SimMachine one = world.proxies.get((seed + i) % 6);
@@ -209,29 +210,29 @@
                         world.proxy("10.1.0." + (50 + i), SimWorld.ZONES[i]).start();
                     case LEAVE -> {
                         one.proxy().end(2_000_000_000L);
-                        world.at(5_000_000_000L, one::kill);
+                        world.schedule(5_000_000_000L, one::kill);
                     }
                     case KILL -> {
                         one.kill();
-                        world.at(600_000_000L, one::start);
+                        world.schedule(600_000_000L, one::start);
                     }
                     case POWER -> one.powerOff();
                     case FREEZE -> {
                         one.freeze();
-                        world.at(200_000_000L + world.chance.nextLong(4_000_000_000L), one::thaw);
+                        world.schedule(200_000_000L + world.random.nextLong(4_000_000_000L), one::thaw);
                     }
                     case CUT -> {
                         world.machines.values().forEach(m -> world.cut(one, m));
-                        world.at(3_000_000_000L, world.cuts::clear);
+                        world.schedule(3_000_000_000L, world.cutLinks::clear);
                     }
                     default -> {}
                 }
                 world.run(1500);
             }
             world.run(4500);
-            over += world.platform.overLimit.size();
-            served += world.platform.all.stream().filter(a -> a.is(200)).count();
-            assertThat(world.faults, is(empty()));
+            over += world.platform.slotViolations.size();
+            served += world.platform.calls.stream().filter(a -> a.is(200)).count();
+            assertThat(world.violations, is(empty()));
         }
         assertThat(served, greaterThan(2 * 500));
         assertThat(over, is(0));
@@ -241,34 +242,34 @@
     @Test
     void whatWentWhileAProxyWasCutOffIsToldToIt() {
         for (int seed = 0; seed < 12; seed++) {
-            SimWorld world = serving(seed, 3, 3);
+            SimWorld world = servingCluster(seed, 3, 3);
             load(world, 60, 11_000);
             world.run(3000);
-            SimPlatform.Instance lost = world.platform.live("fn").get(0);
+            SimPlatform.Instance lost = world.platform.liveInstances("fn").get(0);
             lost.goneAt = world.now();
-            world.run(400 + world.chance.nextInt(1000));
+            world.run(400 + world.random.nextInt(1000));
             world.controlNodes.forEach(c -> world.proxies.forEach(p -> world.cut(c, p)));
             world.run(1300);
-            world.cuts.clear();
+            world.cutLinks.clear();
             world.run(3000);
-            world.platform.notConnected.clear();
+            world.platform.failedConnections.clear();
             world.run(3000);
-            assertThat("seed " + seed, world.platform.notConnected, not(hasItem(lost.id)));
+            assertThat("seed " + seed, world.platform.failedConnections, not(hasItem(lost.id)));
         }
     }
 
     @Test
     void nothingIsSentToADrainingRunnerOnceItsTimeIsOver() {
         for (int seed = 0; seed < 4; seed++) {
-            SimWorld world = serving(seed, 3, 6);
+            SimWorld world = servingCluster(seed, 3, 6);
             load(world, 120, 10_000);
             world.run(3000);
-            assertThat(world.platform.live("fn").size(), greaterThan(2));
-            world.platform.live("fn").get(0).drain();
+            assertThat(world.platform.liveInstances("fn").size(), greaterThan(2));
+            world.platform.liveInstances("fn").get(0).drain();
             world.run(1000);
-            world.platform.live("fn").get(1).drain();
+            world.platform.liveInstances("fn").get(1).drain();
             world.run(7000);
-            assertThat("seed " + seed, world.platform.afterDrain, is(empty()));
+            assertThat("seed " + seed, world.platform.callsAfterDrain, is(empty()));
         }
     }
 
@@ -278,10 +279,10 @@
     void eachCallHasOneAnswerAndRunsOnceUnlessItMayRunAgain() {
         int again = 0;
         for (int seed = 0; seed < 4; seed++) {
-            SimWorld world = serving(seed, 3, 4);
-            world.platform.breaks = 0.1;
-            world.platform.turnsAway = 0.1;
-            world.platform.unsent = 0.1;
+            SimWorld world = servingCluster(seed, 3, 4);
+            world.platform.breakProbability = 0.1;
+            world.platform.rejectProbability = 0.1;
+            world.platform.unsentProbability = 0.1;
             load(world, 100, 7000);
             world.run(2500);
             world.proxies.get(0).kill();
@@ -293,7 +294,7 @@
             world.run(1500);
             world.proxies.get(1).thaw();
             world.run(5000);
-            for (SimPlatform.OutgoingCall asked : world.platform.all) {
+            for (SimPlatform.OutgoingCall asked : world.platform.calls) {
                 assertThat(asked.answers.size(), lessThanOrEqualTo(1));
                 assertThat("answered, or its proxy is gone", asked.answers.size() == 1 || asked.isLost(), is(true));
                 assertThat(asked.idempotent || asked.runs <= 1, is(true));
@@ -302,7 +303,7 @@
                 }
                 again += asked.idempotent && asked.runs > 1 && asked.is(200) ? 1 : 0;
             }
-            assertThat(world.faults, is(empty()));
+            assertThat(world.violations, is(empty()));
         }
         assertThat("what may run again does", again, greaterThan(10));
     }
@@ -312,7 +313,7 @@
     @Test
     void theFirstCallStartsARunnerAndIsServedByIt() {
         for (int seed = 0; seed < 10; seed++) {
-            SimWorld world = serving(seed, 3, 6);
+            SimWorld world = servingCluster(seed, 3, 6);
             world.run(2000);
             assertThat(world.platform.instances.values(), is(empty()));
             long begun = world.now();
@@ -328,20 +329,20 @@
     @Test
     void runnersAreSpreadOverTheWorkersOfAZone() {
         for (int seed = 0; seed < 6; seed++) {
-            SimWorld world = serving(seed, 3, 6);
+            SimWorld world = servingCluster(seed, 3, 6);
             load(world, 250, 1400);
             world.run(1400);
             for (String zone : SimWorld.ZONES) {
                 List<Long> counts = world.platform.workers.values().stream()
                         .filter(w -> w.zone.equals(zone))
-                        .map(w -> world.platform.live("fn").stream()
+                        .map(w -> world.platform.liveInstances("fn").stream()
                                 .filter(r -> r.worker == w)
                                 .count())
                         .sorted()
                         .toList();
                 assertThat(zone, counts.get(1) - counts.get(0), lessThanOrEqualTo(1L));
             }
-            assertThat(world.platform.live("fn").size(), greaterThan(5));
+            assertThat(world.platform.liveInstances("fn").size(), greaterThan(5));
         }
     }
 
@@ -351,20 +352,20 @@
             Set<Object> leaving = new HashSet<>(); // what the one before it has told to get nothing more
             boolean[] over = new boolean[1];
             SimWorld world = new SimWorld(seed);
-            world.spy = m -> {
+            world.messageObserver = m -> {
                 if (m instanceof InstanceUpdates updates && !over[0]) {
                     leavingOf(updates.instances(), leaving);
-                } else if (m instanceof InstancesNews news && !over[0]) {
+                } else if (m instanceof InstancesChange news && !over[0]) {
                     leavingOf(news.instances(), leaving);
                 }
             };
-            serving(world, 3, 6);
+            servingCluster(world, 3, 6);
             load(world, 150, 3900);
             world.run(2000);
             int before = world.platform.duties.size();
             long fence = world.platform.highestFence;
             DutyTest.holder(world).powerOff();
-            assertTrue(world.until(6000, () -> DutyTest.fence(world) > fence));
+            assertTrue(world.runUntil(6000, () -> DutyTest.fence(world) > fence));
             long won = world.now();
             over[0] = true;
             world.run(12_000);
@@ -388,7 +389,7 @@
      */
     @Test
     void whatWaitsAtAProxyThatEndsIsTurnedAwayInTime() {
-        SimWorld world = serving(3, 3, 3);
+        SimWorld world = servingCluster(3, 3, 3);
         world.platform.bootMs = 60_000; // no slot will come
         SimMachine ending = world.proxies.get(0);
         SimPlatform.OutgoingCall before = world.platform.call(ending, "h.example", "/a/1", 20_000);
@@ -409,7 +410,7 @@
     @Test
     void whoWaitsAtAnOwnerThatLeavesAsksTheNewOne() {
         for (int seed = 0; seed < 6; seed++) {
-            SimWorld world = serving(seed, 3, 6);
+            SimWorld world = servingCluster(seed, 3, 6);
             world.platform.bootMs = 1500;
             String zone = SimWorld.ZONES[seed % 3];
             SimMachine owner = owner(world, zone);
@@ -420,8 +421,10 @@
             SimPlatform.OutgoingCall waiting = world.platform.call(asks, "h.example", "/b/1", 4000);
             world.run(1350);
             owner.proxy().end(2_000_000_000L);
-            assertTrue(world.until(
-                    2000, () -> world.platform.instances.values().stream().anyMatch(SimPlatform.Instance::takes)));
+            assertTrue(world.runUntil(
+                    2000,
+                    () -> world.platform.instances.values().stream()
+                            .anyMatch(SimPlatform.Instance::acceptsConnections)));
             assertThat(waiting.answers, is(empty()));
             world.run(550);
             assertThat("seed " + seed, waiting.answers, is(List.of(200)));
@@ -433,12 +436,12 @@
     @ValueSource(booleans = {false, true})
     void whoAsksFromOtherZonesIsServedOnceTheOwnerIsReplacedOrGoesOn(boolean goesOn) {
         for (int seed = 0; seed < 10; seed++) {
-            SimWorld world = serving(seed, 3, 6);
+            SimWorld world = servingCluster(seed, 3, 6);
             SimMachine asks = world.proxies.get(seed % 6);
             List<SimPlatform.OutgoingCall> calls = new ArrayList<>();
             callOften(world, asks, calls, 10);
             world.run(2500);
-            List<String> zones = world.platform.live("fn").stream()
+            List<String> zones = world.platform.liveInstances("fn").stream()
                     .map(instance -> instance.worker.zone)
                     .distinct()
                     .toList();
@@ -450,7 +453,7 @@
             SimMachine owner = owner(world, asks.zone);
             if (goesOn) {
                 owner.freeze();
-                world.at(Environment.millis(1300), owner::thaw);
+                world.schedule(Environment.millis(1300), owner::thaw);
             } else {
                 owner.powerOff();
             }
@@ -464,7 +467,8 @@
     /** A call of the function each 100 ms, so many times, each with 4 s to be answered. */
     private static void callOften(SimWorld world, SimMachine at, List<SimPlatform.OutgoingCall> calls, int times) {
         for (int i = 0; i < times; i++) {
-            world.at(Environment.millis(100 * i), () -> calls.add(world.platform.call(at, "h.example", "/b/1", 4000)));
+            world.schedule(
+                    Environment.millis(100 * i), () -> calls.add(world.platform.call(at, "h.example", "/b/1", 4000)));
         }
     }
 
@@ -472,7 +476,7 @@
         List<Member> members = world.proxies.stream()
                 .map(proxy -> new Member(proxy.host, "n-" + proxy.host, proxy.zone, proxy.host, false))
                 .toList();
-        String host = ServiceOwnership.of("fn", zone, members).host();
+        String host = ServiceOwnership.ownerOf("fn", zone, members).host();
         return world.machines.get(host);
     }
 }
