--- a/proxy/src/test/java/saltdale/proxy/SimCore.java
+++ b/proxy/src/test/java/saltdale/proxy/SimCore.java
@@ -34,17 +34,17 @@
     final SimWorld world;
     final int size;
     final int tolerated;
-    final long catchUp;
-    boolean operates;
+    final long recoveryMs;
+    boolean operatorRunning;
     /** How long a lost machine is away, in ms. */
-    long away = 1000;
+    long outageMs = 1000;
 
     /** How long after its successor's start a leaving member gets SIGTERM, in ms. */
-    long leavesAfter;
+    long departureDelayMs;
     /** Wrong: a member that leaves ends whether or not its successor is there. */
-    boolean endsAtOnce;
+    boolean departsAtOnce;
     /** Wrong: the identity outlasts the disk. */
-    boolean keepsIdentity;
+    boolean keepsIdentityOnWipe;
 
     private long acknowledged; // the newest revision
     private long lastEvent; // the newest fault, return or acknowledgement
@@ -56,27 +56,27 @@
     SimCore(long seed, int size) {
         this.size = size;
         tolerated = size / 2;
-        catchUp = size == 3 ? 4000 : 6000;
-        leavesAfter = seed % 2 == 0 ? 2000 : catchUp;
-        world = new SimWorld(seed).of(size, 0);
+        recoveryMs = size == 3 ? 4000 : 6000;
+        departureDelayMs = seed % 2 == 0 ? 2000 : recoveryMs;
+        world = new SimWorld(seed).withNodes(size, 0);
     }
 
-    void begin() {
-        world.begin();
+    void start() {
+        world.startAll();
         world.run(2500);
         lastEvent = world.now();
-        operate();
+        startOperator();
         check(() -> acknowledged >= 1 && world.voters().size() == size && !world.isJoint(), "no first order or voters");
     }
 
-    SimMachine at(String host) {
+    SimMachine machine(String host) {
         return world.machines.get(host);
     }
 
     /** A voter; the holder of the duty comes first. */
     SimMachine victim(int number) {
         List<SimMachine> all = new ArrayList<>(running());
-        String holder = world.newest.duty("starting").name();
+        String holder = world.newestChosen.duty("starting").name();
         all.sort((a, b) -> Boolean.compare(("n-" + b.host).equals(holder), ("n-" + a.host).equals(holder)));
         return all.get(number % all.size());
     }
@@ -95,12 +95,12 @@
     }
 
     /** What is lost now counts as lost for so much longer, in ms. */
-    void hasLonger(long ms) {
+    void extendRecovery(long ms) {
         caughtUpAt += ms * 1_000_000;
     }
 
     /** As many as are tolerated, at once. */
-    void loseAll(Loss loss, int from) {
+    void loseTolerated(Loss loss, int from) {
         List<SimMachine> victims = new ArrayList<>();
         for (int i = 0; i < tolerated; i++) {
             victims.add(victim(from + i));
@@ -112,7 +112,7 @@
         if (one == null || one.process == null) {
             return;
         }
-        event(away + catchUp);
+        event(outageMs + recoveryMs);
         if (leaving.contains(one) && loss != Loss.CUT) {
             remove(one);
             return;
@@ -120,16 +120,16 @@
         switch (loss) {
             case REPLACE -> {
                 remove(one);
-                later(away, this::comes);
+                later(outageMs, this::comes);
             }
             case LEAVE -> {
                 comes();
-                later(leavesAfter, () -> leaves(one));
+                later(departureDelayMs, () -> leaves(one));
             }
             case FREEZE -> {
                 one.freeze();
                 SimMachine.Process of = one.process;
-                later(away, () -> {
+                later(outageMs, () -> {
                     if (one.process == of) {
                         one.thaw();
                     }
@@ -137,26 +137,26 @@
             }
             case CUT -> {
                 world.isolate(one);
-                later(away, world.cuts::clear);
+                later(outageMs, world.cutLinks::clear);
             }
             case WIPE -> {
                 wipe(one);
-                later(away, () -> starts(one));
+                later(outageMs, () -> starts(one));
             }
             case KILL -> {
                 one.kill();
-                later(away, () -> starts(one));
+                later(outageMs, () -> starts(one));
             }
             default -> {
                 one.powerOff();
-                later(away, () -> starts(one));
+                later(outageMs, () -> starts(one));
             }
         }
     }
 
     private void later(long ms, Runnable what) {
-        world.at(ms * 1_000_000, () -> {
-            event(catchUp);
+        world.schedule(ms * 1_000_000, () -> {
+            event(recoveryMs);
             what.run();
         });
     }
@@ -170,7 +170,7 @@
     private void wipe(SimMachine one) {
         byte[] identity = one.synced.get("identity");
         one.wipe();
-        if (keepsIdentity) {
+        if (keepsIdentityOnWipe) {
             one.synced.put("identity", identity);
         }
     }
@@ -190,10 +190,10 @@
 
     /** SIGTERM. Its successor has been there for long, or counts as lost in its place. */
     private void leaves(SimMachine one) {
-        caughtUpAt = Math.max(world.now(), caughtUpAt - leavesAfter * 1_000_000);
+        caughtUpAt = Math.max(world.now(), caughtUpAt - departureDelayMs * 1_000_000);
         if (one.process == null) {
             remove(one);
-        } else if (endsAtOnce) {
+        } else if (departsAtOnce) {
             one.process.deliver(() -> one.controlNode().end(GRACE * 700_000, () -> {}));
             later(50, () -> remove(one));
         } else {
@@ -205,21 +205,21 @@
     // The operator.
 
     /** Sends one order after the other; each to the next control node until one has acknowledged it. */
-    void operate() {
-        if (!operates) {
-            operates = true;
+    void startOperator() {
+        if (!operatorRunning) {
+            operatorRunning = true;
             order();
         }
     }
 
     private void order() {
-        if (!operates) {
+        if (!operatorRunning) {
             return;
         }
         SimMachine to = world.controlNodes.get(sentTo++ % world.controlNodes.size());
         boolean[] over = new boolean[1];
         if (to.process == null) {
-            world.at(100_000_000, this::order);
+            world.schedule(100_000_000, this::order);
             return;
         }
         long base = acknowledged;
@@ -229,23 +229,23 @@
                 lastEvent = world.now();
                 checkHolders();
             } else if (reply.status() != 200 && reply.status() != 503) {
-                world.faults.add("the order on " + base + " got " + reply.status() + " " + reply.why());
+                world.violations.add("the order on " + base + " got " + reply.status() + " " + reply.why());
             }
             again(over, 150);
         });
-        world.at(1_000_000_000, () -> again(over, 0));
+        world.schedule(1_000_000_000, () -> again(over, 0));
     }
 
     private void again(boolean[] over, long ms) {
         if (!over[0]) {
             over[0] = true;
-            world.at(ms * 1_000_000, this::order);
+            world.schedule(ms * 1_000_000, this::order);
         }
     }
 
     // What must hold.
 
-    void untilCaughtUp() {
+    void runUntilRecovered() {
         while (world.now() < caughtUpAt) {
             world.run(Math.min(STEP, Math.max(1, (caughtUpAt - world.now()) / 1_000_000)));
             checkStep();
@@ -254,35 +254,35 @@
     }
 
     /** A member that got SIGTERM when its successor had long been there is gone after its grace. */
-    void untilLeft() {
+    void runUntilDeparted() {
         if (!leaving.isEmpty()) {
             caughtUpAt = Math.max(caughtUpAt, world.now() + GRACE * 1_000_000);
-            untilCaughtUp();
+            runUntilRecovered();
         }
         if (!leaving.isEmpty()) {
-            world.faults.add("still leaving after the grace");
+            world.violations.add("still leaving after the grace");
         }
     }
 
     private void checkStep() {
         checkHolders();
-        if (!operates) {
+        if (!operatorRunning) {
             lastEvent = world.now();
         } else if (world.now() - lastEvent > ACKNOWLEDGE * 1_000_000) {
-            world.faults.add("no order was taken for " + ACKNOWLEDGE + " ms");
-            operates = false;
+            world.violations.add("no order was taken for " + ACKNOWLEDGE + " ms");
+            operatorRunning = false;
         }
     }
 
     /** A majority of each set of voters holds what is acknowledged, synced, but for disks that are lost. */
     private void checkHolders() {
-        if (world.newest == null) {
+        if (world.newestChosen == null) {
             return;
         }
-        for (List<Voter> set : world.newest.quorums()) {
+        for (List<Voter> set : world.newestChosen.quorums()) {
             long holders = set.stream().filter(this::holdsOrIsLost).count();
             if (holders <= set.size() / 2) {
-                world.faults.add("at " + millis() + " only " + holders + " of " + set + " hold " + acknowledged);
+                world.violations.add("at " + millis() + " only " + holders + " of " + set + " hold " + acknowledged);
             }
         }
     }
@@ -306,23 +306,23 @@
     private void checkRepaired() {
         List<String> alive = world.controlNodes.stream().map(SimMachine::id).toList();
         if (world.isJoint() || world.voters().size() != size || !alive.containsAll(world.voters())) {
-            world.faults.add("at " + millis() + " not repaired: voters " + world.newest.voters() + " joint "
+            world.violations.add("at " + millis() + " not repaired: voters " + world.newestChosen.voters() + " joint "
                     + world.isJoint() + ", alive " + alive);
         }
     }
 
     private void check(BooleanSupplier holds, String otherwise) {
-        if (!world.until(10_000, holds)) {
-            world.faults.add(otherwise);
+        if (!world.runUntil(10_000, holds)) {
+            world.violations.add(otherwise);
         }
     }
 
     /** The closing fault: disks are lost right after an acknowledgement, and the others lose power. */
-    void close(int from) {
-        operate();
+    void loseDisksAndPower(int from) {
+        startOperator();
         long before = acknowledged;
         check(() -> acknowledged > before, "no order before the end");
-        operates = false;
+        operatorRunning = false;
         for (SimMachine each : List.copyOf(world.controlNodes)) {
             each.powerOff();
         }
@@ -334,7 +334,7 @@
         for (SimMachine each : world.controlNodes) {
             String is = read(world, each);
             if (is == null || AgreementTest.revision(is) < acknowledged) {
-                world.faults.add(
+                world.violations.add(
                         "after the end " + each.host + " reads " + is + " though " + acknowledged + " is acknowledged");
                 return;
             }
--- a/proxy/src/test/java/saltdale/proxy/SimMachine.java
+++ b/proxy/src/test/java/saltdale/proxy/SimMachine.java
@@ -35,14 +35,14 @@
     private final List<Write> writes = new ArrayList<>(); // not yet synced
     private boolean writing;
     Disk disk = Disk.WELL;
-    static final long USUAL_SYNC = 3_000_000;
-    long syncNanos = USUAL_SYNC;
+    static final long NORMAL_SYNC_NANOS = 3_000_000;
+    long syncNanos = NORMAL_SYNC_NANOS;
     Process process;
     boolean frozen;
     /** How far its time of day is off; only a wrong variant of the code looks at that. */
-    long timeOfDayStep;
+    long wallClockOffsetNanos;
 
-    boolean leasesByTimeOfDay;
+    boolean leasesByWallClock;
     private final List<Runnable> late = new ArrayList<>();
 
     SimMachine(
@@ -80,7 +80,7 @@
     void kill() {
         end();
         for (SimMachine other : world.machines.values()) {
-            world.at(world.hop(), () -> {
+            world.schedule(world.randomDelayNanos(), () -> {
                 if (other.proxy() != null && !other.frozen) {
                     other.proxy().unreachable(host);
                 }
@@ -107,19 +107,19 @@
                 gone.run();
             }
         };
-        of.deliver(() -> of.controlNode.end(graceMillis * 700_000, () -> world.at(50_000_000, ends)));
-        world.at(graceMillis * 1_000_000, ends);
+        of.deliver(() -> of.controlNode.end(graceMillis * 700_000, () -> world.schedule(50_000_000, ends)));
+        world.schedule(graceMillis * 1_000_000, ends);
     }
 
     /** Of what was not synced some may be there, in order. */
     private void end() {
-        writes.stream().limit(world.chance.nextInt(writes.size() + 1)).forEach(w -> put(w.records));
+        writes.stream().limit(world.random.nextInt(writes.size() + 1)).forEach(w -> put(w.records));
         writes.clear();
         late.clear();
         frozen = false;
         if (process != null) {
             process.dead = true;
-            world.platform.closed(process);
+            world.platform.processEnded(process);
         }
         process = null;
     }
@@ -140,12 +140,12 @@
         }
         writing = true;
         Write next = writes.get(0);
-        world.at((long) (syncNanos * (0.3 + world.chance.nextDouble())), () -> {
+        world.schedule((long) (syncNanos * (0.3 + world.random.nextDouble())), () -> {
             writing = false;
             if (disk != Disk.HANGING && writes.remove(next)) {
                 boolean whole = disk == Disk.WELL;
                 // A refused write may be there all the same.
-                if (whole || world.chance.nextInt(4) == 0) {
+                if (whole || world.random.nextInt(4) == 0) {
                     put(next.records);
                 }
                 next.of.deliver(() -> next.done.accept(whole));
@@ -154,7 +154,7 @@
         });
     }
 
-    void heals() {
+    void repairDisk() {
         disk = Disk.WELL;
         sync();
     }
@@ -193,11 +193,11 @@
                                     seeds,
                                     firstStart,
                                     new ToleratedLosses(world.toleratedLosses, world.toleratedZones, 0),
-                                    SimWorld.BEAT,
+                                    SimWorld.HEARTBEAT_NANOS,
                                     Environment.millis(5000),
                                     Environment.millis(3000),
                                     world.rates),
-                            world.platform.of(this),
+                            world.platform.clientFor(this),
                             new LinkedHashMap<>(synced));
                     controlNode.begin();
                 } else {
@@ -208,7 +208,7 @@
                                     host,
                                     zone,
                                     seeds,
-                                    SimWorld.BEAT,
+                                    SimWorld.HEARTBEAT_NANOS,
                                     Environment.millis(3000),
                                     0.2,
                                     Environment.millis(10_000),
@@ -217,7 +217,7 @@
                     proxy.begin();
                 }
             } catch (MalformedMessage e) {
-                world.faults.add("the disk of " + host + " cannot be used: " + e.getMessage());
+                world.violations.add("the disk of " + host + " cannot be used: " + e.getMessage());
             }
         }
 
@@ -235,18 +235,18 @@
 
         @Override
         public long now() {
-            return world.now() + (leasesByTimeOfDay ? timeOfDayStep : 0);
+            return world.now() + (leasesByWallClock ? wallClockOffsetNanos : 0);
         }
 
         @Override
         public SplittableRandom chance() {
-            return world.chance;
+            return world.random;
         }
 
         @Override
         public Runnable after(long nanos, Runnable what) {
             boolean[] off = new boolean[1];
-            world.at(
+            world.schedule(
                     nanos,
                     () -> deliver(() -> {
                         if (!off[0]) {
@@ -265,7 +265,7 @@
 
         @Override
         public void persist(Map<String, byte[]> records, Consumer<Boolean> done) {
-            if (world.tellsBeforeSync) {
+            if (world.acknowledgesBeforeSync) {
                 writes.add(new Write(new LinkedHashMap<>(records), this, whole -> {}));
                 deliver(() -> done.accept(true));
             } else {
@@ -281,7 +281,7 @@
 
         @Override
         public void violated(Invariant invariant, String detail) {
-            world.faults.add(
+            world.violations.add(
                     host + " at " + (world.now() / 1_000_000 - 1_000_000) + " ms: " + invariant + ", " + detail);
         }
 
--- a/proxy/src/test/java/saltdale/proxy/SimOperator.java
+++ b/proxy/src/test/java/saltdale/proxy/SimOperator.java
@@ -50,11 +50,11 @@
         List<ControlNode.Reply> got = new ArrayList<>();
         at.process.deliver(
                 () -> at.controlNode().change(amends, base, body.getBytes(StandardCharsets.UTF_8), got::add));
-        return world.until(5000, () -> !got.isEmpty()) ? got.get(0).status() : 0;
+        return world.runUntil(5000, () -> !got.isEmpty()) ? got.get(0).status() : 0;
     }
 
     /** Repeats the change at all control nodes in turn until one acknowledges it. */
-    static boolean insists(SimWorld world, long base, String body, long ms) {
+    static boolean replaceUntilAcknowledged(SimWorld world, long base, String body, long ms) {
         long end = world.now() + ms * 1_000_000;
         while (world.now() < end) {
             for (SimMachine each : world.controlNodes) {
@@ -68,36 +68,36 @@
     }
 
     /** A cluster whose proxies know the first configuration, with two workers in each zone. */
-    static SimWorld serving(long seed, int controlNodes, int proxies) {
-        return serving(new SimWorld(seed), controlNodes, proxies);
+    static SimWorld servingCluster(long seed, int controlNodes, int proxies) {
+        return servingCluster(new SimWorld(seed), controlNodes, proxies);
     }
 
-    static SimWorld serving(SimWorld world, int controlNodes, int proxies) {
+    static SimWorld servingCluster(SimWorld world, int controlNodes, int proxies) {
         for (int i = 0; i < 6; i++) {
-            world.platform.worker("w-" + i, SimWorld.ZONES[i % 3], 4096);
+            world.platform.addWorker("w-" + i, SimWorld.ZONES[i % 3], 4096);
         }
         world.platform.slots.put("fn", 4);
         world.platform.memory.put("fn", 128);
-        world.of(controlNodes, proxies).begin().run(2500);
-        assertTrue(insists(world, 0, config(1), 5000));
-        assertTrue(world.until(
+        world.withNodes(controlNodes, proxies).startAll().run(2500);
+        assertTrue(replaceUntilAcknowledged(world, 0, config(1), 5000));
+        assertTrue(world.runUntil(
                 3000, () -> world.proxies.stream().allMatch(p -> p.proxy().isReady())));
         return world;
     }
 
     /** So many calls a second for a while, each to any proxy that runs and is ready; returns at once. */
     static void load(SimWorld world, double perSecond, long ms) {
-        load(world, perSecond, ms, () -> world.chance.nextBoolean() ? "/a/1" : "/b/1");
+        load(world, perSecond, ms, () -> world.random.nextBoolean() ? "/a/1" : "/b/1");
     }
 
     static void load(SimWorld world, double perSecond, long ms, Supplier<String> path) {
         long end = world.now() + ms * 1_000_000;
-        world.at((long) (-Math.log(1 - world.chance.nextDouble()) / perSecond * 1e9), () -> {
+        world.schedule((long) (-Math.log(1 - world.random.nextDouble()) / perSecond * 1e9), () -> {
             List<SimMachine> ready = world.proxies.stream()
                     .filter(p -> p.proxy() != null && p.proxy().isReady())
                     .toList();
             if (!ready.isEmpty()) {
-                world.platform.call(ready.get(world.chance.nextInt(ready.size())), "h.example", path.get(), 3000);
+                world.platform.call(ready.get(world.random.nextInt(ready.size())), "h.example", path.get(), 3000);
             }
             if (world.now() < end) {
                 load(world, perSecond, (end - world.now()) / 1_000_000, path);
@@ -109,7 +109,7 @@
     static String read(SimWorld world, SimMachine at) {
         List<ControlNode.Reply> got = new ArrayList<>();
         at.process.deliver(() -> at.controlNode().read(got::add));
-        boolean came = world.until(5000, () -> !got.isEmpty()) && got.get(0).status() == 200;
+        boolean came = world.runUntil(5000, () -> !got.isEmpty()) && got.get(0).status() == 200;
         return came ? new String(got.get(0).body(), StandardCharsets.UTF_8) : null;
     }
 }
--- a/proxy/src/test/java/saltdale/proxy/SimPlatform.java
+++ b/proxy/src/test/java/saltdale/proxy/SimPlatform.java
@@ -55,13 +55,14 @@
             upAt = begunAt + Environment.millis(bootMs);
         }
 
-        boolean takes() {
+        boolean acceptsConnections() {
             return world.now() >= upAt && world.now() < goneAt;
         }
 
         void drain() {
             drainingAt = world.now();
-            goneAt = world.now() + Environment.millis(lagMs + 4500); // from when the list shows it, and a little longer
+            goneAt = world.now()
+                    + Environment.millis(listLagMs + 4500); // from when the list shows it, and a little longer
         }
     }
 
@@ -102,8 +103,8 @@
         }
 
         void tell(Attempt.End end) {
-            world.at(
-                    world.hop(),
+            world.schedule(
+                    world.randomDelayNanos(),
                     () -> from.deliver(() -> {
                         if (!closed) {
                             asked().ends.add(end);
@@ -120,7 +121,7 @@
         /** The instance sees its connection end and drops the work. */
         void close() {
             closed = true;
-            world.at(world.hop(), this::done);
+            world.schedule(world.randomDelayNanos(), this::done);
         }
 
         void done() {
@@ -137,11 +138,11 @@
     final Map<String, Integer> slots = new HashMap<>(); // by service
     final Map<String, Integer> memory = new HashMap<>();
     final List<Duty> duties = new ArrayList<>();
-    final List<OutgoingCall> all = new ArrayList<>();
-    final List<Long> overLimit = new ArrayList<>(); // when an instance got more than its slots
-    final List<String> overRate = new ArrayList<>(); // calls beyond the platform's rates
-    final List<String> notConnected = new ArrayList<>(); // instances that took no connection, as often
-    final List<Long> afterDrain = new ArrayList<>(); // calls that reached a draining instance too late
+    final List<OutgoingCall> calls = new ArrayList<>();
+    final List<Long> slotViolations = new ArrayList<>(); // when an instance got more than its slots
+    final List<String> rateViolations = new ArrayList<>(); // calls beyond the platform's rates
+    final List<String> failedConnections = new ArrayList<>(); // instances that took no connection, as often
+    final List<Long> callsAfterDrain = new ArrayList<>(); // calls that reached a draining instance too late
     private final Map<String, Instance> byNonce = new HashMap<>();
     private final Map<Long, SimMachine.Process> holders = new HashMap<>(); // by fence
     private final Map<Attempt, Sending> sendings = new LinkedHashMap<>();
@@ -149,56 +150,62 @@
     private final Deque<String> changes = new ArrayDeque<>();
     long highestFence;
     long bootMs = 500;
-    long lagMs = 800;
+    long listLagMs = 800;
     long workMs = 100;
-    double losesAnswers;
-    boolean silent;
+    double lostResponseProbability;
+    boolean unresponsive;
     boolean refusesOldFences = true;
     /** Hosts whose calls to the platform never come, and those whose starts and stops come late, by how much. */
-    final Set<String> unheard = new HashSet<>();
+    final Set<String> unreachableHosts = new HashSet<>();
 
-    final Map<String, Long> lateMs = new HashMap<>();
-    double breaks; // share of calls that an instance breaks off after it has begun
-    double turnsAway;
-    double unsent;
+    final Map<String, Long> dutyDelayMs = new HashMap<>();
+    double breakProbability; // share of calls that an instance breakProbability off after it has begun
+    double rejectProbability;
+    double unsentProbability;
     private int instanceCount;
 
     SimPlatform(SimWorld world) {
         this.world = world;
     }
 
-    Worker worker(String name, String zone, long megabytes) {
+    Worker addWorker(String name, String zone, long megabytes) {
         Worker made = new Worker(name, zone, megabytes);
         workers.put(name, made);
         return made;
     }
 
-    Platform of(SimMachine.Process process) {
+    Platform clientFor(SimMachine.Process process) {
         return new Platform() {
             @Override
-            public void instances(String token, Consumer<Answer> answer) {
+            public void listInstances(String token, Consumer<Response> answer) {
                 asked(
                         process,
                         "list" + (token == null ? "" : token),
                         lists,
-                        world.rates.listsPerSecond(),
+                        world.rates.listCallsPerSecond(),
                         () -> page(token),
                         answer);
             }
 
             @Override
-            public void workers(Consumer<Answer> answer) {
-                asked(process, "workers", lists, world.rates.listsPerSecond(), SimPlatform.this::workerList, answer);
+            public void listWorkers(Consumer<Response> answer) {
+                asked(
+                        process,
+                        "workers",
+                        lists,
+                        world.rates.listCallsPerSecond(),
+                        SimPlatform.this::workerList,
+                        answer);
             }
 
             @Override
-            public void begin(
-                    String holder, long fence, String service, String worker, String nonce, Consumer<Answer> answer) {
+            public void startInstance(
+                    String holder, long fence, String service, String worker, String nonce, Consumer<Response> answer) {
                 asked(
                         process,
                         "begin",
                         changes,
-                        world.rates.dutiesPerSecond(),
+                        world.rates.dutyCallsPerSecond(),
                         () -> duty(
                                 "begin",
                                 process,
@@ -210,12 +217,12 @@
             }
 
             @Override
-            public void stop(String holder, long fence, String id, Consumer<Answer> answer) {
+            public void stopInstance(String holder, long fence, String id, Consumer<Response> answer) {
                 asked(
                         process,
                         "stop",
                         changes,
-                        world.rates.dutiesPerSecond(),
+                        world.rates.dutyCallsPerSecond(),
                         () -> duty("stop", process, holder, fence, id, () -> stopped(id)),
                         answer);
             }
@@ -227,29 +234,29 @@
             String what,
             Deque<String> calls,
             double rate,
-            Supplier<Platform.Answer> made,
-            Consumer<Platform.Answer> answer) {
+            Supplier<Platform.Response> made,
+            Consumer<Platform.Response> answer) {
         boolean isDuty = what.equals("begin") || what.equals("stop");
-        long late = isDuty ? Environment.millis(lateMs.getOrDefault(process.machine.host, 0L)) : 0;
-        world.at(world.hop() + late, () -> {
+        long late = isDuty ? Environment.millis(dutyDelayMs.getOrDefault(process.machine.host, 0L)) : 0;
+        world.schedule(world.randomDelayNanos() + late, () -> {
             calls.removeIf(c -> world.now() / 1_000_000 - Long.parseLong(c.substring(0, c.indexOf(' '))) >= 1000);
             boolean over = calls.size() >= rate;
             calls.add(world.now() / 1_000_000 + " " + process.machine.host + " " + what);
             if (over) {
-                overRate.add(calls.pollLast() + " after " + calls);
+                rateViolations.add(calls.pollLast() + " after " + calls);
             }
-            Platform.Answer reply = silent || unheard.contains(process.machine.host)
+            Platform.Response reply = unresponsive || unreachableHosts.contains(process.machine.host)
                     ? null
-                    : over ? new Platform.Answer(429, null) : made.get();
-            boolean lost = reply == null || world.chance.nextDouble() < losesAnswers;
-            world.at(
-                    lost ? Environment.millis(1200) : world.hop(),
+                    : over ? new Platform.Response(429, null) : made.get();
+            boolean lost = reply == null || world.random.nextDouble() < lostResponseProbability;
+            world.schedule(
+                    lost ? Environment.millis(1200) : world.randomDelayNanos(),
                     () -> process.deliver(() -> answer.accept(lost ? null : reply)));
         });
     }
 
-    private Platform.Answer page(String token) {
-        long then = world.now() - Environment.millis(lagMs);
+    private Platform.Response page(String token) {
+        long then = world.now() - Environment.millis(listLagMs);
         int from = token == null ? 0 : Integer.parseInt(token);
         List<Instance> shown = instances.values().stream()
                 .filter(r -> r.upAt <= then && r.goneAt > then)
@@ -275,7 +282,7 @@
                         r.drainingAt <= then ? "draining" : "ready",
                         "cold_remaining_ms",
                         0L)));
-        return new Platform.Answer(
+        return new Platform.Response(
                 200,
                 Fields.tree(
                         "instances",
@@ -284,8 +291,8 @@
                         from + 50 < shown.size() ? Integer.toString(from + 50) : null));
     }
 
-    private Platform.Answer workerList() {
-        long then = world.now() - Environment.millis(lagMs);
+    private Platform.Response workerList() {
+        long then = world.now() - Environment.millis(listLagMs);
         List<Object> list = new ArrayList<>();
         workers.values()
                 .forEach(w -> list.add(Fields.tree(
@@ -299,7 +306,7 @@
                         free(w, then),
                         "state",
                         w.draining ? "draining" : "ready")));
-        return new Platform.Answer(200, Fields.tree("worker_machines", list));
+        return new Platform.Response(200, Fields.tree("worker_machines", list));
     }
 
     private long free(Worker worker, long then) {
@@ -310,47 +317,49 @@
                         .sum();
     }
 
-    private Platform.Answer duty(
+    private Platform.Response duty(
             String kind,
             SimMachine.Process process,
             String holder,
             long fence,
             String what,
-            Supplier<Platform.Answer> does) {
+            Supplier<Platform.Response> does) {
         SimMachine.Process other = holders.putIfAbsent(fence, process);
         if (other != null && other != process) {
-            world.faults.add("fence " + fence + " is used by two: " + other.machine.host + ", " + process.machine.host);
+            world.violations.add(
+                    "fence " + fence + " is used by two: " + other.machine.host + ", " + process.machine.host);
         }
-        Platform.Answer answer = fence < highestFence && refusesOldFences ? new Platform.Answer(403, null) : does.get();
+        Platform.Response answer =
+                fence < highestFence && refusesOldFences ? new Platform.Response(403, null) : does.get();
         highestFence = Math.max(highestFence, fence);
         duties.add(new Duty(world.now(), kind, holder, fence, what, answer.status()));
         return answer;
     }
 
-    private Platform.Answer begun(String service, String worker, String nonce) {
+    private Platform.Response begun(String service, String worker, String nonce) {
         Worker on = workers.get(worker);
         Instance instance = byNonce.get(service + " " + nonce);
         if (instance == null) {
             if (on == null || on.draining || free(on, world.now()) < memory.get(service)) {
-                return new Platform.Answer(409, null);
+                return new Platform.Response(409, null);
             }
             instance = new Instance(service, on);
             instances.put(instance.id, instance);
             byNonce.put(service + " " + nonce, instance);
         }
-        return new Platform.Answer(200, Fields.tree("identifier", instance.id, "address", instance.address));
+        return new Platform.Response(200, Fields.tree("identifier", instance.id, "address", instance.address));
     }
 
-    private Platform.Answer stopped(String id) {
+    private Platform.Response stopped(String id) {
         Instance instance = instances.get(id);
         if (instance == null) {
-            return new Platform.Answer(404, null);
+            return new Platform.Response(404, null);
         }
         instance.goneAt = Math.min(instance.goneAt, world.now());
-        return new Platform.Answer(200, Map.of());
+        return new Platform.Response(200, Map.of());
     }
 
-    List<Instance> live(String service) {
+    List<Instance> liveInstances(String service) {
         return instances.values().stream()
                 .filter(r -> r.service.equals(service) && r.goneAt > world.now())
                 .toList();
@@ -358,7 +367,7 @@
 
     Set<String> workersOf(String service) {
         Set<String> names = new HashSet<>();
-        live(service).forEach(r -> names.add(r.worker.name));
+        liveInstances(service).forEach(r -> names.add(r.worker.name));
         return names;
     }
 
@@ -370,18 +379,18 @@
         Configuration.Route route = decision instanceof RouteDecision.Found found ? found.route() : null;
         OutgoingCall asked = new OutgoingCall(route != null && route.idempotent());
         asked.at = at.process;
-        all.add(asked);
+        calls.add(asked);
         if (route == null) {
             asked.answers.add(decision == null ? 0 : decision instanceof RouteDecision.Denied ? 404 : 503);
             return asked;
         }
         at.process.deliver(
-                () -> at.proxy().arrived("a-" + all.size(), route, Environment.millis(leftMs), "10.9.9.9", asked));
+                () -> at.proxy().arrived("a-" + calls.size(), route, Environment.millis(leftMs), "10.9.9.9", asked));
         return asked;
     }
 
     /** A process has ended: its connections do too. */
-    void closed(SimMachine.Process process) {
+    void processEnded(SimMachine.Process process) {
         List.copyOf(sendings.values()).stream().filter(s -> s.from == process).forEach(s -> {
             sendings.remove(s.attempt);
             s.close();
@@ -395,13 +404,13 @@
                 Sending sending = new Sending(attempt, process, instances.get(attempt.instance));
                 OutgoingCall asked = sending.asked();
                 if (!asked.idempotent && asked.ends.stream().anyMatch(end -> end.status() != ExecutionStatus.NOT_RUN)) {
-                    world.faults.add(attempt.request.id + " is carried again after " + asked.ends);
+                    world.violations.add(attempt.request.id + " is carried again after " + asked.ends);
                 }
                 sendings.put(attempt, sending);
-                if (world.chance.nextDouble() < unsent) {
+                if (world.random.nextDouble() < unsentProbability) {
                     sending.tell(Attempt.End.UNSENT);
                 } else {
-                    world.at(world.hop(), () -> reached(sending));
+                    world.schedule(world.randomDelayNanos(), () -> reached(sending));
                 }
             }
 
@@ -432,10 +441,10 @@
 
             @Override
             public void tryConnection(String id, String address) {
-                world.at(
-                        2 * world.hop(),
+                world.schedule(
+                        2 * world.randomDelayNanos(),
                         () -> process.deliver(
-                                () -> process.proxy.tried(id, instances.get(id).takes())));
+                                () -> process.proxy.tried(id, instances.get(id).acceptsConnections())));
             }
 
             @Override
@@ -450,27 +459,27 @@
         if (sending.closed) {
             return;
         }
-        if (!to.takes()) {
-            notConnected.add(to.id);
+        if (!to.acceptsConnections()) {
+            failedConnections.add(to.id);
             sending.tell(Attempt.End.NOT_CONNECTED);
             return;
         }
         // The list has shown it as draining for longer than drain_ms.
-        if (to.drainingAt != Long.MAX_VALUE && world.now() - to.drainingAt > Environment.millis(lagMs + 3000)) {
-            afterDrain.add(world.now());
+        if (to.drainingAt != Long.MAX_VALUE && world.now() - to.drainingAt > Environment.millis(listLagMs + 3000)) {
+            callsAfterDrain.add(world.now());
         }
         if (to.busy >= slots.get(to.service)) {
-            overLimit.add(world.now());
+            slotViolations.add(world.now());
             sending.tell(Attempt.End.TURNED_AWAY);
-        } else if (world.chance.nextDouble() < turnsAway) {
+        } else if (world.random.nextDouble() < rejectProbability) {
             sending.tell(Attempt.End.TURNED_AWAY);
         } else {
             to.busy++;
             sending.working = true;
             sending.asked().runs++;
-            boolean breaking = world.chance.nextDouble() < breaks;
-            long work = (long) (workMs * 1e6 * (0.5 + world.chance.nextDouble()));
-            world.at(work, () -> {
+            boolean breaking = world.random.nextDouble() < breakProbability;
+            long work = (long) (workMs * 1e6 * (0.5 + world.random.nextDouble()));
+            world.schedule(work, () -> {
                 if (sending.working) {
                     sending.done();
                     sending.tell(breaking ? Attempt.End.BROKEN : Attempt.End.ANSWERED);
--- a/proxy/src/test/java/saltdale/proxy/SimTroubles.java
+++ b/proxy/src/test/java/saltdale/proxy/SimTroubles.java
@@ -16,11 +16,11 @@
     }
 
     private SimMachine any() {
-        return nodes.get(world.chance.nextInt(nodes.size()));
+        return nodes.get(world.random.nextInt(nodes.size()));
     }
 
     private boolean allVote() {
-        return world.newest != null
+        return world.newestChosen != null
                 && !world.isJoint()
                 && world.voters().size() == nodes.size()
                 && nodes.stream().allMatch(k -> world.voters().contains(k.id()));
@@ -28,15 +28,15 @@
 
     void strike() {
         SimMachine one = any();
-        switch (world.chance.nextInt(9)) {
+        switch (world.random.nextInt(9)) {
             case 0 -> one.kill();
             case 1 -> one.powerOff();
             case 2 -> nodes.forEach(SimMachine::powerOff);
             case 3 -> one.freeze();
             case 4 -> world.cut(one, any());
             case 5 -> world.cutOneWay(one, any());
-            case 6 -> one.syncNanos = (1 + world.chance.nextInt(200)) * 1_000_000L;
-            case 7 -> one.disk = SimMachine.Disk.values()[world.chance.nextInt(3)];
+            case 6 -> one.syncNanos = (1 + world.random.nextInt(200)) * 1_000_000L;
+            case 7 -> one.disk = SimMachine.Disk.values()[world.random.nextInt(3)];
             default -> {
                 // No more disks at once than is tolerated: all others are voters that know what their disks say.
                 if (allVote()) {
@@ -49,9 +49,9 @@
     }
 
     void heal() {
-        world.cuts.clear();
+        world.cutLinks.clear();
         for (SimMachine each : nodes) {
-            each.heals();
+            each.repairDisk();
             each.syncNanos = 3_000_000;
             if (each.frozen) {
                 each.thaw();
--- a/proxy/src/test/java/saltdale/proxy/SimWorld.java
+++ b/proxy/src/test/java/saltdale/proxy/SimWorld.java
@@ -29,11 +29,11 @@
  * the platform.
  */
 final class SimWorld {
-    static final long BEAT = Environment.millis(1200);
+    static final long HEARTBEAT_NANOS = Environment.millis(1200);
     static final String[] ZONES = {"z-a", "z-b", "z-c"};
 
     /** Changes what is sent, as a wrong variant of the code would; null where it sends nothing. */
-    interface Rewriting {
+    interface MessageRewriter {
         Message of(String from, String to, Message message);
     }
 
@@ -46,40 +46,40 @@
 
     private record Event(long at, long order, Runnable what) {}
 
-    final SplittableRandom chance;
+    final SplittableRandom random;
     final SimPlatform platform;
     final Map<String, SimMachine> machines = new LinkedHashMap<>(); // by host
     final List<SimMachine> controlNodes = new ArrayList<>();
     final List<SimMachine> proxies = new ArrayList<>();
-    final Set<String> cuts = new HashSet<>(); // "from>to"
-    final Map<Long, ReplicatedState> line = new HashMap<>(); // chosen states told, by version
-    final List<String> faults = new ArrayList<>(); // what must never be, as seen
+    final Set<String> cutLinks = new HashSet<>(); // "from>to"
+    final Map<Long, ReplicatedState> chosenByVersion = new HashMap<>(); // chosen states told, by version
+    final List<String> violations = new ArrayList<>(); // what must never be, as seen
     /** Sees each message that is sent. */
-    Consumer<Message> spy = message -> {};
+    Consumer<Message> messageObserver = message -> {};
 
     /** What carries the bytes of a proxy. */
     Function<SimMachine.Process, Transport> transports;
 
-    Rewriting rewriting = (from, to, message) -> message;
+    MessageRewriter messageRewriter = (from, to, message) -> message;
     /** Looks at the world after each event. */
-    Runnable afterEach = () -> {};
+    Runnable afterEachEvent = () -> {};
 
-    final Set<String> stalled = new HashSet<>(); // hosts whose messages leave only once they are released
+    final Set<String> stalledHosts = new HashSet<>(); // hosts whose messages leave only once they are released
     private final List<Runnable> held = new ArrayList<>();
     /** Sees each message that is sent, with the hosts of its sender and its receiver. */
-    interface Wire {
+    interface SendObserver {
         void sent(String from, String to, Message message);
     }
 
-    Wire wire = (from, to, message) -> {};
+    SendObserver sendObserver = (from, to, message) -> {};
 
     Platform.Rates rates = new Platform.Rates(26, 105, List.of("starting"));
-    boolean tellsBeforeSync; // wrong: what is written is told of at once
+    boolean acknowledgesBeforeSync; // wrong: what is written is told of at once
     int toleratedLosses = 1; // machines
     int toleratedZones;
 
     ControlNodeFactory controlNodeFactory = ControlNode::new;
-    ReplicatedState newest; // the newest chosen state told
+    ReplicatedState newestChosen; // the newest chosen state told
     private final PriorityQueue<Event> events =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
     private final Map<String, Long> arrived = new HashMap<>();
@@ -93,7 +93,7 @@
     private long now = Environment.millis(1_000_000);
 
     SimWorld(long seed) {
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
         platform = new SimPlatform(this);
         transports = platform::transport;
     }
@@ -104,16 +104,16 @@
         return now;
     }
 
-    void at(long nanos, Runnable what) {
+    void schedule(long nanos, Runnable what) {
         events.add(new Event(now + Math.max(0, nanos), order++, what));
     }
 
     void run(long ms) {
-        until(ms, () -> false);
+        runUntil(ms, () -> false);
     }
 
     /** Runs until this holds; whether it did within the time. */
-    boolean until(long ms, BooleanSupplier holds) {
+    boolean runUntil(long ms, BooleanSupplier holds) {
         long end = now + Environment.millis(ms);
         while (!holds.getAsBoolean()) {
             if (events.isEmpty() || events.peek().at > end) {
@@ -123,14 +123,14 @@
             Event next = events.poll();
             now = next.at;
             next.what.run();
-            afterEach.run();
+            afterEachEvent.run();
         }
         return true;
     }
 
     /** The way of a message: mostly short, now and then long. */
-    long hop() {
-        return (long) ((0.2 + chance.nextDouble() * (chance.nextInt(20) == 0 ? 40 : 1.5)) * 1e6);
+    long randomDelayNanos() {
+        return (long) ((0.2 + random.nextDouble() * (random.nextInt(20) == 0 ? 40 : 1.5)) * 1e6);
     }
 
     // Machines.
@@ -155,7 +155,7 @@
     }
 
     /** So many control nodes at their first start, and so many proxies spread over the zones, not yet begun. */
-    SimWorld of(int controlNodeCount, int proxyCount) {
+    SimWorld withNodes(int controlNodeCount, int proxyCount) {
         toleratedLosses = controlNodeCount / 2;
         List<String> hosts = new ArrayList<>();
         for (int i = 1; i <= controlNodeCount; i++) {
@@ -168,7 +168,7 @@
         return this;
     }
 
-    SimWorld begin() {
+    SimWorld startAll() {
         List.copyOf(machines.values()).forEach(SimMachine::start);
         return this;
     }
@@ -179,7 +179,7 @@
     }
 
     void cutOneWay(SimMachine from, SimMachine to) {
-        cuts.add(from.host + ">" + to.host);
+        cutLinks.add(from.host + ">" + to.host);
     }
 
     /** Cuts it from all other control nodes. */
@@ -190,18 +190,18 @@
     // Messages.
 
     /** What stalled processes have sent leaves now, late and all at once. */
-    void release() {
-        stalled.clear();
+    void releaseStalled() {
+        stalledHosts.clear();
         List<Runnable> due = List.copyOf(held);
         held.clear();
         due.forEach(Runnable::run);
     }
 
     void send(String from, String host, Message original) {
-        Message message = rewriting.of(from, host, original);
+        Message message = messageRewriter.of(from, host, original);
         if (message == null) {
             return;
-        } else if (stalled.contains(from)) {
+        } else if (stalledHosts.contains(from)) {
             held.add(() -> leaves(from, host, message));
             return;
         }
@@ -209,13 +209,13 @@
     }
 
     private void leaves(String from, String host, Message message) {
-        spy.accept(message);
-        wire.sent(from, host, message);
+        messageObserver.accept(message);
+        sendObserver.sent(from, host, message);
         if (message instanceof Chosen news) {
             chosen(news.state());
         }
         String way = from + ">" + host;
-        if (cuts.contains(way)) {
+        if (cutLinks.contains(way)) {
             return;
         }
         byte[] bytes = MessageCodec.encode(message);
@@ -241,25 +241,25 @@
         }
         long free = Math.max(now, linkFreeAt.getOrDefault(host, 0L)) + bytes * 8 * 1_000_000_000L / speed;
         linkFreeAt.put(host, free);
-        at(free - now, then);
+        schedule(free - now, then);
     }
 
     /** Something else goes over a machine's link, requests and answers for instance. */
-    void occupy(String host, long bytes) {
+    void addLinkTraffic(String host, long bytes) {
         overLink(host, bytes, () -> {});
     }
 
     /** In order between two hosts; between others any. */
     private void travels(String way, Runnable then) {
-        long due = Math.max(now + hop(), arrived.getOrDefault(way, 0L));
+        long due = Math.max(now + randomDelayNanos(), arrived.getOrDefault(way, 0L));
         arrived.put(way, due);
-        at(due - now, then);
+        schedule(due - now, then);
     }
 
     private void arrives(String way, String host, String from, byte[] bytes) {
-        at(0, () -> {
+        schedule(0, () -> {
             SimMachine to = machines.get(host);
-            if (to != null && to.process != null && !cuts.contains(way)) {
+            if (to != null && to.process != null && !cutLinks.contains(way)) {
                 SimMachine.Process process = to.process;
                 process.deliver(() -> take(process, from, bytes));
             }
@@ -270,29 +270,29 @@
         try {
             process.take(from, MessageCodec.decode(bytes));
         } catch (MalformedMessage e) {
-            faults.add("malformed, of " + from + ": " + e.getMessage());
+            violations.add("malformed, of " + from + ": " + e.getMessage());
         }
     }
 
     private void chosen(ReplicatedState state) {
-        ReplicatedState before = line.putIfAbsent(state.version(), state);
+        ReplicatedState before = chosenByVersion.putIfAbsent(state.version(), state);
         if (before != null && !before.equals(state)) {
-            faults.add("version " + state.version() + " is both " + before + " and " + state);
+            violations.add("version " + state.version() + " is both " + before + " and " + state);
         }
-        if (newest == null || state.version() > newest.version()) {
-            newest = state;
+        if (newestChosen == null || state.version() > newestChosen.version()) {
+            newestChosen = state;
         }
     }
 
     /** Ids of the voters of the newest state told. */
     List<String> voters() {
-        return newest == null
+        return newestChosen == null
                 ? List.of()
-                : newest.voters().stream().map(Voter::id).toList();
+                : newestChosen.voters().stream().map(Voter::id).toList();
     }
 
     /** Whether a change of voters is under way, by the newest state told. */
     boolean isJoint() {
-        return newest != null && newest.isJoint();
+        return newestChosen != null && newestChosen.isJoint();
     }
 }
--- a/proxy/src/test/java/saltdale/proxy/Slopes.java
+++ b/proxy/src/test/java/saltdale/proxy/Slopes.java
@@ -22,7 +22,7 @@
     }
 
     private static void measure(int proxies, int functions) {
-        SimWorld world = SimOperator.serving(5, 3, proxies);
+        SimWorld world = SimOperator.servingCluster(5, 3, proxies);
         List<String> routes = new ArrayList<>();
         List<String> services = new ArrayList<>();
         for (int i = 0; i < functions; i++) {
@@ -33,12 +33,12 @@
             world.platform.memory.put("fn" + i, 16);
         }
         Map<MessageKind, long[]> sent = new EnumMap<>(MessageKind.class);
-        world.spy = message -> {
+        world.messageObserver = message -> {
             long[] count = sent.computeIfAbsent(message.kind(), kind -> new long[2]);
             count[0]++;
             count[1] += MessageCodec.encode(message).length + 4;
         };
-        SimOperator.insists(
+        SimOperator.replaceUntilAcknowledged(
                 world,
                 1,
                 "{\"revision\":2,\"routes\":[" + String.join(",", routes) + "],\"services\":["
@@ -48,7 +48,7 @@
         long change = sent.values().stream().mapToLong(c -> c[1]).sum();
         sent.clear();
         // One call a second at each proxy, whatever their number.
-        SimOperator.load(world, proxies, SECONDS * 1000, () -> "/f" + world.chance.nextInt(functions) + "/1");
+        SimOperator.load(world, proxies, SECONDS * 1000, () -> "/f" + world.random.nextInt(functions) + "/1");
         world.run(SECONDS * 1000);
         StringBuilder line = new StringBuilder(proxies + " " + functions + " |");
         long messages = 0;
--- a/proxy/src/test/java/saltdale/proxy/TroublePairsTest.java
+++ b/proxy/src/test/java/saltdale/proxy/TroublePairsTest.java
@@ -8,9 +8,9 @@
 import static org.hamcrest.Matchers.nullValue;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static saltdale.proxy.SimOperator.config;
-import static saltdale.proxy.SimOperator.insists;
 import static saltdale.proxy.SimOperator.read;
 import static saltdale.proxy.SimOperator.replace;
+import static saltdale.proxy.SimOperator.replaceUntilAcknowledged;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -65,13 +65,13 @@
 
         Days(long seed, int tolerated) {
             this.tolerated = tolerated;
-            world = SimOperator.serving(seed, 2 * tolerated + 1, 2);
+            world = SimOperator.servingCluster(seed, 2 * tolerated + 1, 2);
             acted = world.controlNodes.get(0);
         }
 
         /** Changes go on; one without a clear answer is sent again as it was, to any control node. */
         void operate() {
-            SimMachine at = world.controlNodes.get(world.chance.nextInt(world.controlNodes.size()));
+            SimMachine at = world.controlNodes.get(world.random.nextInt(world.controlNodes.size()));
             long on = base;
             if (at.process != null) {
                 replace(at, on, config(on + 1), reply -> {
@@ -80,11 +80,11 @@
                         base = Math.max(base, on + 1);
                         acted = at;
                     } else if (reply.status() < 500) {
-                        world.faults.add("the change on " + on + " got " + reply.status() + ": " + reply.why());
+                        world.violations.add("the change on " + on + " got " + reply.status() + ": " + reply.why());
                     }
                 });
             }
-            world.at((150 + world.chance.nextInt(400)) * 1_000_000L, () -> {
+            world.schedule((150 + world.random.nextInt(400)) * 1_000_000L, () -> {
                 if (!over) {
                     operate();
                 }
@@ -98,7 +98,7 @@
             boolean all = trouble == Trouble.ALL_KILLED || trouble == Trouble.ALL_WITHOUT_POWER;
             victims = victims.subList(0, all ? victims.size() : tolerated);
             victims.forEach(victim -> begin(trouble, victim));
-            world.run(500 + world.chance.nextInt(3000));
+            world.run(500 + world.random.nextInt(3000));
             victims.forEach(victim -> end(trouble, victim));
         }
 
@@ -126,18 +126,18 @@
         private void end(Trouble trouble, SimMachine victim) {
             switch (trouble) {
                 case FROZEN -> victim.thaw();
-                case CUT, CUT_ONE_WAY, CUT_AND_RESTARTED -> world.cuts.clear();
+                case CUT, CUT_ONE_WAY, CUT_AND_RESTARTED -> world.cutLinks.clear();
                 case REPLACED -> {
                     remove(victim);
                     successor(victim);
                 }
                 case REPLACED_AS_PLANNED -> {
                     terminate(victim);
-                    world.until(GRACE, () -> victim.process == null);
+                    world.runUntil(GRACE, () -> victim.process == null);
                     victim.wipe();
                     remove(victim);
                 }
-                case DISK_FULL, DISK_HANGS -> victim.heals();
+                case DISK_FULL, DISK_HANGS -> victim.repairDisk();
                 case DISK_SLOW -> victim.syncNanos /= 30;
                 default -> victim.start();
             }
@@ -166,17 +166,17 @@
             world.run(CONTACT[tolerated - 1]);
             over = true;
             long last = base;
-            assertTrue(insists(world, last, config(last + 1), 5000), "no change is acknowledged");
+            assertTrue(replaceUntilAcknowledged(world, last, config(last + 1), 5000), "no change is acknowledged");
             acknowledged = Math.max(acknowledged, last + 1);
             for (SimMachine each : world.controlNodes) {
                 String text = read(world, each);
                 assertThat(each.host + " reads", text, is(not(nullValue())));
                 assertThat(AgreementTest.revision(text), greaterThanOrEqualTo(acknowledged));
             }
-            boolean inForce =
-                    world.until(CONFIG_APPLY, () -> world.proxies.stream().allMatch(proxy -> hasNewest(proxy.proxy())));
+            boolean inForce = world.runUntil(
+                    CONFIG_APPLY, () -> world.proxies.stream().allMatch(proxy -> hasNewest(proxy.proxy())));
             assertTrue(inForce, "not in force at all proxies");
-            assertThat(world.faults, is(empty()));
+            assertThat(world.violations, is(empty()));
         }
 
         private boolean hasNewest(Proxy proxy) {
@@ -207,7 +207,7 @@
     private void play(long seed, int tolerated, Trouble first, Trouble second) {
         Days days = new Days(seed, tolerated);
         days.operate();
-        days.world.run(500 + days.world.chance.nextInt(500));
+        days.world.run(500 + days.world.random.nextInt(500));
         days.strike(first);
         days.world.run(CATCH_UP[tolerated - 1]);
         days.strike(second);
