--- a/node/src/main/java/saltdale/node/ProxyProcess.java
+++ b/node/src/main/java/saltdale/node/ProxyProcess.java
@@ -59,7 +59,7 @@
                         settings.retrySlack),
                 this);
         seedWatch = new SeedWatch(
-                environment, settings, () -> proxy.configurationAge() <= settings.configApply, proxy::seeds);
+                environment, settings, () -> proxy.configurationAge() <= settings.configApply, proxy::updateSeeds);
         if (settings.front == null || settings.readiness == null) {
             throw new Settings.Wrong("listen_addresses: a proxy needs front and readiness");
         }
@@ -77,7 +77,7 @@
 
     @Override
     public void run() throws IOException {
-        proxy.begin();
+        proxy.start();
         seedWatch.begin();
         environment.noteTraffic(Duration.ofSeconds(10));
         environment.loop.run(() -> {});
@@ -89,11 +89,11 @@
         environment.loop.fromOutside(() -> {
             if (!ending) {
                 ending = true;
-                proxy.end(settings.grace / 3);
+                proxy.shutDown(settings.grace / 3);
                 // New connections still come until whoever hands them out has missed us twice.
                 environment.loop.after(Duration.ofMillis(2300), this::close);
                 environment.loop.after(Duration.ofNanos(settings.grace * 5 / 6), () -> {
-                    proxy.endNow();
+                    proxy.failOpenRequests();
                     environment.loop.after(Duration.ofNanos(settings.grace / 20), environment.loop::stop);
                 });
             }
@@ -116,7 +116,7 @@
                 .filter(visit -> visit.isIdle() && visit.isFlushed())
                 .toList()
                 .forEach(Visit::drop);
-        if (visits.isEmpty() && proxy.open() == 0 && environment.sockets.finishing() == 0) {
+        if (visits.isEmpty() && proxy.openRequests() == 0 && environment.sockets.finishing() == 0) {
             environment.loop.stop();
         } else {
             environment.loop.after(Duration.ofMillis(50), this::closeIdle);
@@ -127,12 +127,12 @@
 
     @Override
     public void message(String fromHost, Message message) throws MalformedMessage {
-        proxy.message(fromHost, message);
+        proxy.handleMessage(fromHost, message);
     }
 
     @Override
     public void broken(String host) {
-        proxy.unreachable(host);
+        proxy.connectionLost(host);
     }
 
     // Clients.
@@ -172,8 +172,8 @@
             long millis = left == null ? route.timeoutMs() : Long.parseLong(left);
             ClientRequest client = new ClientRequest(visit, head, body);
             visit.held = client;
-            Request request = proxy.arrived(id, route, millis * 1_000_000, visit.peer(), client);
-            if (!request.isOver()) {
+            Request request = proxy.handleRequest(id, route, millis * 1_000_000, visit.peer(), client);
+            if (!request.isFinished()) {
                 visit.held = request;
             }
         }
@@ -186,7 +186,7 @@
     @Override
     public void abandoned(Visit visit) {
         if (visit.held instanceof Request request) {
-            proxy.left(request);
+            proxy.clientDisconnected(request);
         }
     }
 
@@ -273,24 +273,24 @@
     }
 
     @Override
-    public void carry(Attempt attempt) {
+    public void send(Attempt attempt) {
         ClientRequest client = (ClientRequest) attempt.request.clientContext;
         if (Address.parse(attempt.address) == null) {
-            environment.loop.soon(() -> proxy.ended(attempt, Attempt.End.NOT_CONNECTED));
+            environment.loop.soon(() -> proxy.attemptEnded(attempt, Attempt.Outcome.NOT_CONNECTED));
             return;
         }
         UpstreamExchange exchange =
-                new UpstreamExchange(attempt, connections(attempt.instance, attempt.address), (which, end) -> {
-                    if (end != Attempt.End.ANSWERED) {
+                new UpstreamExchange(attempt, connections(attempt.instanceId, attempt.address), (which, end) -> {
+                    if (end != Attempt.Outcome.ANSWERED) {
                         exchanges.remove(attempt);
                     }
-                    proxy.ended(attempt, end);
+                    proxy.attemptEnded(attempt, end);
                 });
         exchanges.put(attempt, exchange);
         long left = Math.max(1, (attempt.deadline - environment.now()) / 1_000_000);
         if (!exchange.begin(client.head, client.body, left)) {
             exchanges.remove(attempt);
-            environment.loop.soon(() -> proxy.ended(attempt, Attempt.End.NOT_CONNECTED));
+            environment.loop.soon(() -> proxy.attemptEnded(attempt, Attempt.Outcome.NOT_CONNECTED));
         }
     }
 
@@ -301,13 +301,13 @@
     }
 
     @Override
-    public void deliver(Attempt attempt) {
+    public void deliverAnswer(Attempt attempt) {
         UpstreamExchange exchange = exchanges.remove(attempt);
         ((ClientRequest) attempt.request.clientContext).visit.passBack(exchange.head, exchange.body);
     }
 
     @Override
-    public void refuse(Request request, int status, long pauseMillis, String why) {
+    public void sendError(Request request, int status, long pauseMillis, String why) {
         String more = pauseMillis == 0
                 ? ""
                 : "Retry-After: " + pauseMillis / 1000 + "."
@@ -318,18 +318,19 @@
     }
 
     @Override
-    public void tryConnection(String id, String address) {
+    public void testConnection(String id, String address) {
         if (Address.parse(address) == null) {
             return;
         }
-        boolean tries = connections(id, address).probe(takesConnections -> proxy.tried(id, takesConnections));
+        boolean tries =
+                connections(id, address).probe(takesConnections -> proxy.connectionTested(id, takesConnections));
         if (!tries) {
-            environment.loop.after(DIAL, () -> proxy.tried(id, false));
+            environment.loop.after(DIAL, () -> proxy.connectionTested(id, false));
         }
     }
 
     @Override
-    public void forget(String id) {
+    public void forgetInstance(String id) {
         PooledConnections toInstance = connections.remove(id);
         if (toInstance != null) {
             toInstance.closeIdle();
--- a/node/src/main/java/saltdale/node/UpstreamExchange.java
+++ b/node/src/main/java/saltdale/node/UpstreamExchange.java
@@ -12,7 +12,7 @@
 /** One attempt on its connection: what goes to the instance, and whether what comes back is its whole answer. */
 class UpstreamExchange implements Connection.Owner {
     interface Ended {
-        void ended(UpstreamExchange exchange, Attempt.End end);
+        void ended(UpstreamExchange exchange, Attempt.Outcome end);
     }
 
     private static final Set<String> DROPPED =
@@ -55,7 +55,7 @@
                 request,
                 DROPPED,
                 KEPT,
-                "X-Saltdale-Deadline-Remaining: " + leftMillis + "\r\nX-Saltdale-Expected-Runner: " + attempt.instance
+                "X-Saltdale-Deadline-Remaining: " + leftMillis + "\r\nX-Saltdale-Expected-Runner: " + attempt.instanceId
                         + "\r\n" + (bodied ? "Content-Length: " + requestBody.length + "\r\n" : ""));
         connection.send(head, requestBody);
         return true;
@@ -67,7 +67,7 @@
         while (!over) {
             parser.take(bytes);
             if (parser.bad()) {
-                end(Attempt.End.BROKEN, false);
+                end(Attempt.Outcome.BROKEN, false);
             } else if (withoutBody && parser.head() != null && bearsOurId(parser.head())) {
                 judge(false);
             } else if (!parser.whole()) {
@@ -75,7 +75,7 @@
             } else if (isOurs(parser.head())) {
                 judge(!bytes.hasRemaining());
             } else if (++surplus > MOST_SURPLUS || !parser.framed() || isUnclear(parser.head())) {
-                end(Attempt.End.BROKEN, false);
+                end(Attempt.Outcome.BROKEN, false);
             } else {
                 parser.next(); // a late answer to another attempt: it belongs to nobody here
             }
@@ -113,16 +113,16 @@
     /** The answer to this attempt is there; {@code clean}: and nothing after it. */
     private void judge(boolean clean) {
         Head answer = parser.head();
-        Attempt.End refusal = refusal(answer);
+        Attempt.Outcome refusal = refusal(answer);
         boolean rests = clean && surplus == 0 && parser.framed() && answer.keepsAlive() && connection.isWritten();
         if (refusal != null) {
             end(refusal, rests && !bearsNoId(answer));
         } else if (isAnswer(answer)) {
             head = answer;
             body = withoutBody ? NO_BODY : parser.body();
-            end(Attempt.End.ANSWERED, rests);
+            end(Attempt.Outcome.ANSWERED, rests);
         } else {
-            end(Attempt.End.BROKEN, false);
+            end(Attempt.Outcome.BROKEN, false);
         }
     }
 
@@ -136,21 +136,21 @@
     }
 
     /** How the instance says that it did not run the request; null where it says no such thing. */
-    private static Attempt.End refusal(Head answer) {
+    private static Attempt.Outcome refusal(Head answer) {
         if (answer.status() == 421) {
-            return Attempt.End.MISDIRECTED;
+            return Attempt.Outcome.MISDIRECTED;
         }
         return answer.header("X-Saltdale-Not-Executed") != null && answer.status() >= 400
-                ? Attempt.End.TURNED_AWAY
+                ? Attempt.Outcome.TURNED_AWAY
                 : null;
     }
 
     @Override
     public void ended(String cause) {
         if (cause.startsWith("not connected")) {
-            end(Attempt.End.NOT_CONNECTED, false);
+            end(Attempt.Outcome.NOT_CONNECTED, false);
         } else {
-            end(isUnsent() ? Attempt.End.UNSENT : Attempt.End.BROKEN, false);
+            end(isUnsent() ? Attempt.Outcome.UNSENT : Attempt.Outcome.BROKEN, false);
         }
     }
 
@@ -167,7 +167,7 @@
         return unsent;
     }
 
-    private void end(Attempt.End how, boolean rests) {
+    private void end(Attempt.Outcome how, boolean rests) {
         if (over) {
             return;
         }
--- a/node/src/test/java/saltdale/node/ChainModel.java
+++ b/node/src/test/java/saltdale/node/ChainModel.java
@@ -153,13 +153,13 @@
         byPath.put(path, client);
         long left = Environment.millis(300 + cluster.chance().nextInt(3000));
         cluster.deliver(process, () -> {
-            Request request = cluster.proxy(process).arrived(client.attemptId, route, left, "10.9.9.9", client);
+            Request request = cluster.proxy(process).handleRequest(client.attemptId, route, left, "10.9.9.9", client);
             if (happens(leaves)) {
                 cluster.at(
                         cluster.chance().nextLong(200_000_000L),
                         () -> cluster.deliver(process, () -> {
                             client.left = client.answers == 0;
-                            cluster.proxy(process).left(request);
+                            cluster.proxy(process).clientDisconnected(request);
                         }));
             }
         });
@@ -244,15 +244,15 @@
         }
 
         @Override
-        public void carry(Attempt attempt) {
+        public void send(Attempt attempt) {
             ClientRequest client = (ClientRequest) attempt.request.clientContext;
             UpstreamConnections to = connections.computeIfAbsent(
-                    attempt.instance, id -> new ChainConnection.Connections(ChainModel.this, process, id));
+                    attempt.instanceId, id -> new ChainConnection.Connections(ChainModel.this, process, id));
             UpstreamExchange exchange = exchanges.of(attempt, to, (which, end) -> {
-                if (end != Attempt.End.ANSWERED) {
+                if (end != Attempt.Outcome.ANSWERED) {
                     open.remove(attempt);
                 }
-                cluster.proxy(process).ended(attempt, end);
+                cluster.proxy(process).attemptEnded(attempt, end);
             });
             open.put(attempt, exchange);
             long left = Math.max(1, (attempt.deadline - cluster.now()) / 1_000_000);
@@ -265,27 +265,27 @@
         }
 
         @Override
-        public void deliver(Attempt attempt) {
+        public void deliverAnswer(Attempt attempt) {
             UpstreamExchange exchange = open.remove(attempt);
             String body = new String(exchange.body, StandardCharsets.ISO_8859_1);
             answered((ClientRequest) attempt.request.clientContext, exchange.head.status(), body);
         }
 
         @Override
-        public void refuse(Request request, int status, long pauseMillis, String why) {
+        public void sendError(Request request, int status, long pauseMillis, String why) {
             answered((ClientRequest) request.clientContext, status, "");
         }
 
         @Override
-        public void tryConnection(String id, String address) {
+        public void testConnection(String id, String address) {
             cluster.at(
                     2 * cluster.hop(),
                     () -> cluster.deliver(
-                            process, () -> cluster.proxy(process).tried(id, cluster.takesConnections(id))));
+                            process, () -> cluster.proxy(process).connectionTested(id, cluster.takesConnections(id))));
         }
 
         @Override
-        public void forget(String id) {
+        public void forgetInstance(String id) {
             ChainConnection.Connections known = connections.remove(id);
             if (known != null) {
                 known.closeIdle();
--- a/node/src/test/java/saltdale/node/UpstreamExchangeTest.java
+++ b/node/src/test/java/saltdale/node/UpstreamExchangeTest.java
@@ -43,11 +43,11 @@
     private UpstreamExchange exchange;
 
     /** The end of an exchange with an instance that reads the request, writes this and closes. */
-    private Attempt.End end(String answer) throws Exception {
+    private Attempt.Outcome end(String answer) throws Exception {
         try (ServerSocket instance = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             CompletableFuture<String> read = CompletableFuture.supplyAsync(() -> serve(instance, answer));
             Loop loop = new Loop();
-            Attempt.End end = exchange(loop, connections(loop, instance), Attempts.of("me", "127.0.0.1:1"));
+            Attempt.Outcome end = exchange(loop, connections(loop, instance), Attempts.of("me", "127.0.0.1:1"));
             sent = read.get(10, TimeUnit.SECONDS);
             return end;
         }
@@ -62,10 +62,10 @@
                 Duration.ofSeconds(2)));
     }
 
-    private Attempt.End exchange(Loop loop, UpstreamConnections connections, Attempt attempt) throws IOException {
+    private Attempt.Outcome exchange(Loop loop, UpstreamConnections connections, Attempt attempt) throws IOException {
         HttpParser parser = new HttpParser(HttpParser.Kind.REQUEST);
         parser.take(ByteBuffer.wrap(REQUEST.getBytes(StandardCharsets.ISO_8859_1)));
-        List<Attempt.End> ends = new ArrayList<>();
+        List<Attempt.Outcome> ends = new ArrayList<>();
         exchange = new UpstreamExchange(attempt, connections, (which, how) -> ends.add(how));
         assertThat(exchange.begin(parser.head(), parser.body(), 700), is(true));
         while (ends.isEmpty()) {
@@ -91,13 +91,13 @@
                 "ANSWERED; true; HTTP/1.1 100 Go on||"
                         + "HTTP/1.1 200 OK|X-Saltdale-Attempt-Id: me|X-Saltdale-Runner-Seal: s|Content-Length: 2||ok"
             })
-    void aLateRefusalIsNotTakenForOurs(Attempt.End expected, boolean idempotent, String second) throws Exception {
+    void aLateRefusalIsNotTakenForOurs(Attempt.Outcome expected, boolean idempotent, String second) throws Exception {
         String first = "HTTP/1.1 200 OK|X-Saltdale-Attempt-Id: first|X-Saltdale-Runner-Seal: s|Content-Length: 0||";
         try (ServerSocket instance = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             CompletableFuture<String> served = CompletableFuture.supplyAsync(() -> serve(instance, first, second));
             Loop loop = new Loop();
             PooledConnections connections = connections(loop, instance);
-            assertThat(exchange(loop, connections, Attempts.of("first", "127.0.0.1:1")), is(Attempt.End.ANSWERED));
+            assertThat(exchange(loop, connections, Attempts.of("first", "127.0.0.1:1")), is(Attempt.Outcome.ANSWERED));
             Attempt attempt = Attempts.of("me", "127.0.0.1:1", idempotent);
             assertThat(exchange(loop, connections, attempt), is(expected));
             served.get(10, TimeUnit.SECONDS);
@@ -117,7 +117,7 @@
             PooledConnections connections = connections(loop, instance);
             for (int i = 0; i < 2; i++) {
                 Attempt attempt = Attempts.of("me", "127.0.0.1:1");
-                assertThat(exchange(loop, connections, attempt), is(Attempt.End.ANSWERED));
+                assertThat(exchange(loop, connections, attempt), is(Attempt.Outcome.ANSWERED));
             }
             served.get(10, TimeUnit.SECONDS);
         }
@@ -170,9 +170,9 @@
                 "TURNED_AWAY; HTTP/1.1 429 Busy|X-Saltdale-Attempt-Id: me|X-Saltdale-Not-Executed: 1|Content-Length: 0||",
                 "MISDIRECTED; HTTP/1.1 421 Not me|X-Saltdale-Runner-Id: i-2|Content-Length: 0||"
             })
-    void onlyAWholeAnswerToThisRequestIsOne(Attempt.End expected, String answer) throws Exception {
+    void onlyAWholeAnswerToThisRequestIsOne(Attempt.Outcome expected, String answer) throws Exception {
         assertThat(end(answer), is(expected));
-        if (expected == Attempt.End.ANSWERED && answer.contains("200")) {
+        if (expected == Attempt.Outcome.ANSWERED && answer.contains("200")) {
             assertThat(new String(exchange.body, StandardCharsets.ISO_8859_1), is("ok"));
         }
     }
--- a/node/src/test/java/saltdale/proxy/SimCluster.java
+++ b/node/src/test/java/saltdale/proxy/SimCluster.java
@@ -97,10 +97,10 @@
             return;
         }
         Proxy ending = machine.proxy();
-        ending.end(Environment.millis(700));
+        ending.shutDown(Environment.millis(700));
         world.at(Environment.millis(2000), () -> {
             if (machine.proxy() == ending) {
-                machine.process.deliver(ending::endNow);
+                machine.process.deliver(ending::failOpenRequests);
             }
         });
         world.at(Environment.millis(2100), () -> {
--- a/proxy/src/main/java/saltdale/proxy/Attempt.java
+++ b/proxy/src/main/java/saltdale/proxy/Attempt.java
@@ -3,52 +3,56 @@
 import saltdale.control.Instance;
 import saltdale.control.Member;
 
-/** One sending of a request to an instance, in a slot that its owner has granted for it. */
+/** One attempt to have a request executed by an instance, in a slot granted for it by the owner of the service. */
 public final class Attempt {
-    /** How it ended. */
-    public enum End {
-        /** The instance's whole answer is there, and it is the answer to this attempt. */
+    /** How an attempt ended; transmitted by its position. */
+    public enum Outcome {
+        /** The complete answer of the instance to this attempt was received. */
         ANSWERED,
-        /** The instance says that it did not run it: it is full, or the time was over in its queue. */
+        /** The instance states that it did not execute the request: it is full, or the deadline passed in its queue. */
         TURNED_AWAY,
-        /** Another instance has the address. */
+        /** The address belongs to another instance by now. */
         MISDIRECTED,
+        /** No connection could be established. */
         NOT_CONNECTED,
-        /** Reset or closed before its last byte was sent, with nothing having come back. */
+        /** The connection was reset or closed before the last byte was sent, and nothing was received. */
         UNSENT,
-        /** Reset, closed, cut short or garbled after the whole of it was sent. */
+        /** The whole request was sent, and then the connection failed or the answer was incomplete or malformed. */
         BROKEN,
-        /** We broke it off ourselves. */
+        /** This proxy closed the connection. */
         ABANDONED;
 
-        public ExecutionStatus status() {
+        /** What this outcome says about the execution of the request. */
+        public ExecutionStatus executionStatus() {
             return switch (this) {
-                case ANSWERED -> ExecutionStatus.RAN;
-                case BROKEN, ABANDONED -> ExecutionStatus.MAY_HAVE_RUN;
-                default -> ExecutionStatus.NOT_RUN;
+                case ANSWERED -> ExecutionStatus.EXECUTED;
+                case BROKEN, ABANDONED -> ExecutionStatus.POSSIBLY_EXECUTED;
+                default -> ExecutionStatus.NOT_EXECUTED;
             };
         }
     }
 
     public final Request request;
-    public final String instance;
+    public final String instanceId;
     public final String address;
+    /** When the request is given up at the latest, in nanoseconds on the clock of the environment. */
     public final long deadline;
-    final String zone; // the instance's
-    Member owner; // whom the slot goes back to
-    final String slotKey; // names the grant at its owner
-    String life; // of this proxy, as the slot's owner knows it
+
+    final String zone; // of the instance
+    Member owner; // gets the slot back
+    final String slotKey; // identifies the grant at the owner
+    String incarnation; // of this proxy, as known to the owner
     final long sentAt;
-    boolean over;
+    boolean finished;
 
-    Attempt(Request request, Instance granted, Member owner, String life, long slotNumber, long sentAt) {
+    Attempt(Request request, Instance granted, Member owner, String incarnation, long slotNumber, long sentAt) {
         this.request = request;
-        instance = granted.id();
+        instanceId = granted.id();
         address = granted.address();
         zone = granted.zone();
         this.owner = owner;
-        this.life = life;
-        slotKey = SlotClaim.key(life, slotNumber);
+        this.incarnation = incarnation;
+        slotKey = SlotClaim.key(incarnation, slotNumber);
         this.sentAt = sentAt;
         this.deadline = request.deadline;
     }
--- a/proxy/src/main/java/saltdale/proxy/BootingInstances.java
+++ b/proxy/src/main/java/saltdale/proxy/BootingInstances.java
@@ -6,71 +6,76 @@
 import saltdale.control.Instance;
 import saltdale.control.message.InstanceMessage.InstanceReady;
 
-/** Finds out when instances that are starting take connections: the platform's list says so only much later. */
+/**
+ * Detects by connection tests when booting instances accept connections. The platform's instance list shows that only
+ * much later.
+ */
 final class BootingInstances {
-    private static final double EARLIEST = 0.4; // of a usual start, until it may be up
+    /** Part of the service's usual boot time after which an instance is first tested. */
+    private static final double FIRST_TEST_BOOT_FRACTION = 0.4;
 
     private final Environment environment;
     private final ClusterView cluster;
     private final Transport transport;
-    private final Map<String, SlotAllocator> allocators;
-    private final long heartbeat;
+    private final Map<String, SlotAllocator> allocators; // by service
+    private final long heartbeatNanos;
 
     BootingInstances(
             Environment environment,
             ClusterView cluster,
             Transport transport,
             Map<String, SlotAllocator> allocators,
-            long heartbeat) {
+            long heartbeatNanos) {
         this.environment = environment;
         this.cluster = cluster;
         this.transport = transport;
         this.allocators = allocators;
-        this.heartbeat = heartbeat;
+        this.heartbeatNanos = heartbeatNanos;
     }
 
-    /** Begins to try those that are not yet tried. */
-    void tryAll(SlotAllocator allocator) {
+    /** Starts connection tests of the booting instances that are not being tested yet. */
+    void startTests(SlotAllocator allocator) {
         Configuration configuration = cluster.configuration();
         Configuration.Service service =
                 configuration == null ? null : configuration.services().get(allocator.service());
-        long earliest = service == null ? 0 : (long) (service.bootMs() * 1e6 * EARLIEST);
-        for (InstanceSlots slots : allocator.booting()) {
-            if (!slots.trying) {
-                slots.trying = true;
-                environment.after(earliest, () -> tryOne(allocator, slots));
+        long delayNanos = service == null ? 0 : (long) (service.bootMs() * 1e6 * FIRST_TEST_BOOT_FRACTION);
+        for (InstanceSlots slots : allocator.bootingInstances()) {
+            if (!slots.isBeingTested) {
+                slots.isBeingTested = true;
+                environment.after(delayNanos, () -> test(allocator, slots));
             }
         }
     }
 
-    private void tryOne(SlotAllocator allocator, InstanceSlots slots) {
-        boolean still = allocators.get(allocator.service()) == allocator
+    private void test(SlotAllocator allocator, InstanceSlots slots) {
+        boolean isCurrent = allocators.get(allocator.service()) == allocator
                 && allocator.slots(slots.instance.id()) == slots
                 && isBooting(slots);
-        if (still) {
-            transport.tryConnection(slots.instance.id(), slots.instance.address());
+        if (isCurrent) {
+            transport.testConnection(slots.instance.id(), slots.instance.address());
         } else {
-            slots.trying = false;
+            slots.isBeingTested = false;
         }
     }
 
-    void tried(String id, boolean takesConnections) {
+    /** The result of a connection test: the instance becomes ready, or is soon tested again. */
+    void connectionTested(String instanceId, boolean accepted) {
         for (SlotAllocator allocator : allocators.values()) {
-            InstanceSlots slots = allocator.slots(id);
+            InstanceSlots slots = allocator.slots(instanceId);
             if (slots == null || !isBooting(slots)) {
                 continue;
             }
-            if (takesConnections) {
-                ready(allocator, slots);
-            } else { // each refusal is soon followed by another try
-                environment.after(heartbeat / 24, () -> tryOne(allocator, slots));
+            if (accepted) {
+                markReady(allocator, slots);
+            } else {
+                environment.after(heartbeatNanos / 24, () -> test(allocator, slots));
             }
         }
     }
 
-    private void ready(SlotAllocator allocator, InstanceSlots slots) {
-        slots.trying = false;
-        allocator.heard(slots.instance.at(Instance.Phase.READY), environment.now());
+    private void markReady(SlotAllocator allocator, InstanceSlots slots) {
+        slots.isBeingTested = false;
+        allocator.updateInstance(slots.instance.at(Instance.Phase.READY), environment.now());
         String controlNode = cluster.session().controlNode();
         if (controlNode != null) {
             environment.send(controlNode, new InstanceReady(slots.instance.id()));
--- a/proxy/src/main/java/saltdale/proxy/ClusterView.java
+++ b/proxy/src/main/java/saltdale/proxy/ClusterView.java
@@ -12,13 +12,13 @@
 import saltdale.control.Member;
 import saltdale.control.ServiceOwnership;
 
-/** What this proxy knows of the deployment: the configuration in force, the members, and its own lease. */
+/** What this proxy knows of the cluster: the configuration in force, the members, and its own lease. */
 final class ClusterView {
     private final Environment environment;
     private final ProxySettings settings;
     private ControlSession session;
     private Collection<Member> members = List.of();
-    private final Map<String, Map<String, Member>> owners = new HashMap<>(); // by zone and service, as asked for
+    private final Map<String, Map<String, Member>> owners = new HashMap<>(); // by zone and service; a lazy cache
     private long membersChangedAt;
     private Configuration configuration;
 
@@ -27,17 +27,18 @@
         this.settings = settings;
     }
 
-    /** Set once, before anything is asked of this view. */
-    void session(ControlSession own) {
-        session = own;
+    /** Called once, before any other method. */
+    void setSession(ControlSession controlSession) {
+        session = controlSession;
     }
 
     ControlSession session() {
         return session;
     }
 
-    String life() {
-        return session.life();
+    /** The incarnation of this proxy, see {@link ControlSession#incarnation}. */
+    String incarnation() {
+        return session.incarnation();
     }
 
     boolean hasLease() {
@@ -53,27 +54,31 @@
         return configuration;
     }
 
+    /** The revision of the configuration in force; -1 before the first one is known. */
     long revision() {
         return configuration == null ? -1 : configuration.revision();
     }
 
-    /** Takes a configuration; within one life of the process an older one never replaces a newer one. */
-    void configuration(Map<String, Object> tree) {
+    /**
+     * Puts a received configuration into force, unless it is older than the current one: within the lifetime of a
+     * process, the revision never decreases.
+     */
+    void updateConfiguration(Map<String, Object> tree) {
         try {
             Configuration next = new Configuration(new Fields(tree));
             long before = revision();
             configuration = next.revision() > before ? next : configuration;
             environment.check(
                     Invariant.NO_STEP_BACK, revision() >= before, () -> "from " + before + " to " + revision());
-            environment.note("configuration " + configuration.revision() + " in force");
+            environment.note("configuration " + configuration.revision() + " is in force");
         } catch (InvalidConfiguration e) {
-            environment.note("a configuration cannot be read: " + e.getMessage());
+            environment.note("invalid configuration received: " + e.getMessage());
         }
     }
 
-    /** Whether a configuration may have been acknowledged that should be in force by now and is not known here. */
-    boolean configurationMayBeOld() {
-        return environment.now() - session.configurationKnownAt() > settings.configApply();
+    /** Whether there may be an acknowledged configuration that should be in force by now but is not known here. */
+    boolean configurationMayBeOutdated() {
+        return environment.now() - session.configurationKnownAt() > settings.configApplyNanos();
     }
 
     Collection<Member> members() {
@@ -84,11 +89,11 @@
         return membersChangedAt;
     }
 
-    void members(List<Member> next) {
-        environment.note("members " + next.size() + ", new or changed: "
+    void updateMembers(List<Member> next) {
+        environment.note("members: " + next.size() + ", new or changed: "
                 + next.stream()
-                        .filter(m -> !members.contains(m))
-                        .map(m -> m.name() + (m.leaving() ? "-" : ""))
+                        .filter(member -> !members.contains(member))
+                        .map(member -> member.name() + (member.leaving() ? "-" : ""))
                         .toList());
         members = next;
         owners.clear();
@@ -100,10 +105,10 @@
     }
 
     boolean isSelf(Member member) {
-        return member.life().equals(life());
+        return member.life().equals(incarnation());
     }
 
-    /** Who grants the slots of this service's instances in this zone; null where nobody does. */
+    /** The member that grants the slots of this service's instances in this zone; null if there is none. */
     Member owner(String service, String zone) {
         return owners.computeIfAbsent(zone, z -> new HashMap<>())
                 .computeIfAbsent(service, s -> ServiceOwnership.of(s, zone, members));
--- a/proxy/src/main/java/saltdale/proxy/ConfigurationReplica.java
+++ b/proxy/src/main/java/saltdale/proxy/ConfigurationReplica.java
@@ -8,85 +8,85 @@
 import saltdale.control.message.SessionMessage.SnapshotPart;
 
 /**
- * The configuration as control nodes have told it: a snapshot, fetched part by part, and the changes since. It stays
- * as it is when the session changes; so do the parts of a snapshot that have come.
+ * The configuration as received from control nodes: a snapshot, fetched in parts, and the changes since. It is kept
+ * when another session starts, as are the received parts of an incomplete snapshot.
  */
 final class ConfigurationReplica {
-    /** What became of a change. */
+    /** The result of applying a change. */
     enum Outcome {
-        TAKEN,
-        KNOWN,
-        /** Its base is not what we have, or the digest of what comes out is not the one told. */
-        REFUSED
+        APPLIED,
+        ALREADY_KNOWN,
+        /** Its base is not the current configuration, or its result does not have the expected digest. */
+        REJECTED
     }
 
-    private ConfigurationTree tree; // null before the first one is whole
-    private boolean trusted = true; // else a snapshot must come before any change
-    private String digest = ""; // of the snapshot that is being fetched
-    private final ByteArrayOutputStream gathered = new ByteArrayOutputStream();
+    private ConfigurationTree tree; // null before the first one is complete
+    private boolean trusted = true; // otherwise a snapshot must arrive before any change
+    private String snapshotDigest = ""; // of the snapshot that is being fetched
+    private final ByteArrayOutputStream snapshotBytes = new ByteArrayOutputStream();
 
-    /** Null before the first one is whole. */
+    /** Null before the first one is complete. */
     ConfigurationTree tree() {
         return tree;
     }
 
-    /** -1 before the first one is whole. */
+    /** -1 before the first one is complete. */
     long revision() {
         return tree == null ? -1 : tree.revision();
     }
 
-    /** The digest of what we have; empty where it is no base for changes. */
+    /** The digest of the current configuration; empty if it cannot serve as the base of changes. */
     String digest() {
         return tree == null || !trusted ? "" : tree.digest();
     }
 
-    Outcome change(ConfigurationChange news) throws MalformedMessage {
-        if (tree != null && tree.revision() >= news.revision() && trusted) {
-            return Outcome.KNOWN;
+    Outcome apply(ConfigurationChange change) throws MalformedMessage {
+        if (tree != null && tree.revision() >= change.revision() && trusted) {
+            return Outcome.ALREADY_KNOWN;
         } else if (tree == null
-                || news.baseRevision() != revision()
-                || !news.baseDigest().equals(digest())) {
-            return Outcome.REFUSED;
+                || change.baseRevision() != revision()
+                || !change.baseDigest().equals(digest())) {
+            return Outcome.REJECTED;
         }
-        ConfigurationTree next = tree.changed(news.change());
-        if (!next.digest().equals(news.digest()) || next.revision() != news.revision()) {
+        ConfigurationTree next = tree.changed(change.change());
+        if (!next.digest().equals(change.digest()) || next.revision() != change.revision()) {
             trusted = false;
-            return Outcome.REFUSED;
+            return Outcome.REJECTED;
         }
         tree = next;
-        return Outcome.TAKEN;
+        return Outcome.APPLIED;
     }
 
-    /** Of which snapshot parts have come; empty where none have. */
+    /** The digest of the snapshot of which parts have been received; empty if there are none. */
     String snapshotDigest() {
-        return digest;
+        return snapshotDigest;
     }
 
-    /** From where on the next part is needed. */
+    /** The offset of the next part to fetch. */
     int snapshotOffset() {
-        return gathered.size();
+        return snapshotBytes.size();
     }
 
-    /** Takes a part; whether the snapshot is whole with it. */
-    boolean part(SnapshotPart part) throws MalformedMessage {
-        if (!part.digest().equals(digest)) {
-            digest = part.digest();
-            gathered.reset();
+    /** Adds a part; returns whether the snapshot is complete with it and now the current configuration. */
+    boolean addSnapshotPart(SnapshotPart part) throws MalformedMessage {
+        if (!part.digest().equals(snapshotDigest)) {
+            snapshotDigest = part.digest();
+            snapshotBytes.reset();
         }
-        int count = gathered.size();
-        boolean fits = part.offset() == count && part.bytes().length <= part.total() - count;
+        int offset = snapshotBytes.size();
+        boolean fits = part.offset() == offset && part.bytes().length <= part.total() - offset;
         if (!fits) {
-            return false; // it came twice, or is not the one that was asked for
+            return false; // a duplicate, or not the part that was requested
         }
-        gathered.writeBytes(part.bytes());
-        if (gathered.size() < part.total()) {
+        snapshotBytes.writeBytes(part.bytes());
+        if (snapshotBytes.size() < part.total()) {
             return false;
         }
-        byte[] bytes = gathered.toByteArray();
-        String expected = digest;
-        digest = "";
-        gathered.reset();
-        tree = ConfigurationSnapshot.read(bytes, expected);
+        byte[] bytes = snapshotBytes.toByteArray();
+        String expectedDigest = snapshotDigest;
+        snapshotDigest = "";
+        snapshotBytes.reset();
+        tree = ConfigurationSnapshot.read(bytes, expectedDigest);
         trusted = true;
         return true;
     }
--- a/proxy/src/main/java/saltdale/proxy/ControlNodeDirectory.java
+++ b/proxy/src/main/java/saltdale/proxy/ControlNodeDirectory.java
@@ -8,13 +8,13 @@
 import java.util.Set;
 
 /**
- * Where control nodes may be found: those that one with a quorum told of last, those that the settings name, and a few
- * that were told of before or by others. What is told by a quorum replaces what was told so before, so that those that
- * are gone do not gather here.
+ * The hosts of control nodes: the current ones, as last named by a control node with a quorum, the seeds of the
+ * settings, and a few others that were known before or named by other processes. A new list of current ones replaces
+ * the previous list, so that control nodes that no longer exist do not accumulate.
  */
 final class ControlNodeDirectory {
-    /** So many are kept that no quorum tells of any more; they are asked last. */
-    private static final int MOST_OTHERS = 8;
+    /** How many hosts that are neither current nor seeds are kept; they are probed last. */
+    private static final int MAX_OTHERS = 8;
 
     private List<String> seeds;
     private List<String> current = List.of();
@@ -24,49 +24,49 @@
         this.seeds = List.copyOf(seeds);
     }
 
-    /** The settings name others now; those that they named before are asked last. */
-    void seeds(List<String> hosts) {
-        List<String> before = seeds;
+    /** Replaces the seeds; the previous ones are probed last. */
+    void updateSeeds(List<String> hosts) {
+        List<String> previous = seeds;
         seeds = List.copyOf(hosts);
-        before.forEach(this::remember);
+        previous.forEach(this::addOther);
         others.removeAll(seeds);
     }
 
-    /** A control node with a quorum says that these are all. */
-    void told(List<String> hosts) {
+    /** Replaces the current control nodes by the complete list of a control node with a quorum. */
+    void updateCurrent(List<String> hosts) {
         if (hosts.equals(current)) {
             return;
         }
-        List<String> before = current;
+        List<String> previous = current;
         current = List.copyOf(hosts);
-        before.forEach(this::remember);
+        previous.forEach(this::addOther);
         others.removeAll(current);
     }
 
-    /** Somebody who may be behind has heard of these. */
-    void hinted(List<String> hosts) {
-        hosts.forEach(this::remember);
+    /** Adds hosts named by a process whose knowledge may be out of date. */
+    void addHints(List<String> hosts) {
+        hosts.forEach(this::addOther);
     }
 
-    private void remember(String host) {
+    private void addOther(String host) {
         if (current.contains(host) || seeds.contains(host)) {
             return;
         }
         others.remove(host);
         others.add(host);
-        if (others.size() > MOST_OTHERS) {
+        if (others.size() > MAX_OTHERS) {
             Iterator<String> oldest = others.iterator();
             oldest.next();
             oldest.remove();
         }
     }
 
-    /** Those that a quorum told of last, the seeds as long as none has. */
-    List<String> known() {
+    /** The control nodes last named by one with a quorum; the seeds until then. */
+    List<String> current() {
         return current.isEmpty() ? seeds : current;
     }
 
-    /** All of them, each once, the most promising first. */
+    /** All known hosts, each once, the most promising first. */
     List<String> all() {
         Set<String> all = new LinkedHashSet<>(current);
         all.addAll(seeds);
--- a/proxy/src/main/java/saltdale/proxy/ControlNodeSearch.java
+++ b/proxy/src/main/java/saltdale/proxy/ControlNodeSearch.java
@@ -15,111 +15,112 @@
 import saltdale.control.message.ContactMessage.ContactReply;
 
 /**
- * The search of a proxy for a control node that serves it: a few are asked at a time, the most promising first, and
- * nobody is asked again before all others were asked once. So the time until one is found is bounded by the number of
- * those known, whatever the draws. Where a whole round is silent, a fellow proxy is asked where control nodes are.
+ * A proxy's search for a control node that serves it. A few control nodes are probed at a time, the most promising ones
+ * first, and none is probed again before all others have been probed. The time until one is found is thereby bounded by
+ * the number of known control nodes, independently of the random order. If a whole round gets no reply, another proxy
+ * is asked for the hosts of control nodes.
  */
 final class ControlNodeSearch {
-    /** Asked at once: two, so that the loss of one more node costs no time, and few connections are opened. */
-    private static final int AT_ONCE = 2;
+    /** Two, so that the failure of one more node costs no time, while only few connections are opened. */
+    private static final int PROBES_AT_ONCE = 2;
 
     private final Environment environment;
     private final ControlNodeDirectory directory;
-    private final Supplier<List<String>> fellowProxies;
-    private final Set<String> asked = new HashSet<>(); // in this round
-    private final Map<String, Boolean> answers =
+    private final Supplier<List<String>> otherProxies;
+    private final Set<String> probed = new HashSet<>(); // in this round
+    private final Map<String, Boolean> replies =
             new LinkedHashMap<>(); // whether it serves, by host, in order of arrival
-    private long number;
+    private long lastNumber;
     private long firstNumber; // of this search
-    private boolean on;
-    private boolean answeredInRound = true;
+    private boolean active;
+    private boolean repliedInRound = true;
 
-    /** {@code fellowProxies}: hosts of other proxies, asked where no control node answers. */
-    ControlNodeSearch(Environment environment, ControlNodeDirectory directory, Supplier<List<String>> fellowProxies) {
+    /** {@code otherProxies}: the hosts of other proxies, asked if no control node replies. */
+    ControlNodeSearch(Environment environment, ControlNodeDirectory directory, Supplier<List<String>> otherProxies) {
         this.environment = environment;
         this.directory = directory;
-        this.fellowProxies = fellowProxies;
+        this.otherProxies = otherProxies;
     }
 
-    boolean isOn() {
-        return on;
+    boolean isActive() {
+        return active;
     }
 
-    /** What was answered counts no longer; a new search begins with the next question. */
-    void end() {
-        on = false;
-        asked.clear();
-        answers.clear();
-        answeredInRound = true;
-        firstNumber = number + 1;
+    /** Ends the search and discards its replies; the next probe starts a new search. */
+    void stop() {
+        active = false;
+        probed.clear();
+        replies.clear();
+        repliedInRound = true;
+        firstNumber = lastNumber + 1;
     }
 
-    /** Asks the next few, never {@code except}, who is known not to serve (null for nobody). */
-    void ask(String except) {
-        on = true;
-        List<String> left = unasked(except);
-        if (left.isEmpty()) {
-            askFellow();
-            asked.clear();
-            answeredInRound = false;
-            left = unasked(except);
+    /** Probes the next few control nodes, except {@code excluded}, which is known not to serve (may be null). */
+    void probeNext(String excluded) {
+        active = true;
+        List<String> candidates = unprobed(excluded);
+        if (candidates.isEmpty()) {
+            askOtherProxy();
+            probed.clear();
+            repliedInRound = false;
+            candidates = unprobed(excluded);
         }
-        for (String host : left.subList(0, Math.min(AT_ONCE, left.size()))) {
-            asked.add(host);
+        for (String host : candidates.subList(0, Math.min(PROBES_AT_ONCE, candidates.size()))) {
+            probed.add(host);
             probe(host);
         }
     }
 
-    /** Those not asked in this round: the current ones in any order, then the others. */
-    private List<String> unasked(String except) {
-        List<String> current = new ArrayList<>(directory.known());
+    /** The control nodes not probed in this round: the current ones in random order, then the others. */
+    private List<String> unprobed(String excluded) {
+        List<String> current = new ArrayList<>(directory.current());
         Collections.shuffle(current, new Random(environment.chance().nextLong()));
         List<String> all = new ArrayList<>(current);
         directory.all().stream().filter(host -> !current.contains(host)).forEach(all::add);
-        all.removeIf(host -> host.equals(except) || asked.contains(host));
+        all.removeIf(host -> host.equals(excluded) || probed.contains(host));
         return all;
     }
 
-    private void askFellow() {
-        List<String> fellows = answeredInRound ? List.of() : fellowProxies.get();
-        if (!fellows.isEmpty()) {
-            probe(fellows.get(environment.chance().nextInt(fellows.size())));
+    private void askOtherProxy() {
+        List<String> proxies = repliedInRound ? List.of() : otherProxies.get();
+        if (!proxies.isEmpty()) {
+            probe(proxies.get(environment.chance().nextInt(proxies.size())));
         }
     }
 
     private void probe(String host) {
         environment.counters().count(Counter.CONTACT_PROBES);
-        environment.send(host, new ContactProbe(++number));
+        environment.send(host, new ContactProbe(++lastNumber));
     }
 
-    /** The proxy has gone there: what it answered before counts no longer. */
-    void taken(String host) {
-        answers.remove(host);
+    /** Discards the reply of a control node that has been selected. */
+    void selected(String host) {
+        replies.remove(host);
     }
 
-    /** Takes an answer; those to questions of an earlier search say nothing of now. */
-    void answered(String from, ContactReply reply) {
-        directory.hinted(reply.controlHosts());
-        if (on && reply.number() >= firstNumber && directory.all().contains(from)) {
-            answeredInRound = true;
-            answers.put(from, reply.serves());
+    /** Handles a reply; replies to probes of an earlier search are out of date and do not count. */
+    void handleReply(String from, ContactReply reply) {
+        directory.addHints(reply.controlHosts());
+        if (active && reply.number() >= firstNumber && directory.all().contains(from)) {
+            repliedInRound = true;
+            replies.put(from, reply.serves());
         }
     }
 
-    /** One that serves, the first that said so; null where none did. */
+    /** The first control node that replied that it serves; null if none did. */
     String serving() {
-        return answering(true);
+        return firstReply(true);
     }
 
-    /** One that answers but cannot serve now; null where there is none. */
+    /** The first control node that replied that it cannot serve now; null if none did. */
     String notServing() {
-        return answering(false);
+        return firstReply(false);
     }
 
-    private String answering(boolean serves) {
-        for (Map.Entry<String, Boolean> answer : answers.entrySet()) {
-            if (answer.getValue() == serves) {
-                return answer.getKey();
+    private String firstReply(boolean serves) {
+        for (Map.Entry<String, Boolean> reply : replies.entrySet()) {
+            if (reply.getValue() == serves) {
+                return reply.getKey();
             }
         }
         return null;
--- a/proxy/src/main/java/saltdale/proxy/ControlSession.java
+++ b/proxy/src/main/java/saltdale/proxy/ControlSession.java
@@ -21,68 +21,69 @@
 import saltdale.control.message.SessionMessage.SnapshotPart;
 
 /**
- * A proxy's tie to the control plane: it renews its lease at one control node ({@link ControlNodeContact}) and takes
- * its news there, in sessions.
+ * A proxy's connection to the control plane. The proxy renews its lease at one control node, which the
+ * {@link ControlNodeSelector} chooses, and receives updates from it in sessions.
  */
 final class ControlSession {
-    /** What control nodes tell, in the order in which they sent it. */
-    interface Reader {
-        /** A newer configuration, whole, as fields and lists. */
-        void configuration(Map<String, Object> whole);
+    /** Receives the updates of the control nodes, in the order in which they were sent. */
+    interface Listener {
+        /** A newer configuration is known; it is passed whole, as a tree of maps and lists. */
+        void configurationChanged(Map<String, Object> configuration);
 
-        /** All members as they are now. */
-        void members(List<Member> members);
+        /** The members have changed; all current ones are passed. */
+        void membersChanged(List<Member> members);
 
-        /** Instances of services that we own, those that changed. */
-        void instances(List<Instance> instances);
+        /** These instances of services that this proxy owns have changed. */
+        void instancesChanged(List<Instance> instances);
 
-        /** A session begins: what was told before about instances is told again. */
-        void begins();
+        /** A session starts; it reports all instances again. */
+        void sessionStarted();
 
-        /** Our lease is over: we are another member now. */
-        void over();
+        /** The lease has expired: this proxy has a new incarnation and is a different member from now on. */
+        void leaseExpired();
     }
 
     private static final long NEVER = Long.MIN_VALUE / 2;
 
     private final Environment environment;
     private final ProxySettings settings;
-    private final Reader reader;
-    private final ControlNodeContact contact;
-    private final SessionNews news;
-    private final Map<Long, Long> sentAt = new LinkedHashMap<>(); // renewals, by count
-    private String life;
+    private final Listener listener;
+    private final ControlNodeSelector selector;
+    private final SessionUpdates updates;
+    private final Map<Long, Long> renewalSentAt = new LinkedHashMap<>(); // by the count of the renewal
+    private String incarnation;
     private String session = "";
-    private long count;
-    private boolean granted; // in this session
+    private long renewalCount;
+    private boolean granted; // a renewal has been granted in this session
     private long renewedAt;
-    private long leaseUntil = NEVER; // counted from when that was sent which a control node answered
-    private long configurationKnownAt = NEVER; // all that was acknowledged before is in force here
-    private long servedAt = NEVER; // when the last grant with a quorum came
+    private long leaseUntil = NEVER; // counted from the sending of the renewal that was granted
+    private long configurationKnownAt = NEVER; // every configuration acknowledged before is in force here
+    private long lastQuorumGrantAt = NEVER;
     private boolean leaving;
 
-    /** {@code fellowProxies}: hosts of the other proxies, as far as they are known. */
+    /** {@code otherProxies}: the hosts of the other proxies, as far as they are known. */
     ControlSession(
-            Environment environment, ProxySettings settings, Reader reader, Supplier<List<String>> fellowProxies) {
+            Environment environment, ProxySettings settings, Listener listener, Supplier<List<String>> otherProxies) {
         this.environment = environment;
         this.settings = settings;
-        this.reader = reader;
-        contact = new ControlNodeContact(environment, settings, fellowProxies, host -> beginAgain());
-        news = new SessionNews(environment, reader, message -> environment.send(contact.host(), message));
-        life = fresh();
+        this.listener = listener;
+        selector = new ControlNodeSelector(environment, settings, otherProxies, host -> restart());
+        updates = new SessionUpdates(environment, listener, message -> environment.send(selector.host(), message));
+        incarnation = randomId();
     }
 
-    private String fresh() {
+    private String randomId() {
         return Long.toString(environment.chance().nextLong() >>> 1, 36);
     }
 
-    String life() {
-        return life;
+    /** The random ID of this proxy as a member; a new one is drawn when the process starts and when its lease ends. */
+    String incarnation() {
+        return incarnation;
     }
 
-    /** The control node that is asked now; null before the first one is found. */
+    /** The host of the selected control node; null before the first one is found. */
     String controlNode() {
-        return contact.host();
+        return selector.host();
     }
 
     boolean hasLease() {
@@ -90,169 +91,171 @@
     }
 
     /**
-     * The moment before which every acknowledged configuration is in force here, or a later one; on the clock of
+     * A time such that every configuration acknowledged before is in force here; on the clock of
      * {@link Environment#now}.
      */
     long configurationKnownAt() {
         return configurationKnownAt;
     }
 
-    /** When a control node with a quorum granted the lease the last time. */
-    long servedAt() {
-        return servedAt;
+    /** When a control node with a quorum last granted the lease. */
+    long lastQuorumGrantAt() {
+        return lastQuorumGrantAt;
     }
 
-    /** The settings name these control nodes now. */
-    void seeds(List<String> hosts) {
-        contact.seeds(hosts);
+    /** Replaces the seed control nodes after the settings were reloaded. */
+    void updateSeeds(List<String> hosts) {
+        selector.updateSeeds(hosts);
     }
 
-    void begin() {
-        turn();
+    void start() {
+        tick();
     }
 
-    private long renewEvery() {
-        return settings.heartbeat() / 4;
+    private long renewalIntervalNanos() {
+        return settings.heartbeatNanos() / 4;
     }
 
-    private void turn() {
-        environment.after(contact.turnEvery(), this::turn);
-        contact.turn();
-        // Until the first grant has come it asks more often: the question may be lost.
-        if (!granted || environment.now() - renewedAt >= renewEvery()) {
-            renew();
+    private void tick() {
+        environment.after(selector.tickNanos(), this::tick);
+        selector.tick();
+        // Until the first grant of a session, renewals are sent at every tick, since messages may be lost.
+        if (!granted || environment.now() - renewedAt >= renewalIntervalNanos()) {
+            renewLease();
         }
-        news.fetchAgainAfter(renewEvery());
+        updates.retryFetchAfter(renewalIntervalNanos());
     }
 
-    /** A connection to this host has ended. */
-    void unreachable(String host) {
-        if (host.equals(contact.host()) && contact.disconnected()) {
-            renew(); // it may be well: connections are reset for other reasons too
+    /** Reports that a connection to this host was lost. */
+    void connectionLost(String host) {
+        if (host.equals(selector.host()) && selector.connectionLost()) {
+            renewLease(); // the control node may still work: connections are reset for other reasons too
         }
     }
 
-    /** Takes a question of a proxy that looks for a control node, or an answer to our own. */
-    void message(String from, ContactMessage message) {
-        contact.message(from, message);
+    /** Handles a probe of a proxy that searches for a control node, or a reply to a probe of our own. */
+    void handleMessage(String from, ContactMessage message) {
+        selector.handleMessage(from, message);
     }
 
     // The session and its lease.
 
-    /** A new session: the control node is told what we have, and tells what differs from that. */
-    private void resume() {
-        session = fresh();
-        news.begin(session, life);
+    /** Starts a session: the control node learns what is known here and sends only what differs. */
+    private void startSession() {
+        session = randomId();
+        updates.startSession(session, incarnation);
         granted = false;
-        contact.serves();
-        sentAt.clear();
+        selector.served();
+        renewalSentAt.clear();
         environment.counters().count(Counter.SESSIONS_BEGUN);
-        reader.begins();
+        listener.sessionStarted();
     }
 
-    /** A new session: at another control node, or since this one has a fault. */
-    private void beginAgain() {
-        resume();
-        renew();
+    /** Starts a new session, at another control node or after an error in the current session. */
+    private void restart() {
+        startSession();
+        renewLease();
     }
 
-    private void renew() {
-        if (contact.host() == null) {
+    private void renewLease() {
+        if (selector.host() == null) {
             return;
         }
         long now = environment.now();
         renewedAt = now;
-        sentAt.put(++count, now);
-        sentAt.values().removeIf(at -> now - at > 4 * settings.heartbeat());
+        renewalSentAt.put(++renewalCount, now);
+        renewalSentAt.values().removeIf(at -> now - at > 4 * settings.heartbeatNanos());
         environment.send(
-                contact.host(),
+                selector.host(),
                 new LeaseRenewal(
-                        new Member(life, settings.name(), settings.zone(), settings.host(), leaving),
-                        count,
+                        new Member(incarnation, settings.name(), settings.zone(), settings.host(), leaving),
+                        renewalCount,
                         session,
-                        news.revision(),
-                        granted ? "" : news.configurationDigest(),
-                        granted ? "" : news.membersDigest()));
+                        updates.revision(),
+                        granted ? "" : updates.configurationDigest(),
+                        granted ? "" : updates.membersDigest()));
     }
 
-    /** Tells at once that nothing new is to come here. */
+    /** Announces at once that this proxy is leaving and should get no new requests. */
     void leave() {
         leaving = true;
-        renew();
+        renewLease();
     }
 
-    /** Takes a message of a control node. */
-    void message(String from, SessionMessage message) throws MalformedMessage {
-        if (!from.equals(contact.host())) {
-            return; // of one that was left
+    /** Handles a message of a control node. */
+    void handleMessage(String from, SessionMessage message) throws MalformedMessage {
+        if (!from.equals(selector.host())) {
+            return; // from a control node that is no longer selected
         }
         if (message instanceof QuorumLost) {
-            contact.lostQuorum();
+            selector.quorumLost();
         } else if (message instanceof ControlNodeLeaves) {
-            contact.leaves();
+            selector.controlNodeLeaves();
         } else if (message instanceof LeaseGrant grant) {
-            granted(grant);
-        } else if (message instanceof LeaseOver over) {
-            if (sentAt.remove(over.count()) != null) {
-                over();
+            leaseGranted(grant);
+        } else if (message instanceof LeaseOver leaseOver) {
+            if (renewalSentAt.remove(leaseOver.count()) != null) {
+                leaseExpired();
             }
-        } else if (message instanceof News told && told.session().equals(session)) {
-            told(told);
+        } else if (message instanceof News update && update.session().equals(session)) {
+            applyUpdate(update);
         } else if (message instanceof SnapshotPart part
-                && news.isFetching()
+                && updates.isFetchingSnapshot()
                 && part.session().equals(session)) {
-            contact.serves();
-            news.take(part);
+            selector.served();
+            updates.addSnapshotPart(part);
         }
     }
 
-    private void told(News message) throws MalformedMessage {
-        boolean fits = false;
+    private void applyUpdate(News update) throws MalformedMessage {
+        boolean applied = false;
         try {
-            fits = news.take(message);
+            applied = updates.apply(update);
         } finally {
-            if (!fits) {
-                beginAgain();
+            if (!applied) {
+                restart();
             }
         }
     }
 
-    private void over() {
-        life = fresh();
+    private void leaseExpired() {
+        incarnation = randomId();
         leaseUntil = NEVER;
-        environment.note("the lease is over; a new life: " + life);
-        reader.over();
-        beginAgain();
+        environment.note("lease expired; new incarnation: " + incarnation);
+        listener.leaseExpired();
+        restart();
     }
 
-    private void granted(LeaseGrant grant) {
-        Long sent = sentAt.remove(grant.count());
-        if (sent == null) {
+    private void leaseGranted(LeaseGrant grant) {
+        Long sentAt = renewalSentAt.remove(grant.count());
+        if (sentAt == null) {
             return;
         }
         if (!grant.hasQuorum()) {
             environment.counters().count(Counter.GRANTS_WITHOUT_QUORUM);
-            environment.note("control node " + contact.host() + " has no quorum");
-            contact.refused(grant.controlHosts());
+            environment.note("control node " + selector.host() + " has no quorum");
+            selector.repliedWithoutQuorum(grant.controlHosts());
             return;
         }
-        contact.granted(grant.controlHosts());
-        servedAt = environment.now();
-        long until = sent + grant.validMillis() * 1_000_000;
+        selector.repliedWithQuorum(grant.controlHosts());
+        lastQuorumGrantAt = environment.now();
+        long until = sentAt + grant.validMillis() * 1_000_000;
         leaseUntil = Math.max(leaseUntil, until);
         if (grant.session().equals(session)) {
             granted = true;
-            grantedInStep(grant, until);
+            checkCompleteness(grant, until);
         }
     }
 
-    private void grantedInStep(LeaseGrant grant, long until) {
-        if (!news.hasAll(grant.newsSent())) {
-            environment.note(grant.newsSent() + " news were sent, " + news.count() + " came");
-            beginAgain();
-        } else if (!news.isFetching()) {
-            // The control node knew, when it answered, all that was chosen before its last contact with a majority.
-            configurationKnownAt = Math.max(configurationKnownAt, until - LeaseTimes.memberLease(settings.heartbeat()));
+    /** Checks that all updates sent before this grant have arrived. */
+    private void checkCompleteness(LeaseGrant grant, long until) {
+        if (!updates.hasAll(grant.newsSent())) {
+            environment.note(grant.newsSent() + " updates were sent, " + updates.count() + " received");
+            restart();
+        } else if (!updates.isFetchingSnapshot()) {
+            // When it replied, the control node knew everything chosen before its last contact with a majority.
+            configurationKnownAt =
+                    Math.max(configurationKnownAt, until - LeaseTimes.memberLease(settings.heartbeatNanos()));
         }
     }
 }
--- a/proxy/src/main/java/saltdale/proxy/ExecutionStatus.java
+++ b/proxy/src/main/java/saltdale/proxy/ExecutionStatus.java
@@ -1,21 +1,21 @@
 package saltdale.proxy;
 
-/** How far an attempt came: what may be said of the request, and what may be done next, follows from this alone. */
+/** Whether an attempt was executed, as far as is known; it alone decides on retries and on the status of an error. */
 public enum ExecutionStatus {
-    /** No instance has begun work on it, and none will. */
-    NOT_RUN,
-    /** It was sent, and nothing says whether it ran. */
-    MAY_HAVE_RUN,
-    /** An instance's own answer says that it ran. */
-    RAN;
+    /** No instance has started to execute it, and none will. */
+    NOT_EXECUTED,
+    /** It was sent, and it is unknown whether it was executed. */
+    POSSIBLY_EXECUTED,
+    /** The answer of an instance shows that it was executed. */
+    EXECUTED;
 
-    /** Whether the request may go to an instance again. */
-    public boolean allowsAnother(boolean idempotent) {
-        return this == NOT_RUN || idempotent && this == MAY_HAVE_RUN;
+    /** Whether the request may be sent to an instance again. */
+    public boolean allowsRetry(boolean idempotent) {
+        return this == NOT_EXECUTED || idempotent && this == POSSIBLY_EXECUTED;
     }
 
-    /** Of two attempts at one request, what holds for the request. */
-    public ExecutionStatus and(ExecutionStatus other) {
+    /** Combines the statuses of two attempts into the status of their request. */
+    public ExecutionStatus combine(ExecutionStatus other) {
         return compareTo(other) >= 0 ? this : other;
     }
 }
--- a/proxy/src/main/java/saltdale/proxy/HeldSlotsByHost.java
+++ b/proxy/src/main/java/saltdale/proxy/HeldSlotsByHost.java
@@ -8,7 +8,7 @@
 import saltdale.control.message.SlotMessage.HeldSlot;
 import saltdale.control.message.SlotMessage.SlotsHeld;
 
-/** Slots in use, gathered for their new owners: one message to each. */
+/** Collects slots in use by the host of their new owner, and sends each of these owners one message. */
 final class HeldSlotsByHost {
     private final Map<String, List<HeldSlot>> slots = new LinkedHashMap<>();
 
--- a/proxy/src/main/java/saltdale/proxy/InstanceSlots.java
+++ b/proxy/src/main/java/saltdale/proxy/InstanceSlots.java
@@ -4,46 +4,52 @@
 import java.util.Map;
 import saltdale.control.Instance;
 
-/** An instance as its owner sees it: which of its slots are granted, and how it has done of late. */
+/** An instance as its owner sees it: which of its slots are granted, and how reliable it has been recently. */
 final class InstanceSlots {
-    /** A slot that is granted: to whom, since when, and until when it comes back if nobody says so. */
-    record Grant(String life, long at, long until) {}
+    /**
+     * A granted slot.
+     *
+     * @param incarnation the incarnation of the proxy that holds it
+     * @param expiresAt when it counts as free again if its holder never returns it
+     */
+    record Grant(String incarnation, long grantedAt, long expiresAt) {}
 
-    static final double POOR = 0.3; // an instance failing more than this share of late is passed over
+    /** Instances with a higher recent failure rate are mostly skipped. */
+    static final double UNRELIABLE_FAILURE_RATE = 0.3;
 
     Instance instance;
-    final Map<String, Grant> grants = new HashMap<>(); // by who asked and the number of the question
-    long notBefore; // it turned work away, or could not be reached, and rests until then
-    long rest;
-    double failing;
-    boolean used; // something was sent there
-    boolean trying;
-    long since;
-
-    InstanceSlots(Instance instance, long since) {
+    final Map<String, Grant> grants = new HashMap<>(); // by slot key
+    long pausedUntil; // gets no requests before, since it turned one away or could not be reached
+    long pauseNanos; // length of the last pause
+    double failureRate; // moving average
+    boolean hasBeenUsed; // has been granted to a request
+    boolean isBeingTested; // connection tests are under way, see BootingInstances
+    long addedAt;
+
+    InstanceSlots(Instance instance, long addedAt) {
         this.instance = instance;
-        this.since = since;
+        this.addedAt = addedAt;
     }
 
-    boolean isUp() {
+    boolean isReady() {
         return instance.phase() == Instance.Phase.READY;
     }
 
-    int free() {
+    int freeSlots() {
         return instance.slots() - grants.size();
     }
 
-    boolean mayTake(long now) {
-        return isUp() && free() > 0 && now >= notBefore;
+    boolean canAccept(long now) {
+        return isReady() && freeSlots() > 0 && now >= pausedUntil;
     }
 
-    void ended(boolean failed) {
-        failing = 0.8 * failing + (failed ? 0.2 : 0);
+    void recordResult(boolean failed) {
+        failureRate = 0.8 * failureRate + (failed ? 0.2 : 0);
     }
 
-    /** It rests, longer each time until something goes well there. */
-    void rests(long now, long least, long most) {
-        rest = Math.min(most, Math.max(least, 2 * rest));
-        notBefore = now + rest;
+    /** Pauses the instance; the pause doubles each time until a request succeeds there. */
+    void pause(long now, long minNanos, long maxNanos) {
+        pauseNanos = Math.min(maxNanos, Math.max(minNanos, 2 * pauseNanos));
+        pausedUntil = now + pauseNanos;
     }
 }
--- a/proxy/src/main/java/saltdale/proxy/MembersReplica.java
+++ b/proxy/src/main/java/saltdale/proxy/MembersReplica.java
@@ -7,29 +7,29 @@
 import saltdale.control.SetDigest;
 import saltdale.control.message.SessionMessage.MembersChange;
 
-/** The members as control nodes have told them; it stays as it is when the session changes. */
+/** The members as received from control nodes; kept when another session starts. */
 final class MembersReplica {
-    private Map<String, Member> byLife = Map.of();
-    private SetDigest digest = SetDigest.EMPTY; // of these
-    private boolean trusted; // else it is no base for changes
+    private Map<String, Member> byIncarnation = Map.of();
+    private SetDigest digest = SetDigest.EMPTY; // of these members
+    private boolean trusted; // otherwise they cannot serve as the base of changes
 
-    /** Empty where what we have is no base for changes. */
+    /** The digest of the members; empty if they cannot serve as the base of changes. */
     String digest() {
         return trusted ? digest.text() : "";
     }
 
     List<Member> all() {
-        return List.copyOf(byLife.values());
+        return List.copyOf(byIncarnation.values());
     }
 
-    /** Whether what comes out has the digest told; else all members must be told anew. */
-    boolean change(MembersChange news) {
-        Map<String, Member> next = new TreeMap<>(news.whole() ? Map.of() : byLife);
-        news.changed().forEach(member -> next.put(member.life(), member));
-        news.gone().forEach(next::remove);
-        digest = digest.changed(byLife, next);
-        byLife = next;
-        trusted = digest.text().equals(news.digest());
+    /** Returns whether the result has the expected digest; if not, all members must be sent again. */
+    boolean apply(MembersChange change) {
+        Map<String, Member> next = new TreeMap<>(change.whole() ? Map.of() : byIncarnation);
+        change.changed().forEach(member -> next.put(member.life(), member));
+        change.gone().forEach(next::remove);
+        digest = digest.changed(byIncarnation, next);
+        byIncarnation = next;
+        trusted = digest.text().equals(change.digest());
         return trusted;
     }
 }
--- a/proxy/src/main/java/saltdale/proxy/OwnedServices.java
+++ b/proxy/src/main/java/saltdale/proxy/OwnedServices.java
@@ -21,65 +21,67 @@
 import saltdale.probing.ProbeLoop;
 
 /**
- * The services that this proxy owns in its zone: it grants the slots of their instances to whoever asks. Ownership
- * moves with the members: who is owner no longer says what it has granted, and who becomes owner waits for that.
+ * The services that this proxy owns in its zone; it grants the slots of their instances to all proxies. Ownership is
+ * derived from the list of members: after a change, the previous owner reports its grants to the new one, and the new
+ * owner waits for that report before it grants.
  */
 final class OwnedServices {
-    /** A slot that is in use, of an instance that may not be known here yet. */
-    private record InUse(String instance, String life, long until) {}
+    /** A slot in use whose instance may not be known here yet. */
+    private record PendingGrant(String instanceId, String incarnation, long expiresAt) {}
 
     private final Environment environment;
     private final ClusterView cluster;
-    private final long heartbeat;
+    private final long heartbeatNanos;
     private final ProbeLoop probes = new ProbeLoop();
     private final Map<String, SlotAllocator> allocators = new HashMap<>(); // by service
-    private final Map<String, Instance> instances = new LinkedHashMap<>(); // all that we were told of
-    private final Map<String, InUse> unplaced = new LinkedHashMap<>(); // by key: of instances not known here yet
-    private final Map<String, Long> returnedUntil = new HashMap<>(); // by key: slots returned of late
-    private final BootingInstances booting;
-    private SlotAnswers ownAnswers;
-    private boolean reportedDemand; // some, when it was last reported
-
-    OwnedServices(Environment environment, ClusterView cluster, Transport transport, long heartbeat) {
+    private final Map<String, Instance> instances = new LinkedHashMap<>(); // all that were reported to us, by ID
+    private final Map<String, PendingGrant> pendingGrants = new LinkedHashMap<>(); // by slot key
+    private final Map<String, Long> recentlyReleasedUntil = new HashMap<>(); // by slot key: when to forget the release
+    private final BootingInstances bootingInstances;
+    private SlotReplyHandler localReplyHandler;
+    private boolean lastReportHadDemand;
+
+    OwnedServices(Environment environment, ClusterView cluster, Transport transport, long heartbeatNanos) {
         this.environment = environment;
         this.cluster = cluster;
-        this.heartbeat = heartbeat;
-        booting = new BootingInstances(environment, cluster, transport, allocators, heartbeat);
+        this.heartbeatNanos = heartbeatNanos;
+        bootingInstances = new BootingInstances(environment, cluster, transport, allocators, heartbeatNanos);
     }
 
-    /** Who takes what this proxy, as owner, answers to itself; set once. */
-    void ownAnswers(SlotAnswers answers) {
-        ownAnswers = answers;
+    /** Sets the receiver of replies to this proxy's own claims; called once. */
+    void setLocalReplyHandler(SlotReplyHandler handler) {
+        localReplyHandler = handler;
     }
 
-    /** A new session with a control node begins: all instances are told again. */
+    /** Clears the known instances: a new session with a control node starts, which reports all of them again. */
     void forgetInstances() {
         instances.clear();
     }
 
-    /** Our lease is over, and with it all ownership. */
-    void forgetAll() {
+    /** Gives up all ownership, since our lease has expired. */
+    void forgetOwnership() {
         allocators.clear();
     }
 
     // Instances.
 
-    void heard(Instance instance) {
+    /** Applies the new state of an instance. */
+    void updateInstance(Instance instance) {
         instances.put(instance.id(), instance);
         if (isOwner(instance.service())) {
             SlotAllocator allocator = allocator(instance.service());
-            allocator.heard(instance, environment.now());
-            placeInUse(allocator);
-            booting.tryAll(allocator);
+            allocator.updateInstance(instance, environment.now());
+            applyPendingGrants(allocator);
+            bootingInstances.startTests(allocator);
         }
         if (instance.phase() == Instance.Phase.GONE) {
             instances.remove(instance.id());
         }
     }
 
-    /** What came of a try whether an instance that is starting takes connections. */
-    void tried(String id, boolean takesConnections) {
-        booting.tried(id, takesConnections);
+    /** The result of a connection test of a booting instance. */
+    void connectionTested(String instanceId, boolean accepted) {
+        bootingInstances.connectionTested(instanceId, accepted);
     }
 
     // Ownership.
@@ -87,89 +89,94 @@
     private boolean isOwner(String service) {
         return cluster.isOwner(service, cluster.zone())
                 || instances.values().stream()
-                        .anyMatch(i -> i.service().equals(service) && cluster.isOwner(service, i.zone()));
+                        .anyMatch(instance ->
+                                instance.service().equals(service) && cluster.isOwner(service, instance.zone()));
     }
 
     private SlotAllocator allocator(String service) {
-        SlotAllocator known = allocators.get(service);
-        return known == null ? newAllocator(service) : known;
+        SlotAllocator existing = allocators.get(service);
+        return existing == null ? createAllocator(service) : existing;
     }
 
-    private SlotAllocator newAllocator(String service) {
+    private SlotAllocator createAllocator(String service) {
         long now = environment.now();
         List<Instance> ofService = instances.values().stream()
-                .filter(i -> i.service().equals(service))
+                .filter(instance -> instance.service().equals(service))
                 .toList();
-        // Who was owner before says what is in use; the instances may come to be known only after the members.
-        long opensAt =
-                Math.max(cluster.membersChangedAt() + heartbeat / 8, now + (ofService.isEmpty() ? 0 : heartbeat / 8));
+        // Leaves time for the previous owner to report the slots in use. The instances may become known here only
+        // after the change of members.
+        long grantsFrom = Math.max(
+                cluster.membersChangedAt() + heartbeatNanos / 8, now + (ofService.isEmpty() ? 0 : heartbeatNanos / 8));
         SlotAllocator allocator = new SlotAllocator(
                 service,
                 cluster.zone(),
                 probes,
                 environment.chance(),
                 instance -> cluster.isOwner(service, instance.zone()),
-                new Answers(),
-                opensAt);
+                new ClaimReplies(),
+                grantsFrom);
         allocators.put(service, allocator);
-        ofService.forEach(instance -> allocator.heard(instance, now));
-        placeInUse(allocator);
-        environment.after(Math.max(0, opensAt - now), () -> allocator.turn(environment.now()));
+        ofService.forEach(instance -> allocator.updateInstance(instance, now));
+        applyPendingGrants(allocator);
+        environment.after(Math.max(0, grantsFrom - now), () -> allocator.expire(environment.now()));
         return allocator;
     }
 
-    /** What we own no longer goes to its new owners with what is in use. */
+    /** Hands services and instances that this proxy no longer owns over to their new owners, with the slots in use. */
     void membersChanged() {
         long now = environment.now();
         for (SlotAllocator allocator : List.copyOf(allocators.values())) {
-            List<HeldSlot> inUse = allocator.membersChanged(now, heartbeat / 8);
+            List<HeldSlot> heldSlots = allocator.membersChanged(now, heartbeatNanos / 8);
             boolean lost = !isOwner(allocator.service());
             if (lost) {
-                inUse = allocator.inUse(now);
+                heldSlots = allocator.heldSlots(now);
                 allocators.remove(allocator.service());
             }
-            handOver(inUse);
+            handOver(heldSlots);
             if (lost) {
-                instances.values().removeIf(i -> i.service().equals(allocator.service()));
+                instances.values().removeIf(instance -> instance.service().equals(allocator.service()));
             }
         }
     }
 
-    private void handOver(List<HeldSlot> inUse) {
+    private void handOver(List<HeldSlot> heldSlots) {
         HeldSlotsByHost byHost = new HeldSlotsByHost();
-        for (HeldSlot slot : inUse) {
+        for (HeldSlot slot : heldSlots) {
             Instance instance = instances.get(slot.instance());
-            Member next = cluster.owner(slot.service(), instance == null ? cluster.zone() : instance.zone());
-            if (next != null) {
-                byHost.add(next.host(), slot);
+            Member newOwner = cluster.owner(slot.service(), instance == null ? cluster.zone() : instance.zone());
+            if (newOwner != null) {
+                byHost.add(newOwner.host(), slot);
             }
         }
         byHost.send(environment);
     }
 
-    /** These are members no longer: what they were granted comes back soon. */
-    void gone(Collection<Member> members) {
-        long until = environment.now() + heartbeat / 3;
-        members.forEach(member -> allocators.values().forEach(allocator -> allocator.gone(member.life(), until)));
+    /** Lets the grants of former members expire soon. */
+    void membersGone(Collection<Member> members) {
+        long expiresAt = environment.now() + heartbeatNanos / 3;
+        members.forEach(
+                member -> allocators.values().forEach(allocator -> allocator.memberGone(member.life(), expiresAt)));
     }
 
     // Slots.
 
-    /** A request for a slot, of this proxy or another. */
-    void request(SlotClaim claim, String service, boolean counts) {
+    /** Handles a claim of this proxy or another one. */
+    void handleClaim(SlotClaim claim, String service, boolean countsAsDemand) {
         if (!isOwner(service) || !cluster.hasLease() || cluster.configuration() == null) {
             if (claim.host == null) {
-                ownAnswers.notOwned(claim.number);
+                localReplyHandler.notOwner(claim.number);
             }
-            return; // another proxy asks elsewhere when it hears nothing
+            return; // without a reply another proxy asks elsewhere
         }
         SlotAllocator allocator = allocator(service);
-        allocator.request(claim, counts, cluster.configuration().services().get(service), environment.now());
-        if (allocator.waiting() > 0 && !allocator.hasInstances()) {
+        allocator.handleClaim(
+                claim, countsAsDemand, cluster.configuration().services().get(service), environment.now());
+        if (allocator.queueLength() > 0 && !allocator.hasInstances()) {
             reportDemand();
         }
     }
 
+    /** Withdraws a claim or returns the slot granted for it. */
     void cancel(String service, String key) {
         SlotAllocator allocator = allocators.get(service);
         if (allocator != null) {
@@ -177,71 +184,81 @@
         }
     }
 
-    /** A slot is in use no longer; its owner, perhaps this proxy, is told. */
-    void giveBack(Member owner, String service, String key, String instance, Attempt.End end, long ranNanos) {
+    /** Returns a slot that this proxy held to its owner, which may be this proxy. */
+    void returnSlot(
+            Member owner, String service, String key, String instanceId, Attempt.Outcome outcome, long ranNanos) {
         if (cluster.isSelf(owner)) {
-            returned(service, key, instance, end, ranNanos);
+            slotReturned(service, key, instanceId, outcome, ranNanos);
         } else {
-            environment.send(owner.host(), new SlotReturn(service, key, instance, end.ordinal(), ranNanos / 1000));
+            environment.send(
+                    owner.host(), new SlotReturn(service, key, instanceId, outcome.ordinal(), ranNanos / 1000));
         }
     }
 
-    /** A slot that was granted here comes back. */
-    void returned(String service, String key, String instance, Attempt.End end, long ranNanos) {
-        unplaced.remove(key);
-        returnedUntil.put(key, environment.now() + heartbeat);
+    /** Frees a slot that was granted by this owner or by the previous one. */
+    void slotReturned(String service, String key, String instanceId, Attempt.Outcome outcome, long ranNanos) {
+        pendingGrants.remove(key);
+        recentlyReleasedUntil.put(key, environment.now() + heartbeatNanos);
         SlotAllocator allocator = allocators.get(service);
         if (allocator == null) {
             return;
         }
-        allocator.returned(key, instance, end, ranNanos, environment.now());
-        if (end == Attempt.End.ABANDONED) {
-            environment.after(SlotAllocator.SETTLES + 1, () -> allocator.turn(environment.now()));
+        allocator.release(key, instanceId, outcome, ranNanos, environment.now());
+        if (outcome == Attempt.Outcome.ABANDONED) {
+            environment.after(
+                    SlotAllocator.CONNECTION_CLOSE_GRACE_NANOS + 1, () -> allocator.expire(environment.now()));
         }
     }
 
-    /** Slots in use, told by those who granted them before us or who hold them; some may have come back since. */
-    void held(List<HeldSlot> slots) {
+    /**
+     * Takes over slots in use, reported by the previous owner or by their holders. Slots returned in the meantime are
+     * skipped.
+     */
+    void slotsHeld(List<HeldSlot> slots) {
         for (HeldSlot slot : slots) {
-            if (returnedUntil.containsKey(slot.key())) {
+            if (recentlyReleasedUntil.containsKey(slot.key())) {
                 continue;
             }
-            InUse inUse = new InUse(slot.instance(), slot.life(), environment.now() + slot.leftMillis() * 1_000_000);
-            if (!isOwner(slot.service()) || !place(allocator(slot.service()), slot.key(), inUse)) {
-                unplaced.put(slot.key(), inUse);
+            PendingGrant grant =
+                    new PendingGrant(slot.instance(), slot.life(), environment.now() + slot.leftMillis() * 1_000_000);
+            if (!isOwner(slot.service()) || !applyGrant(allocator(slot.service()), slot.key(), grant)) {
+                pendingGrants.put(slot.key(), grant);
             }
         }
     }
 
-    private boolean place(SlotAllocator allocator, String key, InUse inUse) {
-        if (allocator.slots(inUse.instance) == null) {
+    /** Whether the grant could be applied: its instance is known. */
+    private boolean applyGrant(SlotAllocator allocator, String key, PendingGrant grant) {
+        if (allocator.slots(grant.instanceId) == null) {
             return false;
         }
-        allocator.held(key, inUse.life, inUse.instance, inUse.until, environment.now());
+        allocator.restoreGrant(key, grant.incarnation, grant.instanceId, grant.expiresAt, environment.now());
         return true;
     }
 
-    private void placeInUse(SlotAllocator allocator) {
-        unplaced.entrySet().removeIf(e -> place(allocator, e.getKey(), e.getValue()));
+    private void applyPendingGrants(SlotAllocator allocator) {
+        pendingGrants.entrySet().removeIf(entry -> applyGrant(allocator, entry.getKey(), entry.getValue()));
     }
 
-    // What is due from time to time.
+    // Periodic work.
 
-    void turn() {
+    /** Expires what is overdue, confirms queued claims and reports the demand; called periodically. */
+    void tick() {
         long now = environment.now();
         allocators.values().forEach(allocator -> {
-            allocator.turn(now);
-            booting.tryAll(allocator);
+            allocator.expire(now);
+            bootingInstances.startTests(allocator);
         });
         allocators.values().removeIf(SlotAllocator::isIdle);
-        unplaced.values().removeIf(inUse -> inUse.until <= now);
-        returnedUntil.values().removeIf(until -> until <= now);
+        pendingGrants.values().removeIf(grant -> grant.expiresAt <= now);
+        recentlyReleasedUntil.values().removeIf(until -> until <= now);
         for (SlotAllocator allocator : allocators.values()) {
-            allocator.sayQueued(now, heartbeat / 3);
+            allocator.repeatQueued(now, heartbeatNanos / 3);
         }
         reportDemand();
     }
 
+    /** Reports the demand to the control node; the first report without any demand is sent too. */
     private void reportDemand() {
         List<Demand> demands = new ArrayList<>();
         for (SlotAllocator allocator : allocators.values()) {
@@ -251,18 +268,18 @@
             }
         }
         String controlNode = cluster.session().controlNode();
-        if ((reportedDemand || !demands.isEmpty()) && controlNode != null) {
-            environment.send(controlNode, new DemandReport(cluster.life(), demands, false));
+        if ((lastReportHadDemand || !demands.isEmpty()) && controlNode != null) {
+            environment.send(controlNode, new DemandReport(cluster.incarnation(), demands, false));
         }
-        reportedDemand = !demands.isEmpty();
+        lastReportHadDemand = !demands.isEmpty();
     }
 
-    /** Takes answers to those who asked: by message to another proxy, in a later turn to this one. */
-    private final class Answers implements SlotAllocator.Answers {
+    /** Delivers replies to claims: by message to another proxy, in a later event to this proxy. */
+    private final class ClaimReplies implements SlotAllocator.Callbacks {
         @Override
         public void granted(SlotClaim claim, Instance instance) {
             if (claim.host == null) {
-                later(own -> own.granted(claim.number, instance));
+                later(handler -> handler.granted(claim.number, instance));
             } else {
                 environment.send(claim.host, new SlotGrant(claim.number, instance));
             }
@@ -276,32 +293,32 @@
         @Override
         public void queued(SlotClaim claim) {
             if (claim.host == null) {
-                ownAnswers.queued(claim.number);
+                localReplyHandler.queued(claim.number);
             } else {
                 environment.send(claim.host, new SlotQueued(claim.number));
             }
         }
 
         @Override
-        public void elsewhere(SlotClaim claim, String zone) {
+        public void redirected(SlotClaim claim, String zone) {
             if (claim.host == null) {
-                later(own -> own.elsewhere(claim.number, zone));
+                later(handler -> handler.redirected(claim.number, zone));
             } else {
                 environment.send(claim.host, new SlotElsewhere(claim.number, zone));
             }
         }
 
         @Override
-        public void refused(SlotClaim claim, long pauseMillis) {
+        public void rejected(SlotClaim claim, long retryAfterMillis) {
             if (claim.host == null) {
-                later(own -> own.refused(claim.number, pauseMillis));
+                later(handler -> handler.rejected(claim.number, retryAfterMillis));
             } else {
-                environment.send(claim.host, new SlotRefusal(claim.number, pauseMillis));
+                environment.send(claim.host, new SlotRefusal(claim.number, retryAfterMillis));
             }
         }
 
-        private void later(Consumer<SlotAnswers> answer) {
-            environment.after(0, () -> answer.accept(ownAnswers));
+        private void later(Consumer<SlotReplyHandler> reply) {
+            environment.after(0, () -> reply.accept(localReplyHandler));
         }
     }
 }
--- a/proxy/src/main/java/saltdale/proxy/Proxy.java
+++ b/proxy/src/main/java/saltdale/proxy/Proxy.java
@@ -25,8 +25,9 @@
 import saltdale.control.message.SlotMessage.SlotsHeld;
 
 /**
- * A dispatcher that carries requests: it takes the messages of other processes and hands them to its parts, the
- * requests under way, the services that it owns, and its session with a control node. No I/O, no clock of its own.
+ * The core of a proxy: it dispatches the messages of other processes to its parts, which handle the requests in
+ * progress, the services that this proxy owns, and the session with a control node. It does no I/O and reads no clock
+ * itself: both come from the {@link Environment} and the {@link Transport}.
  */
 public final class Proxy {
     private final Environment environment;
@@ -37,55 +38,61 @@
     private final OwnedServices ownedServices;
     private final RequestLifecycle requests;
     private final SlotRequester slotRequester;
-    private long awakeAt;
-    private boolean ending;
+    private long lastActiveAt;
+    private boolean shuttingDown;
 
     public Proxy(Environment environment, ProxySettings settings, Transport transport) {
         this.environment = environment;
         this.settings = settings;
         this.transport = transport;
         cluster = new ClusterView(environment, settings);
-        ownedServices = new OwnedServices(environment, cluster, transport, settings.heartbeat());
+        ownedServices = new OwnedServices(environment, cluster, transport, settings.heartbeatNanos());
         requests = new RequestLifecycle(environment, settings, cluster, ownedServices, transport);
         slotRequester = requests.slotRequester();
-        ownedServices.ownAnswers(slotRequester);
-        controlSession = new ControlSession(environment, settings, new NewsReader(), this::fellowProxies);
-        cluster.session(controlSession);
+        ownedServices.setLocalReplyHandler(slotRequester);
+        controlSession = new ControlSession(environment, settings, new UpdateListener(), this::otherProxies);
+        cluster.setSession(controlSession);
     }
 
-    private List<String> fellowProxies() {
+    /** Hosts of the other proxies. */
+    private List<String> otherProxies() {
         return cluster.members().stream()
                 .map(Member::host)
                 .filter(host -> !host.equals(settings.host()))
                 .toList();
     }
 
-    public void begin() {
-        controlSession.begin();
-        turn();
+    /** Starts the session with a control node and the periodic work. */
+    public void start() {
+        controlSession.start();
+        tick();
     }
 
-    private void turn() {
-        awake();
-        environment.after(settings.heartbeat() / 6, this::turn);
-        ownedServices.turn();
+    private void tick() {
+        detectPause();
+        environment.after(settings.heartbeatNanos() / 6, this::tick);
+        ownedServices.tick();
     }
 
-    /** After it stood still the slots it asked for may have been granted and taken back: it asks anew. */
-    private void awake() {
+    /**
+     * Repeats all slot requests after a pause of this process: slots may have been granted and expired in the
+     * meantime.
+     */
+    private void detectPause() {
         long now = environment.now();
-        boolean stoodStill = now - awakeAt > settings.heartbeat();
-        awakeAt = now;
-        if (stoodStill) {
-            slotRequester.askAllAgain();
+        boolean wasPaused = now - lastActiveAt > settings.heartbeatNanos();
+        lastActiveAt = now;
+        if (wasPaused) {
+            slotRequester.requestAllAgain();
         }
     }
 
-    /** It can serve: it knows a configuration, and the members that it is one of. */
+    /** Whether it can serve requests: it has a configuration and a list of members that includes itself. */
     public boolean isReady() {
-        return knowsConfiguration() && !ending && cluster.isMember();
+        return knowsConfiguration() && !shuttingDown && cluster.isMember();
     }
 
+    /** Whether a configuration is in force. */
     public boolean knowsConfiguration() {
         return cluster.configuration() != null;
     }
@@ -101,171 +108,182 @@
     }
 
     /**
-     * How long ago, in nanoseconds, all that was acknowledged before was known to be in force here; very long where
-     * that was never known.
+     * How long ago, in nanoseconds, this proxy was last certain to have every configuration acknowledged by then; very
+     * large if it never was.
      */
     public long configurationAge() {
         return environment.now() - controlSession.configurationKnownAt();
     }
 
-    /** Requests that have no final answer yet. */
-    public int open() {
-        return requests.open();
+    /** Number of requests that have no final answer yet. */
+    public int openRequests() {
+        return requests.openRequests();
     }
 
-    /** The settings, read again, name these control nodes. */
-    public void seeds(List<String> hosts) {
-        controlSession.seeds(hosts);
+    /** Replaces the seed control nodes after the settings were reloaded. */
+    public void updateSeeds(List<String> hosts) {
+        controlSession.updateSeeds(hosts);
     }
 
-    /** Nothing new is to come; what is here is carried on. What still waits for a slot after so long is refused. */
-    public void end(long waits) {
-        ending = true;
+    /**
+     * Starts a graceful shutdown: the proxy is no longer ready, but still serves the requests that it gets. Requests
+     * that wait for a slot after the given time are rejected.
+     */
+    public void shutDown(long queueGraceNanos) {
+        shuttingDown = true;
         controlSession.leave();
-        environment.after(waits, slotRequester::refuseWaiting);
+        environment.after(queueGraceNanos, slotRequester::rejectQueued);
     }
 
-    /** The process ends now: who has no answer yet gets one, as true as what is known. */
-    public void endNow() {
-        slotRequester.refuseWaiting();
-        requests.endNow();
+    /** Answers all requests in progress with an error, right before the process exits. */
+    public void failOpenRequests() {
+        slotRequester.rejectQueued();
+        requests.failOpenRequests();
     }
 
     // Requests.
 
     /**
-     * Which route a request takes. None is denied by a configuration that may be old: an acknowledged one may have it.
+     * Looks up the route of a request. A configuration that may be out of date denies none: a newer acknowledged one
+     * may have the route.
      */
     public RouteDecision route(String hostname, String path) {
         Configuration configuration = cluster.configuration();
         Configuration.Route route = configuration == null ? null : configuration.route(hostname, path);
-        boolean mayBeOld = cluster.configurationMayBeOld();
+        boolean mayBeOutdated = cluster.configurationMayBeOutdated();
         if (route != null) {
-            if (mayBeOld) {
+            if (mayBeOutdated) {
                 environment.counters().count(Counter.ROUTED_WITHOUT_CONTACT);
             }
             return new RouteDecision.Found(route);
-        } else if (configuration == null || mayBeOld) {
+        } else if (configuration == null || mayBeOutdated) {
             environment.counters().count(Counter.ROUTES_UNDECIDED);
             return new RouteDecision.Undecided();
         }
         environment.counters().count(Counter.ROUTES_DENIED);
         environment.check(
                 Invariant.DENIED_IN_CONTACT,
-                environment.now() - controlSession.servedAt() <= settings.configApply(),
+                environment.now() - controlSession.lastQuorumGrantAt() <= settings.configApplyNanos(),
                 () -> path + " by revision " + cluster.revision());
         return new RouteDecision.Denied();
     }
 
-    /** Takes a request in; {@code leftNanos} is how long its client waits, {@code peer} where it comes from. */
-    public Request arrived(String id, Configuration.Route route, long leftNanos, String peer, Object clientContext) {
-        return requests.arrived(id, route, leftNanos, peer, clientContext);
+    /**
+     * Accepts a request.
+     *
+     * @param remainingNanos how long its client still waits for the answer
+     * @param clientHost the host that it comes from
+     */
+    public Request handleRequest(
+            String id, Configuration.Route route, long remainingNanos, String clientHost, Object clientContext) {
+        return requests.handleRequest(id, route, remainingNanos, clientHost, clientContext);
     }
 
-    /** The client has gone: nothing more is done for it. */
-    public void left(Request request) {
-        requests.left(request);
+    /** Ends the work on a request whose client has disconnected. */
+    public void clientDisconnected(Request request) {
+        requests.clientDisconnected(request);
     }
 
-    /** An attempt has ended, in whatever way; only one that we abandoned is not told here. */
-    public void ended(Attempt attempt, Attempt.End end) {
-        requests.ended(attempt, end);
+    /** Reports the end of an attempt; not called for attempts that this proxy abandoned. */
+    public void attemptEnded(Attempt attempt, Attempt.Outcome outcome) {
+        requests.attemptEnded(attempt, outcome);
     }
 
-    /** What came of a try whether an instance that is starting takes connections. */
-    public void tried(String id, boolean takesConnections) {
-        ownedServices.tried(id, takesConnections);
+    /** Reports whether a booting instance accepted a test connection. */
+    public void connectionTested(String instanceId, boolean accepted) {
+        ownedServices.connectionTested(instanceId, accepted);
     }
 
-    /** A connection to another process has ended: what was asked there is asked elsewhere. */
-    public void unreachable(String host) {
-        slotRequester.unreachable(host);
-        controlSession.unreachable(host);
+    /** Reports that a connection to another process was lost: requests made there are repeated elsewhere. */
+    public void connectionLost(String host) {
+        slotRequester.connectionLost(host);
+        controlSession.connectionLost(host);
     }
 
-    // News of the control plane.
+    // Updates from the control plane.
 
-    private final class NewsReader implements ControlSession.Reader {
+    private final class UpdateListener implements ControlSession.Listener {
         @Override
-        public void configuration(Map<String, Object> whole) {
-            cluster.configuration(whole);
+        public void configurationChanged(Map<String, Object> configuration) {
+            cluster.updateConfiguration(configuration);
         }
 
         @Override
-        public void members(List<Member> members) {
-            membersChanged(members);
+        public void membersChanged(List<Member> members) {
+            Proxy.this.membersChanged(members);
         }
 
         @Override
-        public void instances(List<Instance> instances) {
-            instances.forEach(Proxy.this::heard);
+        public void instancesChanged(List<Instance> instances) {
+            instances.forEach(Proxy.this::updateInstance);
         }
 
         @Override
-        public void begins() {
+        public void sessionStarted() {
             ownedServices.forgetInstances();
         }
 
         @Override
-        public void over() {
-            ownedServices.forgetAll();
+        public void leaseExpired() {
+            ownedServices.forgetOwnership();
         }
     }
 
-    private void heard(Instance instance) {
-        requests.knows(instance);
-        ownedServices.heard(instance);
+    private void updateInstance(Instance instance) {
+        requests.addInstanceHost(instance);
+        ownedServices.updateInstance(instance);
         if (instance.phase() == Instance.Phase.GONE) {
-            transport.forget(instance.id());
+            transport.forgetInstance(instance.id());
         }
     }
 
-    private void membersChanged(List<Member> next) {
-        Collection<Member> before = cluster.members();
-        cluster.members(next);
+    private void membersChanged(List<Member> members) {
+        Collection<Member> previous = cluster.members();
+        cluster.updateMembers(members);
         ownedServices.membersChanged();
-        requests.ownersChanged(before);
-        List<Member> gone = before.stream()
-                .filter(was -> next.stream().noneMatch(is -> is.life().equals(was.life())))
+        requests.ownersChanged(previous);
+        List<Member> gone = previous.stream()
+                .filter(old ->
+                        members.stream().noneMatch(member -> member.life().equals(old.life())))
                 .toList();
-        ownedServices.gone(gone);
-        slotRequester.gone(gone);
+        ownedServices.membersGone(gone);
+        slotRequester.membersGone(gone);
         slotRequester.ownersChanged();
     }
 
     // Messages of other processes.
 
-    /** Takes a message; {@code from} is the host of its sender. */
-    public void message(String from, Message message) throws MalformedMessage {
-        awake();
-        if (message instanceof SlotMessage slot) {
-            slotMessage(from, slot);
-        } else if (message instanceof SessionMessage session) {
-            controlSession.message(from, session);
-        } else if (message instanceof ContactMessage contact) {
-            controlSession.message(from, contact);
+    /** Handles a message; {@code from} is the host of its sender. */
+    public void handleMessage(String from, Message message) throws MalformedMessage {
+        detectPause();
+        if (message instanceof SlotMessage slotMessage) {
+            handleSlotMessage(from, slotMessage);
+        } else if (message instanceof SessionMessage sessionMessage) {
+            controlSession.handleMessage(from, sessionMessage);
+        } else if (message instanceof ContactMessage contactMessage) {
+            controlSession.handleMessage(from, contactMessage);
         } else {
-            throw new MalformedMessage("message " + message.kind() + " is not for a proxy");
+            throw new MalformedMessage("a proxy does not handle messages of kind " + message.kind());
         }
     }
 
-    private void slotMessage(String from, SlotMessage message) {
+    private void handleSlotMessage(String from, SlotMessage message) {
         if (message instanceof SlotRequest request) {
-            ownedServices.request(claim(from, request), request.service(), request.counts());
+            ownedServices.handleClaim(claim(from, request), request.service(), request.counts());
         } else if (message instanceof SlotGrant grant) {
             slotRequester.granted(grant.number(), grant.instance());
         } else if (message instanceof SlotQueued queued) {
             slotRequester.queued(queued.number());
         } else if (message instanceof SlotElsewhere elsewhere) {
-            slotRequester.elsewhere(elsewhere.number(), elsewhere.zone());
+            slotRequester.redirected(elsewhere.number(), elsewhere.zone());
         } else if (message instanceof SlotRefusal refusal) {
-            slotRequester.refused(refusal.number(), refusal.pauseMillis());
+            slotRequester.rejected(refusal.number(), refusal.pauseMillis());
         } else if (message instanceof SlotCancel cancel) {
             ownedServices.cancel(cancel.service(), cancel.key());
         } else if (message instanceof SlotReturn returned) {
-            returned(returned);
+            slotReturned(returned);
         } else if (message instanceof SlotsHeld held) {
-            ownedServices.held(held.slots());
+            ownedServices.slotsHeld(held.slots());
         }
     }
 
@@ -284,13 +302,13 @@
                 request.hops());
     }
 
-    private void returned(SlotReturn returned) {
-        if (returned.outcome() < Attempt.End.values().length) {
-            ownedServices.returned(
+    private void slotReturned(SlotReturn returned) {
+        if (returned.outcome() < Attempt.Outcome.values().length) {
+            ownedServices.slotReturned(
                     returned.service(),
                     returned.key(),
                     returned.instance(),
-                    Attempt.End.values()[returned.outcome()],
+                    Attempt.Outcome.values()[returned.outcome()],
                     returned.ranMicros() * 1000);
         }
     }
--- a/proxy/src/main/java/saltdale/proxy/ProxySettings.java
+++ b/proxy/src/main/java/saltdale/proxy/ProxySettings.java
@@ -3,17 +3,18 @@
 import java.util.List;
 
 /**
- * What a proxy is told of its machine and of the deployment; spans in nanoseconds.
+ * A proxy's own settings and those of the deployment.
  *
- * @param configApply so long after its acknowledgement a configuration must be in force everywhere
+ * @param seeds hosts of control nodes to contact first
+ * @param configApplyNanos time after its acknowledgement within which a configuration must be in force everywhere
  */
 public record ProxySettings(
         String name,
         String host,
         String zone,
         List<String> seeds,
-        long heartbeat,
-        long configApply,
-        double retryRatio,
-        long retryWindow,
-        double retrySlack) {}
+        long heartbeatNanos,
+        long configApplyNanos,
+        double retryBudgetRatio,
+        long retryBudgetWindowNanos,
+        double retryBudgetSlack) {}
--- a/proxy/src/main/java/saltdale/proxy/Request.java
+++ b/proxy/src/main/java/saltdale/proxy/Request.java
@@ -7,34 +7,34 @@
 import saltdale.control.Configuration;
 import saltdale.control.Member;
 
-/** One request of a client, from when it was read to its one final answer. */
+/** A client's request, from its arrival to its single final answer; times are on the clock of the environment. */
 public final class Request {
-    /** An owner that did not answer, by the life of the member, and when that was found. */
-    record SilentOwner(String life, long at) {}
+    /** An owner that did not reply, by its incarnation, and when that was detected. */
+    record UnresponsiveOwner(String incarnation, long detectedAt) {}
 
     public final String id;
     public final Configuration.Route route;
     public final String service;
-    /** What the transport keeps with it: the client and the bytes. */
+    /** Data of the transport, such as the client's connection and the bytes of the request. */
     public final Object clientContext;
 
     final long arrivedAt;
     final long deadline; // when it is given up at the latest
     final int priority; // the lowest first
-    final long targetAt; // when its answer is late
-    final Set<String> avoidedInstances = new HashSet<>(); // instances that turned it away or broke off
-    final Map<String, SilentOwner> silentOwners = new HashMap<>(); // by zone: those that did not answer it
-    ExecutionStatus status = ExecutionStatus.NOT_RUN;
+    final long targetAt; // when its answer counts as late
+    final Set<String> avoidedInstances = new HashSet<>(); // instances on which an attempt failed
+    final Map<String, UnresponsiveOwner> unresponsiveOwners = new HashMap<>(); // by zone
+    ExecutionStatus status = ExecutionStatus.NOT_EXECUTED;
     int attempts;
-    int possibleRuns; // attempts of which nothing proves that they did not run
-    int hops; // from owner to owner, for the present question
-    long slotNumber; // the number of the present question for a slot; 0 while there is none
-    String slotKey; // names what is granted for it
-    Member owner; // whom it went to
-    Runnable answerTimer;
-    Runnable deadlineTimer;
+    int possibleExecutions; // attempts that are not known to be unexecuted
+    int zoneHops; // redirections of the current slot request from owner to owner
+    long slotNumber; // of the current slot request; 0 if there is none
+    String slotKey; // identifies a grant for the current slot request
+    Member slotOwner; // receives the current slot request
+    Runnable cancelReplyTimer;
+    Runnable cancelDeadlineTimer;
     Attempt attempt;
-    boolean over;
+    boolean finished;
 
     Request(
             String id,
@@ -54,7 +54,8 @@
         this.targetAt = arrivedAt + route.targetMs() * 1_000_000;
     }
 
-    public boolean isOver() {
-        return over;
+    /** Whether it has its final answer, or its client has disconnected. */
+    public boolean isFinished() {
+        return finished;
     }
 }
--- a/proxy/src/main/java/saltdale/proxy/RequestLifecycle.java
+++ b/proxy/src/main/java/saltdale/proxy/RequestLifecycle.java
@@ -12,14 +12,16 @@
 import saltdale.control.message.SlotMessage.HeldSlot;
 
 /**
- * Requests from their arrival to their one final answer: each asks for a slot, is sent to the instance that it is
- * granted, and is answered, sent again or given up by what became of that attempt.
+ * Handles requests from their arrival to their single final answer. Each request gets a slot first and is then sent to
+ * the instance of that slot; the outcome of this attempt decides whether it is answered, retried or given up.
  */
-final class RequestLifecycle implements SlotRequester.Outcome {
-    private static final long MARGIN = Environment.millis(15); // before a client's deadline, for the way back
-    private static final int NESTED = -1; // the priority of requests that instances make while they hold a slot
-    private static final int MOST_ATTEMPTS = 6; // of one request, those included that instances turned away
-    private static final long NOT_TAKEN_PAUSE_MILLIS = 100;
+final class RequestLifecycle implements SlotRequester.Callbacks {
+    /** Requests are given up this much before the client's deadline, so that the answer arrives in time. */
+    private static final long DEADLINE_MARGIN_NANOS = Environment.millis(15);
+
+    private static final int NESTED_PRIORITY = -1; // of requests that instances make while they hold a slot
+    private static final int MAX_ATTEMPTS = 6; // of a request, including those that instances turned away
+    private static final long NOT_EXECUTED_RETRY_AFTER_MILLIS = 100;
 
     private final Environment environment;
     private final ClusterView cluster;
@@ -27,8 +29,8 @@
     private final Transport transport;
     private final RetryBudget retryBudget;
     private final SlotRequester slotRequester;
-    private final Set<Attempt> attempts = new HashSet<>(); // under way
-    private final Set<String> instanceHosts = new HashSet<>(); // requests from there are nested
+    private final Set<Attempt> attempts = new HashSet<>(); // in progress
+    private final Set<String> instanceHosts = new HashSet<>(); // requests from these hosts are nested
 
     RequestLifecycle(
             Environment environment,
@@ -40,20 +42,22 @@
         this.cluster = cluster;
         this.ownedServices = ownedServices;
         this.transport = transport;
-        retryBudget = new RetryBudget(settings.retryRatio(), settings.retryWindow(), settings.retrySlack());
-        slotRequester = new SlotRequester(environment, cluster, ownedServices, this, settings.heartbeat());
+        retryBudget = new RetryBudget(
+                settings.retryBudgetRatio(), settings.retryBudgetWindowNanos(), settings.retryBudgetSlack());
+        slotRequester = new SlotRequester(environment, cluster, ownedServices, this, settings.heartbeatNanos());
     }
 
     SlotRequester slotRequester() {
         return slotRequester;
     }
 
-    /** Requests that have no final answer yet. */
-    int open() {
-        return slotRequester.asking() + attempts.size();
+    /** Number of requests that have no final answer yet. */
+    int openRequests() {
+        return slotRequester.pendingCount() + attempts.size();
     }
 
-    void knows(Instance instance) {
+    /** Remembers the host of an instance, to recognise nested requests. */
+    void addInstanceHost(Instance instance) {
         instanceHosts.add(host(instance));
     }
 
@@ -61,23 +65,25 @@
         return instance.address().substring(0, Math.max(0, instance.address().lastIndexOf(':')));
     }
 
-    Request arrived(String id, Configuration.Route route, long leftNanos, String peer, Object clientContext) {
+    Request handleRequest(
+            String id, Configuration.Route route, long remainingNanos, String clientHost, Object clientContext) {
         long now = environment.now();
-        int priority = instanceHosts.contains(peer) ? NESTED : route.priority();
-        long deadline = now + Math.min(leftNanos - MARGIN, route.timeoutMs() * 1_000_000);
-        Request request = new Request(id, route, service(route), clientContext, priority, now, deadline);
-        retryBudget.first(request.service, now);
-        request.deadlineTimer = environment.after(Math.max(0, deadline - now), () -> overdue(request));
-        slotRequester.ask(request);
+        int priority = instanceHosts.contains(clientHost) ? NESTED_PRIORITY : route.priority();
+        long deadline = now + Math.min(remainingNanos - DEADLINE_MARGIN_NANOS, route.timeoutMs() * 1_000_000);
+        Request request = new Request(id, route, chooseService(route), clientContext, priority, now, deadline);
+        retryBudget.countRequest(request.service, now);
+        request.cancelDeadlineTimer = environment.after(Math.max(0, deadline - now), () -> deadlineExceeded(request));
+        slotRequester.requestSlot(request);
         return request;
     }
 
-    private String service(Configuration.Route route) {
+    /** Draws one of the route's services by their weights. */
+    private String chooseService(Configuration.Route route) {
         if (route.services().size() == 1) {
             return route.services().get(0);
         }
         double draw = environment.chance().nextDouble()
-                * route.weights().stream().mapToDouble(w -> w).sum();
+                * route.weights().stream().mapToDouble(weight -> weight).sum();
         for (int i = 0; i < route.services().size(); i++) {
             draw -= route.weights().get(i);
             if (draw < 0) {
@@ -87,142 +93,147 @@
         return route.services().get(route.services().size() - 1);
     }
 
-    /** The client has gone: nothing more is done for it. */
-    void left(Request request) {
-        if (!request.over) {
+    /** Ends the work on a request whose client has disconnected. */
+    void clientDisconnected(Request request) {
+        if (!request.finished) {
             finish(request);
         }
     }
 
-    private void overdue(Request request) {
-        if (!request.over) {
-            giveUp(request, 504, 0, "not done in time");
+    private void deadlineExceeded(Request request) {
+        if (!request.finished) {
+            giveUp(request, 504, 0, "deadline exceeded");
         }
     }
 
-    /** Every request under way is answered now, as true as what is known. */
-    void endNow() {
+    /** Answers every request in progress with an error, as exact as its known execution status allows. */
+    void failOpenRequests() {
         for (Attempt attempt : List.copyOf(attempts)) {
-            giveUp(attempt.request, 502, 0, "the proxy ends");
+            giveUp(attempt.request, 502, 0, "the proxy is shutting down");
         }
     }
 
     @Override
-    public void refused(Request request, long pauseMillis, String why) {
-        giveUp(request, 502, pauseMillis, why);
+    public void rejected(Request request, long retryAfterMillis, String reason) {
+        giveUp(request, 502, retryAfterMillis, reason);
     }
 
     /**
-     * Answers with 503 where no instance can have run it or will, else with the status given, which promises
-     * nothing.
+     * Answers with 503 if no instance can have executed the request or will, else with the given status, which makes no
+     * such promise.
      */
-    private void giveUp(Request request, int statusIfItMayHaveRun, long pauseMillis, String why) {
-        if (request.over) {
+    private void giveUp(Request request, int statusIfPossiblyExecuted, long retryAfterMillis, String reason) {
+        if (request.finished) {
             return;
         }
         finish(request);
-        int status = request.status == ExecutionStatus.NOT_RUN ? 503 : statusIfItMayHaveRun;
-        transport.refuse(request, status, pauseMillis, why);
+        int status = request.status == ExecutionStatus.NOT_EXECUTED ? 503 : statusIfPossiblyExecuted;
+        transport.sendError(request, status, retryAfterMillis, reason);
     }
 
     private void finish(Request request) {
-        request.over = true;
-        request.deadlineTimer.run();
-        slotRequester.stop(request);
+        request.finished = true;
+        request.cancelDeadlineTimer.run();
+        slotRequester.cancel(request);
         if (request.attempt != null) {
             Attempt attempt = request.attempt;
             request.attempt = null;
             boolean unsent = transport.abandon(attempt);
-            Attempt.End end = unsent ? Attempt.End.UNSENT : Attempt.End.ABANDONED;
-            request.status = request.status.and(end.status());
-            giveBack(attempt, end);
+            Attempt.Outcome outcome = unsent ? Attempt.Outcome.UNSENT : Attempt.Outcome.ABANDONED;
+            request.status = request.status.combine(outcome.executionStatus());
+            returnSlot(attempt, outcome);
         }
     }
 
     @Override
     public void granted(Request request, Instance instance, long number) {
-        knows(instance);
-        Attempt attempt = new Attempt(request, instance, request.owner, cluster.life(), number, environment.now());
+        addInstanceHost(instance);
+        Attempt attempt =
+                new Attempt(request, instance, request.slotOwner, cluster.incarnation(), number, environment.now());
         request.attempt = attempt;
         request.attempts++;
         attempts.add(attempt);
-        transport.carry(attempt);
+        transport.send(attempt);
     }
 
-    void ended(Attempt attempt, Attempt.End end) {
-        if (attempt.over) {
+    /** Handles the outcome of an attempt: answers the request, retries it or gives it up. */
+    void attemptEnded(Attempt attempt, Attempt.Outcome outcome) {
+        if (attempt.finished) {
             return;
         }
-        giveBack(attempt, end);
+        returnSlot(attempt, outcome);
         Request request = attempt.request;
-        if (request.over) {
+        if (request.finished) {
             return;
         }
         request.attempt = null;
-        request.status = request.status.and(end.status());
-        request.possibleRuns += end.status() == ExecutionStatus.NOT_RUN ? 0 : 1;
-        if (end == Attempt.End.ANSWERED) {
-            request.over = true;
-            request.deadlineTimer.run();
-            transport.deliver(attempt);
+        request.status = request.status.combine(outcome.executionStatus());
+        request.possibleExecutions += outcome.executionStatus() == ExecutionStatus.NOT_EXECUTED ? 0 : 1;
+        if (outcome == Attempt.Outcome.ANSWERED) {
+            request.finished = true;
+            request.cancelDeadlineTimer.run();
+            transport.deliverAnswer(attempt);
             return;
         }
-        request.avoidedInstances.add(attempt.instance);
-        if (mayGoAgain(request, end)) {
-            slotRequester.ask(request);
+        request.avoidedInstances.add(attempt.instanceId);
+        if (mayRetry(request, outcome)) {
+            slotRequester.requestSlot(request);
         } else {
-            boolean notRun = request.status == ExecutionStatus.NOT_RUN;
+            boolean notExecuted = request.status == ExecutionStatus.NOT_EXECUTED;
             giveUp(
                     request,
                     502,
-                    notRun ? NOT_TAKEN_PAUSE_MILLIS : 0,
-                    notRun ? "no instance took it" : "its answer is lost");
+                    notExecuted ? NOT_EXECUTED_RETRY_AFTER_MILLIS : 0,
+                    notExecuted ? "no instance accepted the request" : "the answer of the instance was lost");
         }
     }
 
-    private boolean mayGoAgain(Request request, Attempt.End end) {
-        boolean arrived = end == Attempt.End.TURNED_AWAY || end == Attempt.End.BROKEN || end == Attempt.End.MISDIRECTED;
-        return request.status.allowsAnother(request.route.idempotent())
-                && request.possibleRuns < request.route.maxAttempts()
-                && request.attempts < Math.max(MOST_ATTEMPTS, request.route.maxAttempts())
-                && (!arrived
-                        || retryBudget.further(
+    private boolean mayRetry(Request request, Attempt.Outcome outcome) {
+        boolean reachedInstance = outcome == Attempt.Outcome.TURNED_AWAY
+                || outcome == Attempt.Outcome.BROKEN
+                || outcome == Attempt.Outcome.MISDIRECTED;
+        return request.status.allowsRetry(request.route.idempotent())
+                && request.possibleExecutions < request.route.maxAttempts()
+                && request.attempts < Math.max(MAX_ATTEMPTS, request.route.maxAttempts())
+                && (!reachedInstance
+                        || retryBudget.tryRetry(
                                 request.service,
                                 environment.now(),
                                 cluster.members().size()));
     }
 
-    private void giveBack(Attempt attempt, Attempt.End end) {
-        attempt.over = true;
+    private void returnSlot(Attempt attempt, Attempt.Outcome outcome) {
+        attempt.finished = true;
         attempts.remove(attempt);
         long ranNanos = environment.now() - attempt.sentAt;
-        ownedServices.giveBack(
-                attempt.owner, attempt.request.service, attempt.slotKey, attempt.instance, end, ranNanos);
+        ownedServices.returnSlot(
+                attempt.owner, attempt.request.service, attempt.slotKey, attempt.instanceId, outcome, ranNanos);
     }
 
-    /** The slots in use whose owner has changed are told to the new one. */
-    void ownersChanged(Collection<Member> before) {
-        HeldSlotsByHost held = new HeldSlotsByHost();
+    /** Reports the slots in use whose owner has changed to the new owner. */
+    void ownersChanged(Collection<Member> previousMembers) {
+        HeldSlotsByHost heldSlots = new HeldSlotsByHost();
         for (Attempt attempt : attempts) {
-            Member was = ServiceOwnership.of(attempt.request.service, attempt.zone, before);
-            Member is = cluster.owner(attempt.request.service, attempt.zone);
-            boolean moved = was == null || is != null && !was.life().equals(is.life());
-            boolean renewed = !attempt.life.equals(cluster.life());
-            if (is != null && (moved || renewed)) {
-                attempt.owner = is;
-                attempt.life = cluster.life();
-                held.add(is.host(), heldSlot(attempt));
+            Member previousOwner = ServiceOwnership.of(attempt.request.service, attempt.zone, previousMembers);
+            Member owner = cluster.owner(attempt.request.service, attempt.zone);
+            boolean ownerChanged = previousOwner == null
+                    || owner != null && !previousOwner.life().equals(owner.life());
+            boolean incarnationChanged = !attempt.incarnation.equals(cluster.incarnation());
+            if (owner != null && (ownerChanged || incarnationChanged)) {
+                attempt.owner = owner;
+                attempt.incarnation = cluster.incarnation();
+                heldSlots.add(owner.host(), heldSlot(attempt));
             }
         }
-        held.send(environment);
+        heldSlots.send(environment);
     }
 
     private HeldSlot heldSlot(Attempt attempt) {
         return new HeldSlot(
                 attempt.request.service,
-                attempt.instance,
+                attempt.instanceId,
                 attempt.slotKey,
-                attempt.life,
+                attempt.incarnation,
                 Math.max(0, (attempt.deadline - environment.now()) / 1_000_000));
     }
 }
--- a/proxy/src/main/java/saltdale/proxy/RetryBudget.java
+++ b/proxy/src/main/java/saltdale/proxy/RetryBudget.java
@@ -4,63 +4,69 @@
 import java.util.Map;
 
 /**
- * This dispatcher's part of what may arrive at a service beyond the first arrival of each request. All parts together
- * stay within the whole: each takes its ratio of the requests that it has itself seen, and an equal share of the slack.
+ * This proxy's share of the attempts that may reach a service in addition to the first attempt of each request. The
+ * shares of all proxies together stay within the total: each proxy applies the ratio to the requests that it has
+ * received itself, and gets an equal share of the slack.
  */
 final class RetryBudget {
-    private static final int PARTS = 10; // of the window
-    private static final double CAUTION = 0.7; // the requests that repeated runs make count too, and are not seen here
+    private static final int BUCKETS = 10; // per window
 
+    /** Reserve for nested requests made by repeated executions: they count too, but this proxy does not see them. */
+    private static final double SAFETY_FACTOR = 0.7;
+
+    /** Counts of one service in a ring of buckets. */
     private static final class Counts {
-        final long[] slot = new long[PARTS + 1];
-        final int[] firsts = new int[PARTS + 1];
-        final int[] furthers = new int[PARTS + 1];
+        final long[] period = new long[BUCKETS + 1]; // number of the time period that a bucket holds
+        final int[] firstAttempts = new int[BUCKETS + 1];
+        final int[] retries = new int[BUCKETS + 1];
     }
 
     private final double ratio;
     private final double slack;
-    private final long part;
+    private final long bucketNanos;
     private final Map<String, Counts> services = new HashMap<>();
 
-    RetryBudget(double ratio, long window, double slack) {
+    RetryBudget(double ratio, long windowNanos, double slack) {
         this.ratio = ratio;
         this.slack = slack;
-        part = Math.max(1, window / PARTS);
+        bucketNanos = Math.max(1, windowNanos / BUCKETS);
     }
 
-    void first(String service, long now) {
-        at(service, now).firsts[index(now)]++;
+    /** Counts the arrival of a request. */
+    void countRequest(String service, long now) {
+        counts(service, now).firstAttempts[bucket(now)]++;
     }
 
-    /** Whether a further attempt may go; it is counted if so. */
-    boolean further(String service, long now, int members) {
-        Counts counts = at(service, now);
-        int firsts = 0;
-        int furthers = 0;
-        for (int i = 0; i <= PARTS; i++) {
-            if (now / part - counts.slot[i] <= PARTS) {
-                firsts += counts.firsts[i];
-                furthers += counts.furthers[i];
+    /** Whether a retry is within the budget; if so, it is counted. */
+    boolean tryRetry(String service, long now, int members) {
+        Counts counts = counts(service, now);
+        int firstAttempts = 0;
+        int retries = 0;
+        for (int i = 0; i <= BUCKETS; i++) {
+            if (now / bucketNanos - counts.period[i] <= BUCKETS) {
+                firstAttempts += counts.firstAttempts[i];
+                retries += counts.retries[i];
             }
         }
-        boolean may = furthers + 1 <= CAUTION * (ratio * firsts + slack / Math.max(1, members));
-        if (may) {
-            counts.furthers[index(now)]++;
+        boolean allowed = retries + 1 <= SAFETY_FACTOR * (ratio * firstAttempts + slack / Math.max(1, members));
+        if (allowed) {
+            counts.retries[bucket(now)]++;
         }
-        return may;
+        return allowed;
     }
 
-    private int index(long now) {
-        return (int) (now / part % (PARTS + 1));
+    private int bucket(long now) {
+        return (int) (now / bucketNanos % (BUCKETS + 1));
     }
 
-    private Counts at(String service, long now) {
+    /** The counts of a service, with the current bucket cleared if it held an older period. */
+    private Counts counts(String service, long now) {
         Counts counts = services.computeIfAbsent(service, s -> new Counts());
-        int i = index(now);
-        if (counts.slot[i] != now / part) {
-            counts.slot[i] = now / part;
-            counts.firsts[i] = 0;
-            counts.furthers[i] = 0;
+        int i = bucket(now);
+        if (counts.period[i] != now / bucketNanos) {
+            counts.period[i] = now / bucketNanos;
+            counts.firstAttempts[i] = 0;
+            counts.retries[i] = 0;
         }
         return counts;
     }
--- a/proxy/src/main/java/saltdale/proxy/SlotAllocator.java
+++ b/proxy/src/main/java/saltdale/proxy/SlotAllocator.java
@@ -1,6 +1,7 @@
 package saltdale.proxy;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.Comparator;
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -16,80 +17,82 @@
 import saltdale.probing.ProbeLoop;
 
 /**
- * The owner of one service in a zone: it grants the slots of the zone's instances, one to each request, so that
- * no more are at
- * work than an instance takes, whoever asks. Which instance it is the design decides: probes of randomly drawn
- * ones, the
- * first idle one, further only while that pays.
+ * Grants the slots of one service's instances in one zone. It runs in the proxy that owns the service there; every
+ * request needs a grant, so an instance never has more requests in progress than it has slots, whichever proxies send
+ * them. The instance is chosen by probing: randomly drawn instances are examined, the first one with a free slot is
+ * taken, and another one is drawn only while the {@link ProbeLoop} expects that to pay.
  */
 final class SlotAllocator {
-    /** What becomes of a claim. */
-    interface Answers {
+    /** Receives the results of claims. */
+    interface Callbacks {
         void granted(SlotClaim claim, Instance instance);
 
-        /** Whether we are owner for certain: who cannot know grants nothing. */
+        /** Whether this proxy is certainly still the owner; without that certainty nothing is granted. */
         boolean mayGrant();
 
-        /** It waits here for a slot. */
+        /** The claim waits in the queue of this allocator. */
         void queued(SlotClaim claim);
 
-        /** There are instances, in another zone. */
-        void elsewhere(SlotClaim claim, String zone);
+        /** This owner has no instances, but another zone has. */
+        void redirected(SlotClaim claim, String zone);
 
-        /** It can't be in time: it may come back after so many milliseconds. */
-        void refused(SlotClaim claim, long pauseMillis);
+        /** The claim cannot be granted in time; the client may retry after the given delay. */
+        void rejected(SlotClaim claim, long retryAfterMillis);
     }
 
-    static final int MOST_HOPS = 3;
-    static final long SETTLES = 60_000_000L;
-    private static final double TAU = 2e9; // over which arrivals are averaged
-    private static final double QUICK = 0.5e9; // the same, to see a burst at once
-    private static final double LEAST = 0.4e9; // so long at least an owner has counted before it believes its counts
+    static final int MAX_ZONE_HOPS = 3;
+
+    /** Time for an instance to notice that the connection of an abandoned attempt is closed. */
+    static final long CONNECTION_CLOSE_GRACE_NANOS = 60_000_000L;
+
+    private static final double RATE_WINDOW_NANOS = 2e9; // time constant of the average arrival rate
+    private static final double SHORT_RATE_WINDOW_NANOS = 0.5e9; // shorter time constant, to detect bursts quickly
+    private static final double MIN_RATE_SPAN_NANOS = 0.4e9; // a new owner assumes to have counted for at least this
     private final String service;
     private final String zone;
     private final ProbeLoop probes;
-    private final SplittableRandom chance;
-    private final Answers answers;
-    private final Predicate<Instance> ours; // of our zone, or of one without members that we adopted
-    private final Map<String, InstanceSlots> instances = new LinkedHashMap<>(); // of those that are ours
-    private final Map<String, Instance> others = new LinkedHashMap<>(); // those with other owners
-    private final List<SlotClaim> queue = new ArrayList<>(); // as they came
-    private double rate; // requests a second that come from our zone
-    private double quick; // the same over a shorter time
-    private long rateAt;
-    private long ratedFrom = -1; // since when it counts; it begins anew after a long rest
-    private long counted;
-    private double run; // seconds that a request runs, on average
-    private long busyAt;
-    /** From when on it grants: those who granted before have ended by then, or said what is out. */
-    long opensAt;
+    private final SplittableRandom random;
+    private final Callbacks callbacks;
+    private final Predicate<Instance> isOwned; // in our zone, or in an adopted zone that has no members
+    private final Map<String, InstanceSlots> instances = new LinkedHashMap<>(); // owned by this proxy, by ID
+    private final Map<String, Instance> otherInstances = new LinkedHashMap<>(); // owned by other proxies, by ID
+    private final List<SlotClaim> queue = new ArrayList<>(); // in order of arrival
+    private double averageRate; // requests per second from our zone
+    private double shortTermRate; // the same, averaged over the shorter window
+    private long ratesUpdatedAt;
+    private long countingSince = -1; // start of the current count; restarted after a long idle period
+    private long requestCount;
+    private double meanRunSeconds; // moving average of the execution time of a request
+    private long lastGrantAt;
+    /** When granting starts: by then the grants of the previous owner have ended or have been reported to us. */
+    long grantsFrom;
 
     SlotAllocator(
             String service,
             String zone,
             ProbeLoop probes,
-            SplittableRandom chance,
-            Predicate<Instance> ours,
-            Answers answers,
-            long opensAt) {
+            SplittableRandom random,
+            Predicate<Instance> isOwned,
+            Callbacks callbacks,
+            long grantsFrom) {
         this.service = service;
         this.zone = zone;
         this.probes = probes;
-        this.chance = chance;
-        this.ours = ours;
-        this.answers = answers;
-        this.opensAt = opensAt;
+        this.random = random;
+        this.isOwned = isOwned;
+        this.callbacks = callbacks;
+        this.grantsFrom = grantsFrom;
     }
 
-    // What is known of instances.
+    // Instances.
 
-    /** News of an instance; those that are not known any more are dropped. */
-    void heard(Instance instance, long now) {
-        if (!ours.test(instance)) {
+    /** Applies the new state of an instance; an instance that is gone is removed. */
+    void updateInstance(Instance instance, long now) {
+        if (!isOwned.test(instance)) {
             if (instance.phase().compareTo(Instance.Phase.LEAVING) < 0) {
-                others.put(instance.id(), instance);
+                otherInstances.put(instance.id(), instance);
             } else {
-                others.remove(instance.id());
+                otherInstances.remove(instance.id());
             }
             return;
         }
@@ -101,315 +104,359 @@
         } else if (instance.phase().compareTo(slots.instance.phase()) > 0) {
             slots.instance = instance;
         }
-        serve(now);
+        grantWaiting(now);
     }
 
     String service() {
         return service;
     }
 
-    /** Says again to those who wait that they do: else they ask elsewhere. */
-    void sayQueued(long now, long every) {
+    /** Confirms to waiting requesters that their claims are still queued; without that they would ask elsewhere. */
+    void repeatQueued(long now, long intervalNanos) {
         for (SlotClaim claim : queue) {
-            if (now - claim.toldAt >= every) {
-                claim.toldAt = now;
-                answers.queued(claim);
+            if (now - claim.queuedSentAt >= intervalNanos) {
+                claim.queuedSentAt = now;
+                callbacks.queued(claim);
             }
         }
     }
 
     /**
-     * The members have changed: what is no longer ours goes with its grants, what is ours now waits a moment for
-     * others'.
+     * Re-evaluates the ownership of all instances after a change of members. Instances that are no longer owned are
+     * dropped and their grants returned; newly owned ones are used only after a delay, in which the previous owner
+     * reports its grants.
      */
-    List<HeldSlot> membersChanged(long now, long opens) {
+    List<HeldSlot> membersChanged(long now, long delayNanos) {
         List<HeldSlot> lost = new ArrayList<>();
         for (InstanceSlots slots : List.copyOf(instances.values())) {
-            if (!ours.test(slots.instance)) {
+            if (!isOwned.test(slots.instance)) {
                 instances.remove(slots.instance.id());
-                lost.addAll(inUse(slots, now));
-                others.put(slots.instance.id(), slots.instance);
+                lost.addAll(heldSlots(slots, now));
+                otherInstances.put(slots.instance.id(), slots.instance);
             }
         }
-        for (Instance r : List.copyOf(others.values())) {
-            if (ours.test(r)) {
-                others.remove(r.id());
-                InstanceSlots slots = new InstanceSlots(r, now);
-                slots.notBefore = now + opens;
-                instances.put(r.id(), slots);
+        for (Instance instance : List.copyOf(otherInstances.values())) {
+            if (isOwned.test(instance)) {
+                otherInstances.remove(instance.id());
+                InstanceSlots slots = new InstanceSlots(instance, now);
+                slots.pausedUntil = now + delayNanos;
+                instances.put(instance.id(), slots);
             }
         }
-        serve(now);
+        grantWaiting(now);
         return lost;
     }
 
-    InstanceSlots slots(String id) {
-        return instances.get(id);
+    /** The slots of an owned instance; null if it is not known here. */
+    InstanceSlots slots(String instanceId) {
+        return instances.get(instanceId);
     }
 
-    List<InstanceSlots> booting() {
+    List<InstanceSlots> bootingInstances() {
         return instances.values().stream()
-                .filter(b -> b.instance.phase() == Instance.Phase.BOOTING)
+                .filter(slots -> slots.instance.phase() == Instance.Phase.BOOTING)
                 .toList();
     }
 
     boolean isIdle() {
-        return queue.isEmpty() && instances.isEmpty() && others.isEmpty() && rate == 0;
+        return queue.isEmpty() && instances.isEmpty() && otherInstances.isEmpty() && averageRate == 0;
     }
 
     // Claims.
 
-    void request(SlotClaim claim, boolean counts, Configuration.Service kind, long now) {
-        if (counts) {
-            decay(now);
-            ratedFrom = ratedFrom < 0 ? now : ratedFrom;
-            counted++;
-            rate += 1e9 / TAU;
-            quick += 1e9 / QUICK;
+    /** Grants, queues, redirects or rejects a claim; {@code countsAsDemand} is false for repeated claims. */
+    void handleClaim(SlotClaim claim, boolean countsAsDemand, Configuration.Service settings, long now) {
+        if (countsAsDemand) {
+            decayRates(now);
+            countingSince = countingSince < 0 ? now : countingSince;
+            requestCount++;
+            averageRate += 1e9 / RATE_WINDOW_NANOS;
+            shortTermRate += 1e9 / SHORT_RATE_WINDOW_NANOS;
         }
         queue.add(claim);
-        serve(now);
+        grantWaiting(now);
         if (!queue.contains(claim)) {
             return;
         }
-        long wait = wait(kind, now);
-        if (claim.priority >= 0 && now + wait > claim.deadline) {
+        long waitNanos = expectedWaitNanos(settings, now);
+        if (claim.priority >= 0 && now + waitNanos > claim.deadline) {
             queue.remove(claim);
-            answers.refused(claim, Math.max(100, wait / 2_000_000));
+            callbacks.rejected(claim, Math.max(100, waitNanos / 2_000_000));
             return;
         }
-        claim.toldAt = now;
-        answers.queued(claim);
+        claim.queuedSentAt = now;
+        callbacks.queued(claim);
     }
 
-    private String elsewhere() {
-        return others.values().stream()
+    /** A zone whose owner has instances, preferably ready ones; null if there is none. */
+    private String otherZoneWithInstances() {
+        return otherInstances.values().stream()
                 .min(Comparator.comparing(Instance::phase).reversed().thenComparing(Instance::zone))
                 .map(Instance::zone)
                 .orElse(null);
     }
 
-    /** How long the last one in the queue is likely to wait. */
-    private long wait(Configuration.Service kind, long now) {
-        int slots = instances.values().stream()
-                .filter(InstanceSlots::isUp)
-                .mapToInt(b -> b.instance.slots())
+    /** The expected waiting time of the last claim in the queue. */
+    private long expectedWaitNanos(Configuration.Service settings, long now) {
+        int slotCount = instances.values().stream()
+                .filter(InstanceSlots::isReady)
+                .mapToInt(slots -> slots.instance.slots())
                 .sum();
-        double boot = kind == null ? 0 : kind.bootMs() * 1e6;
-        if (slots == 0) {
-            long since = booting().stream().mapToLong(b -> b.since).min().orElse(now);
-            return (long) Math.max(0.1 * boot, boot - (now - since));
+        double bootNanos = settings == null ? 0 : settings.bootMs() * 1e6;
+        if (slotCount == 0) {
+            long bootingSince = bootingInstances().stream()
+                    .mapToLong(slots -> slots.addedAt)
+                    .min()
+                    .orElse(now);
+            return (long) Math.max(0.1 * bootNanos, bootNanos - (now - bootingSince));
         }
-        // What is started for a longer queue takes part of it over, once it is up.
-        double turns = queue.size() * run * 1e9 / slots;
-        return (long) (boot == 0 || turns < boot ? turns : boot + (turns - boot) / 2);
+        // Instances started for a longer queue take over a part of it once they are ready.
+        double queueNanos = queue.size() * meanRunSeconds * 1e9 / slotCount;
+        return (long)
+                (bootNanos == 0 || queueNanos < bootNanos ? queueNanos : bootNanos + (queueNanos - bootNanos) / 2);
     }
 
-    /** It asks no longer. */
+    /** Withdraws a claim, whether it is still queued or already granted. */
     void cancel(String key, long now) {
         queue.removeIf(claim -> claim.key.equals(key));
         for (InstanceSlots slots : instances.values()) {
             if (slots.grants.remove(key) != null) {
-                serve(now);
+                grantWaiting(now);
                 return;
             }
         }
     }
 
-    /** A granted slot comes back. */
-    void returned(String key, String id, Attempt.End end, long ranNanos, long now) {
-        InstanceSlots slots = instances.get(id);
+    /** Frees a granted slot and takes the outcome of its attempt into account. */
+    void release(String key, String instanceId, Attempt.Outcome outcome, long ranNanos, long now) {
+        InstanceSlots slots = instances.get(instanceId);
         if (slots == null) {
             return;
         }
         InstanceSlots.Grant grant = slots.grants.remove(key);
-        if (end == Attempt.End.ABANDONED && grant != null) {
-            // Guards against an instance that is sent the next request before it has seen this one's connection end.
-            slots.grants.put(key, new InstanceSlots.Grant(grant.life(), grant.at(), now + SETTLES));
+        if (outcome == Attempt.Outcome.ABANDONED && grant != null) {
+            // The slot stays taken until the instance has seen this attempt's connection close: otherwise the next
+            // request could reach it earlier.
+            slots.grants.put(
+                    key,
+                    new InstanceSlots.Grant(
+                            grant.incarnation(), grant.grantedAt(), now + CONNECTION_CLOSE_GRACE_NANOS));
         }
-        switch (end) {
+        switch (outcome) {
             case ANSWERED -> {
-                slots.ended(false);
-                slots.rest = 0;
+                slots.recordResult(false);
+                slots.pauseNanos = 0;
                 double seconds = ranNanos / 1e9;
-                run = run == 0 ? seconds : 0.95 * run + 0.05 * Math.min(seconds, 4 * run);
+                meanRunSeconds = meanRunSeconds == 0
+                        ? seconds
+                        : 0.95 * meanRunSeconds + 0.05 * Math.min(seconds, 4 * meanRunSeconds);
                 probes.ended(seconds);
             }
-            case TURNED_AWAY -> slots.rests(now, 30_000_000L, 500_000_000L); // another's work still holds its slots
-            case NOT_CONNECTED -> slots.rests(now, 50_000_000L, 1_000_000_000L);
-            case MISDIRECTED -> instances.remove(id);
-            case BROKEN -> slots.ended(true);
+            case TURNED_AWAY ->
+                slots.pause(now, 30_000_000L, 500_000_000L); // requests of another proxy still occupy its slots
+            case NOT_CONNECTED -> slots.pause(now, 50_000_000L, 1_000_000_000L);
+            case MISDIRECTED -> instances.remove(instanceId);
+            case BROKEN -> slots.recordResult(true);
             default -> {}
         }
-        serve(now);
+        grantWaiting(now);
     }
 
-    /** A slot that another owner granted before us, or that we are told of again. */
-    void held(String key, String life, String id, long until, long now) {
-        InstanceSlots slots = instances.get(id);
+    /** Records a grant that the previous owner made, or that its holder reports again. */
+    void restoreGrant(String key, String incarnation, String instanceId, long expiresAt, long now) {
+        InstanceSlots slots = instances.get(instanceId);
         if (slots != null) {
-            slots.grants.put(key, new InstanceSlots.Grant(life, now, until));
+            slots.grants.put(key, new InstanceSlots.Grant(incarnation, now, expiresAt));
         }
     }
 
-    /** Whoever asked is gone: what it was granted comes back after a moment, as instances see its connections end. */
-    void gone(String life, long until) {
-        queue.removeIf(claim -> claim.life.equals(life));
+    /**
+     * Drops the claims of a proxy that is no longer a member. Its grants expire after a short delay, in which the
+     * instances see its connections close.
+     */
+    void memberGone(String incarnation, long expiresAt) {
+        queue.removeIf(claim -> claim.incarnation.equals(incarnation));
         for (InstanceSlots slots : instances.values()) {
-            slots.grants.replaceAll((key, grant) -> grant.life().equals(life)
-                    ? new InstanceSlots.Grant(life, grant.at(), Math.min(grant.until(), until))
+            slots.grants.replaceAll((key, grant) -> grant.incarnation().equals(incarnation)
+                    ? new InstanceSlots.Grant(incarnation, grant.grantedAt(), Math.min(grant.expiresAt(), expiresAt))
                     : grant);
         }
     }
 
-    /** Looks whether anything is due: claims that are over, grants that never came back. */
-    void turn(long now) {
+    /** Removes claims past their deadline and grants that were never returned. */
+    void expire(long now) {
         queue.removeIf(claim -> claim.deadline <= now);
         for (InstanceSlots slots : instances.values()) {
-            slots.grants.values().removeIf(grant -> grant.until() <= now);
+            slots.grants.values().removeIf(grant -> grant.expiresAt() <= now);
         }
-        serve(now);
+        grantWaiting(now);
     }
 
-    /**
-     * Grants what is free to those who wait, in their order; where no instance of ours will come, they go
-     * elsewhere.
-     */
-    private void serve(long now) {
-        if (now < opensAt || queue.isEmpty() || !answers.mayGrant()) {
+    /** Grants free slots to waiting claims; if this owner has and expects no instances, redirects the claims. */
+    private void grantWaiting(long now) {
+        if (now < grantsFrom || queue.isEmpty() || !callbacks.mayGrant()) {
             return;
         }
         if (!hasInstances()) {
-            String there = elsewhere();
-            for (SlotClaim claim : there == null
+            String otherZone = otherZoneWithInstances();
+            for (SlotClaim claim : otherZone == null
                     ? List.<SlotClaim>of()
-                    : queue.stream().filter(a -> a.hops < MOST_HOPS).toList()) {
+                    : queue.stream()
+                            .filter(waiting -> waiting.zoneHops < MAX_ZONE_HOPS)
+                            .toList()) {
                 queue.remove(claim);
-                answers.elsewhere(claim, there);
+                callbacks.redirected(claim, otherZone);
             }
             return;
         }
-        if (instances.values().stream().noneMatch(b -> b.mayTake(now))) {
+        if (instances.values().stream().noneMatch(slots -> slots.canAccept(now))) {
             return;
         }
-        // Who can still be in time goes before who is late; requests of instances at work before all, since those hold
-        // slots.
+        // Claims that can still meet their target latency come before late ones. Nested requests come first of all:
+        // the instances that make them hold slots meanwhile.
         List<SlotClaim> order = new ArrayList<>(queue);
-        long soon = now + (long) (run * 1e9);
-        order.sort(Comparator.comparing((SlotClaim a) -> a.priority >= 0 && a.targetAt < soon)
-                .thenComparing(a -> a.priority));
+        long expectedEnd = now + (long) (meanRunSeconds * 1e9);
+        order.sort(Comparator.comparing((SlotClaim claim) -> claim.priority >= 0 && claim.targetAt < expectedEnd)
+                .thenComparing(claim -> claim.priority));
         for (SlotClaim claim : order) {
-            InstanceSlots slots = pick(claim, now);
+            InstanceSlots slots = pickInstance(claim, now);
             if (slots != null) {
                 queue.remove(claim);
-                slots.grants.put(claim.key, new InstanceSlots.Grant(claim.life, now, claim.deadline + SETTLES));
-                slots.used = true;
-                busyAt = now;
-                answers.granted(claim, slots.instance);
-                if (instances.values().stream().noneMatch(b -> b.mayTake(now))) {
+                slots.grants.put(
+                        claim.key,
+                        new InstanceSlots.Grant(claim.incarnation, now, claim.deadline + CONNECTION_CLOSE_GRACE_NANOS));
+                slots.hasBeenUsed = true;
+                lastGrantAt = now;
+                callbacks.granted(claim, slots.instance);
+                if (instances.values().stream().noneMatch(other -> other.canAccept(now))) {
                     return;
                 }
             }
         }
     }
 
-    // The design's draw: here all probes are of our own knowledge, which holds all that is granted.
-    private InstanceSlots pick(SlotClaim claim, long now) {
+    /**
+     * Picks an instance for a claim by probing; null if none has a free slot. A probe sends no message here: the owner
+     * knows all grants.
+     */
+    private InstanceSlots pickInstance(SlotClaim claim, long now) {
         List<InstanceSlots> ready = new ArrayList<>();
-        int poor = 0;
+        int unreliable = 0;
         for (InstanceSlots slots : instances.values()) {
-            if (slots.isUp() && !claim.avoidedInstances.contains(slots.instance.id())) {
+            if (slots.isReady() && !claim.avoidedInstances.contains(slots.instance.id())) {
                 ready.add(slots);
-                poor += slots.failing > InstanceSlots.POOR ? 1 : 0;
+                unreliable += slots.failureRate > InstanceSlots.UNRELIABLE_FAILURE_RATE ? 1 : 0;
             }
         }
-        // Guards against instances that fail often, unless most do: then it is not them.
-        if (poor > 0 && 2 * poor <= ready.size()) {
-            ready.removeIf(b -> b.failing > InstanceSlots.POOR && chance.nextDouble() > 0.05);
+        // Instances that fail often are mostly skipped; if more than half of them do, the cause lies elsewhere.
+        if (unreliable > 0 && 2 * unreliable <= ready.size()) {
+            ready.removeIf(
+                    slots -> slots.failureRate > InstanceSlots.UNRELIABLE_FAILURE_RATE && random.nextDouble() > 0.05);
         }
-        double shortest = Double.POSITIVE_INFINITY;
+        double lowestLoad = Double.POSITIVE_INFINITY;
         int probed = 0;
         Set<InstanceSlots> seen = new HashSet<>();
-        for (int i = 0; i < ready.size() && (probed == 0 || probes.worthAnother(probed, shortest)); i++) {
-            java.util.Collections.swap(ready, i, i + chance.nextInt(ready.size() - i));
+        for (int i = 0; i < ready.size() && (probed == 0 || probes.worthAnother(probed, lowestLoad)); i++) {
+            Collections.swap(ready, i, i + random.nextInt(ready.size() - i));
             InstanceSlots slots = ready.get(i);
             seen.add(slots);
             probed++;
-            boolean idle = slots.mayTake(now);
+            boolean idle = slots.canAccept(now);
             double load = load(slots, ready);
             probes.sawProbe(idle, load, 0);
             if (idle) {
                 return slots;
             }
-            shortest = Math.min(shortest, load);
+            lowestLoad = Math.min(lowestLoad, load);
         }
-        // No probed instance has a free slot: any other that has, else the request waits here.
+        // No probed instance has a free slot: use any other one that has, else the claim stays queued.
         return ready.stream()
-                .filter(b -> !seen.contains(b) && b.mayTake(now))
+                .filter(slots -> !seen.contains(slots) && slots.canAccept(now))
                 .findFirst()
                 .orElse(null);
     }
 
-    /** The requests waiting for it and in flight to it; one not yet sent to counts as the mean of the others. */
+    /** Number of requests granted to an instance; for an instance not used yet, the mean of the used ones. */
     private static double load(InstanceSlots slots, List<InstanceSlots> ready) {
-        return slots.used
+        return slots.hasBeenUsed
                 ? slots.grants.size()
                 : ready.stream()
-                        .filter(b -> b.used)
-                        .mapToInt(b -> b.grants.size())
+                        .filter(other -> other.hasBeenUsed)
+                        .mapToInt(other -> other.grants.size())
                         .average()
                         .orElse(0);
     }
 
-    // What is told to the control nodes.
+    // Demand reported to the control nodes.
 
-    private void decay(long now) {
-        rate *= Math.exp(-(now - rateAt) / TAU);
-        quick *= Math.exp(-(now - rateAt) / QUICK);
-        rateAt = now;
-        if (rate < 0.01) {
-            rate = 0;
-            ratedFrom = -1;
-            counted = 0;
+    private void decayRates(long now) {
+        averageRate *= Math.exp(-(now - ratesUpdatedAt) / RATE_WINDOW_NANOS);
+        shortTermRate *= Math.exp(-(now - ratesUpdatedAt) / SHORT_RATE_WINDOW_NANOS);
+        ratesUpdatedAt = now;
+        if (averageRate < 0.01) {
+            averageRate = 0;
+            countingSince = -1;
+            requestCount = 0;
         }
     }
 
-    /** Requests a second: the average, or the last half second's where that is more than chance would have it. */
-    private double rate(long now) {
-        double lately = quick - 2 * Math.sqrt(quick);
-        double young =
-                now - ratedFrom < TAU ? (counted - 2 * Math.sqrt(counted)) * 1e9 / Math.max(LEAST, now - ratedFrom) : 0;
-        return Math.max(rate, Math.max(lately, young));
+    /**
+     * The arrival rate in requests per second: the average, or the rate of the last half second or since counting began
+     * if one of these is higher by more than two standard deviations.
+     */
+    private double arrivalRate(long now) {
+        double burstRate = shortTermRate - 2 * Math.sqrt(shortTermRate);
+        double initialRate = now - countingSince < RATE_WINDOW_NANOS
+                ? (requestCount - 2 * Math.sqrt(requestCount))
+                        * 1e9
+                        / Math.max(MIN_RATE_SPAN_NANOS, now - countingSince)
+                : 0;
+        return Math.max(averageRate, Math.max(burstRate, initialRate));
     }
 
-    /** The demand seen here; null where there is none. */
+    /** The demand observed here; null if there is none. */
     Demand demand(long now) {
-        decay(now);
-        int busy = instances.values().stream().mapToInt(b -> b.grants.size()).sum();
-        return rate == 0 && busy == 0 && queue.isEmpty()
+        decayRates(now);
+        int granted = instances.values().stream()
+                .mapToInt(slots -> slots.grants.size())
+                .sum();
+        return averageRate == 0 && granted == 0 && queue.isEmpty()
                 ? null
-                : new Demand(service, zone, rate(now), run, busy, queue.size(), (now - busyAt) / 1e9);
+                : new Demand(
+                        service,
+                        zone,
+                        arrivalRate(now),
+                        meanRunSeconds,
+                        granted,
+                        queue.size(),
+                        (now - lastGrantAt) / 1e9);
     }
 
-    int waiting() {
+    int queueLength() {
         return queue.size();
     }
 
+    /** Whether there is an instance that is ready or booting. */
     boolean hasInstances() {
-        return instances.values().stream().anyMatch(b -> b.instance.phase().compareTo(Instance.Phase.LEAVING) < 0);
+        return instances.values().stream()
+                .anyMatch(slots -> slots.instance.phase().compareTo(Instance.Phase.LEAVING) < 0);
     }
 
-    /** All grants, for an owner that takes over. */
-    List<HeldSlot> inUse(long now) {
+    /** All current grants, for the next owner. */
+    List<HeldSlot> heldSlots(long now) {
         List<HeldSlot> all = new ArrayList<>();
-        instances.values().forEach(slots -> all.addAll(inUse(slots, now)));
+        instances.values().forEach(slots -> all.addAll(heldSlots(slots, now)));
         return all;
     }
 
-    private List<HeldSlot> inUse(InstanceSlots slots, long now) {
+    private List<HeldSlot> heldSlots(InstanceSlots slots, long now) {
         List<HeldSlot> all = new ArrayList<>();
         slots.grants.forEach((key, grant) -> all.add(new HeldSlot(
-                service, slots.instance.id(), key, grant.life(), Math.max(0, (grant.until() - now) / 1_000_000))));
+                service,
+                slots.instance.id(),
+                key,
+                grant.incarnation(),
+                Math.max(0, (grant.expiresAt() - now) / 1_000_000))));
         return all;
     }
 }
--- a/proxy/src/main/java/saltdale/proxy/SlotClaim.java
+++ b/proxy/src/main/java/saltdale/proxy/SlotClaim.java
@@ -2,26 +2,27 @@
 
 import java.util.Set;
 
-/** A request that asks an owner for a slot. */
+/** A request's claim for a slot, as the owner of the service handles it. */
 final class SlotClaim {
+    /** Identifies the claim and the grant made for it, see {@link #key(String, long)}. */
     final String key;
-    /** The life of the proxy that asks. */
-    final String life;
-    /** Where it is; null: this proxy asks itself. */
+    /** The incarnation of the requesting proxy. */
+    final String incarnation;
+    /** The host of the requesting proxy; null if it is this proxy. */
     final String host;
 
-    final long number;
-    final String zone;
+    final long number; // of the slot request, chosen by the requesting proxy
+    final String zone; // of the requesting proxy
     final long deadline;
-    final long targetAt;
-    final int priority;
+    final long targetAt; // when the answer counts as late
+    final int priority; // the lowest first; negative for nested requests
     final Set<String> avoidedInstances;
-    final int hops; // so often it was sent from zone to zone
-    long toldAt; // that it waits; 0: not yet
+    final int zoneHops; // how often the request was redirected to another zone
+    long queuedSentAt; // when the requester was last informed that the claim is queued; 0: never
 
     SlotClaim(
             String key,
-            String life,
+            String incarnation,
             String host,
             long number,
             String zone,
@@ -29,9 +30,9 @@
             long targetAt,
             int priority,
             Set<String> avoidedInstances,
-            int hops) {
+            int zoneHops) {
         this.key = key;
-        this.life = life;
+        this.incarnation = incarnation;
         this.host = host;
         this.number = number;
         this.zone = zone;
@@ -39,11 +40,11 @@
         this.targetAt = targetAt;
         this.priority = priority;
         this.avoidedInstances = avoidedInstances;
-        this.hops = hops;
+        this.zoneHops = zoneHops;
     }
 
-    /** Names a grant: the life of the proxy that asked, and the number of its question. */
-    static String key(String life, long number) {
-        return life + "." + number;
+    /** The key of a claim: the incarnation of the requesting proxy and the number of its slot request. */
+    static String key(String incarnation, long number) {
+        return incarnation + "." + number;
     }
 }
--- a/proxy/src/main/java/saltdale/proxy/SlotRequester.java
+++ b/proxy/src/main/java/saltdale/proxy/SlotRequester.java
@@ -12,88 +12,90 @@
 import saltdale.control.message.SlotMessage.SlotRequest;
 
 /**
- * Asks owners for slots: the owner in this proxy's zone, or one in another zone where ours does not answer. An owner
- * answers at once, if only that the request waits; one that stays silent is passed by for a while.
+ * Requests slots from the owners of services: from the owner in this proxy's zone, or from one in another zone if that
+ * does not reply. An owner replies at once, at least that the request is queued; an owner that does not is skipped for
+ * a while.
  */
-final class SlotRequester implements SlotAnswers {
-    /** What becomes of a request that asked for a slot. */
-    interface Outcome {
+final class SlotRequester implements SlotReplyHandler {
+    /** Receives the results of slot requests. */
+    interface Callbacks {
         void granted(Request request, Instance instance, long number);
 
-        void refused(Request request, long pauseMillis, String why);
+        void rejected(Request request, long retryAfterMillis, String reason);
     }
 
-    private static final long NO_OWNER_PAUSE_MILLIS = 500;
-    private static final long NOT_OWNED_PAUSE = Environment.millis(20);
+    private static final long NO_OWNER_RETRY_AFTER_MILLIS = 500;
+    private static final long NOT_OWNER_RETRY_DELAY_NANOS = Environment.millis(20);
 
     private final Environment environment;
     private final ClusterView cluster;
     private final OwnedServices ownedServices;
-    private final Outcome outcome;
-    private final long heartbeat;
-    private final Map<Long, Request> asking = new HashMap<>(); // by the number of the question
-    private final Map<String, Long> silentUntil = new HashMap<>(); // by the life of a member that did not answer
-    private long asked;
-    private boolean refusesWaiting;
+    private final Callbacks callbacks;
+    private final long heartbeatNanos;
+    private final Map<Long, Request> pending = new HashMap<>(); // by the number of the slot request
+    private final Map<String, Long> skippedUntil = new HashMap<>(); // unresponsive owners, by incarnation
+    private long lastNumber;
+    private boolean rejectsQueued;
 
     SlotRequester(
             Environment environment,
             ClusterView cluster,
             OwnedServices ownedServices,
-            Outcome outcome,
-            long heartbeat) {
+            Callbacks callbacks,
+            long heartbeatNanos) {
         this.environment = environment;
         this.cluster = cluster;
         this.ownedServices = ownedServices;
-        this.outcome = outcome;
-        this.heartbeat = heartbeat;
+        this.callbacks = callbacks;
+        this.heartbeatNanos = heartbeatNanos;
     }
 
-    int asking() {
-        return asking.size();
+    int pendingCount() {
+        return pending.size();
     }
 
-    /** From now on what would have to wait for a slot is refused, and what waits already. */
-    void refuseWaiting() {
-        refusesWaiting = true;
-        List.copyOf(asking.values()).forEach(this::refuseWaiting);
+    /** Rejects all requests that wait for a slot, and from now on every request that would have to wait. */
+    void rejectQueued() {
+        rejectsQueued = true;
+        List.copyOf(pending.values()).forEach(this::rejectQueued);
     }
 
-    private void refuseWaiting(Request request) {
-        outcome.refused(request, 50, "the proxy ends");
+    private void rejectQueued(Request request) {
+        callbacks.rejected(request, 50, "the proxy is shutting down");
     }
 
-    /** Asks for a slot for this request. */
-    void ask(Request request) {
-        Member owner = ownerFor(request);
-        request.owner = owner;
+    /** Requests a slot. */
+    void requestSlot(Request request) {
+        Member owner = chooseOwner(request);
+        request.slotOwner = owner;
         if (owner == null) {
-            outcome.refused(request, NO_OWNER_PAUSE_MILLIS, "nobody grants slots of this service");
+            callbacks.rejected(request, NO_OWNER_RETRY_AFTER_MILLIS, "the service has no owner");
             return;
         }
-        number(request);
-        boolean away = !owner.zone().equals(cluster.zone());
-        boolean reachesAll = request.silentOwners.isEmpty();
-        boolean counts = request.attempts == 0 && reachesAll && !away || away && !reachesAll;
-        request.hops = reachesAll ? 0 : SlotAllocator.MOST_HOPS;
-        send(request, counts);
+        assignNumber(request);
+        boolean inOtherZone = !owner.zone().equals(cluster.zone());
+        boolean allOwnersRespond = request.unresponsiveOwners.isEmpty();
+        boolean countsAsDemand =
+                request.attempts == 0 && allOwnersRespond && !inOtherZone || inOtherZone && !allOwnersRespond;
+        request.zoneHops = allOwnersRespond ? 0 : SlotAllocator.MAX_ZONE_HOPS;
+        send(request, countsAsDemand);
     }
 
-    private void number(Request request) {
-        long number = ++asked;
+    private void assignNumber(Request request) {
+        long number = ++lastNumber;
         request.slotNumber = number;
-        request.slotKey = SlotClaim.key(cluster.life(), number);
-        asking.put(number, request);
-        request.answerTimer = environment.after(heartbeat / 10, () -> unanswered(request, number));
+        request.slotKey = SlotClaim.key(cluster.incarnation(), number);
+        pending.put(number, request);
+        request.cancelReplyTimer = environment.after(heartbeatNanos / 10, () -> replyTimedOut(request, number));
     }
 
-    private void send(Request request, boolean counts) {
+    private void send(Request request, boolean countsAsDemand) {
         long now = environment.now();
-        if (cluster.isSelf(request.owner)) {
-            ownedServices.request(
+        if (cluster.isSelf(request.slotOwner)) {
+            ownedServices.handleClaim(
                     new SlotClaim(
                             request.slotKey,
-                            cluster.life(),
+                            cluster.incarnation(),
                             null,
                             request.slotNumber,
                             cluster.zone(),
@@ -101,210 +103,217 @@
                             request.targetAt,
                             request.priority,
                             request.avoidedInstances,
-                            request.hops),
+                            request.zoneHops),
                     request.service,
-                    counts);
+                    countsAsDemand);
         } else {
             environment.send(
-                    request.owner.host(),
+                    request.slotOwner.host(),
                     new SlotRequest(
                             request.slotNumber,
                             request.service,
-                            cluster.life(),
+                            cluster.incarnation(),
                             cluster.zone(),
                             (request.deadline - now) / 1_000_000,
                             (request.targetAt - now) / 1_000_000,
                             request.priority,
-                            counts,
-                            request.hops,
+                            countsAsDemand,
+                            request.zoneHops,
                             List.copyOf(request.avoidedInstances)));
         }
     }
 
-    private Member ownerFor(Request request) {
-        Member own = cluster.owner(request.service, cluster.zone());
-        if (isUsable(own, request)) {
-            return own;
+    /**
+     * The owner in this proxy's zone if it is usable, else a random usable one of another zone. If there is none
+     * either, the owner in this zone all the same; null if there is no owner.
+     */
+    private Member chooseOwner(Request request) {
+        Member localOwner = cluster.owner(request.service, cluster.zone());
+        if (isUsable(localOwner, request)) {
+            return localOwner;
         }
-        List<Member> far = new ArrayList<>();
+        List<Member> remoteOwners = new ArrayList<>();
         for (String zone :
                 cluster.members().stream().map(Member::zone).distinct().toList()) {
-            Member each = cluster.owner(request.service, zone);
-            if (isUsable(each, request)) {
-                far.add(each);
+            Member owner = cluster.owner(request.service, zone);
+            if (isUsable(owner, request)) {
+                remoteOwners.add(owner);
             }
         }
-        return far.isEmpty() ? own : far.get(environment.chance().nextInt(far.size()));
+        return remoteOwners.isEmpty()
+                ? localOwner
+                : remoteOwners.get(environment.chance().nextInt(remoteOwners.size()));
     }
 
     private boolean isUsable(Member owner, Request request) {
-        if (owner == null || request.silentOwners.containsKey(owner.zone())) {
+        if (owner == null || request.unresponsiveOwners.containsKey(owner.zone())) {
             return false;
         }
         return cluster.isSelf(owner)
                 ? cluster.hasLease()
-                : silentUntil.getOrDefault(owner.life(), 0L) <= environment.now();
+                : skippedUntil.getOrDefault(owner.life(), 0L) <= environment.now();
     }
 
-    /** The request asks no longer; what it may have been granted meanwhile is given back. */
-    void stop(Request request) {
+    /** Cancels the current slot request, if any; a slot granted for it in the meantime is returned. */
+    void cancel(Request request) {
         if (request.slotNumber == 0) {
             return;
         }
-        asking.remove(request.slotNumber);
-        request.answerTimer.run();
-        if (cluster.isSelf(request.owner)) {
+        pending.remove(request.slotNumber);
+        request.cancelReplyTimer.run();
+        if (cluster.isSelf(request.slotOwner)) {
             ownedServices.cancel(request.service, request.slotKey);
         } else {
-            environment.send(request.owner.host(), new SlotCancel(request.service, request.slotKey));
+            environment.send(request.slotOwner.host(), new SlotCancel(request.service, request.slotKey));
         }
         request.slotNumber = 0;
     }
 
-    private void askAgain(Request request) {
-        if (!request.over) {
-            stop(request);
-            ask(request);
+    private void requestAgain(Request request) {
+        if (!request.finished) {
+            cancel(request);
+            requestSlot(request);
         }
     }
 
-    private void askAgainAfter(long nanos, Request request, long number) {
-        environment.after(nanos, () -> {
+    private void requestAgainAfter(long delayNanos, Request request, long number) {
+        environment.after(delayNanos, () -> {
             if (request.slotNumber == number) {
-                askAgain(request);
+                requestAgain(request);
             }
         });
     }
 
-    /** After this proxy stood still the slots that it asked for may have been granted and taken back. */
-    void askAllAgain() {
-        List.copyOf(asking.values()).forEach(this::askAgain);
+    /** Repeats all slot requests after a pause of this process: slots may have been granted and expired meanwhile. */
+    void requestAllAgain() {
+        List.copyOf(pending.values()).forEach(this::requestAgain);
     }
 
-    private void unanswered(Request request, long number) {
+    private void replyTimedOut(Request request, long number) {
         if (request.slotNumber == number) {
-            if (!cluster.isSelf(request.owner)) {
-                silentUntil.put(request.owner.life(), environment.now() + heartbeat / 2);
+            if (!cluster.isSelf(request.slotOwner)) {
+                skippedUntil.put(request.slotOwner.life(), environment.now() + heartbeatNanos / 2);
             }
-            request.silentOwners.put(request.owner.zone(), silent(request.owner));
-            askAgain(request);
+            request.unresponsiveOwners.put(request.slotOwner.zone(), unresponsive(request.slotOwner));
+            requestAgain(request);
         }
     }
 
-    private Request.SilentOwner silent(Member owner) {
-        return new Request.SilentOwner(owner == null ? "" : owner.life(), environment.now());
+    private Request.UnresponsiveOwner unresponsive(Member owner) {
+        return new Request.UnresponsiveOwner(owner == null ? "" : owner.life(), environment.now());
     }
 
     /**
-     * Whether an owner that did not answer this request may answer it now: another owns the service there by now, or it
-     * was passed by for long enough. The request then asks all zones again. Guards against a request that waits, where
-     * no instance is to come, for those of an owner that has long been replaced or goes on.
+     * Forgets unresponsive owners that have been replaced or skipped for long enough. Returns whether there were any:
+     * the request should then be repeated, with all zones open to it again. Otherwise it could wait in a zone that will
+     * get no instance while the owner of a zone with instances has long been replaced or runs again.
      */
-    private boolean reachesMore(Request request) {
-        return request.silentOwners.entrySet().removeIf(entry -> {
+    private boolean forgetOldUnresponsiveOwners(Request request) {
+        return request.unresponsiveOwners.entrySet().removeIf(entry -> {
             Member owner = cluster.owner(request.service, entry.getKey());
-            Request.SilentOwner silent = entry.getValue();
+            Request.UnresponsiveOwner unresponsive = entry.getValue();
             if (owner == null) {
                 return false;
             }
-            boolean passedBy = environment.now() - silent.at() < heartbeat / 2
-                    || silentUntil.getOrDefault(owner.life(), 0L) > environment.now();
-            return !owner.life().equals(silent.life()) || !passedBy;
+            boolean stillSkipped = environment.now() - unresponsive.detectedAt() < heartbeatNanos / 2
+                    || skippedUntil.getOrDefault(owner.life(), 0L) > environment.now();
+            return !owner.life().equals(unresponsive.incarnation()) || !stillSkipped;
         });
     }
 
-    /** A connection to another process has ended: what was asked there is asked elsewhere. */
-    void unreachable(String host) {
-        for (Request request : List.copyOf(asking.values())) {
-            if (request.owner.host().equals(host) && !cluster.isSelf(request.owner)) {
-                unanswered(request, request.slotNumber);
+    /** Moves slot requests to other owners, since the connection to this host was lost. */
+    void connectionLost(String host) {
+        for (Request request : List.copyOf(pending.values())) {
+            if (request.slotOwner.host().equals(host) && !cluster.isSelf(request.slotOwner)) {
+                replyTimedOut(request, request.slotNumber);
             }
         }
     }
 
-    /** The members have changed: who waits at a member that is owner no longer asks the new one. */
+    /** Repeats slot requests whose owner has been replaced by the current members. */
     void ownersChanged() {
-        for (Request request : List.copyOf(asking.values())) {
-            Member owner = cluster.owner(request.service, request.owner.zone());
-            boolean isReplaced = owner == null || !owner.life().equals(request.owner.life());
-            if (reachesMore(request) || isReplaced) {
-                askAgain(request);
+        for (Request request : List.copyOf(pending.values())) {
+            Member owner = cluster.owner(request.service, request.slotOwner.zone());
+            boolean isReplaced = owner == null || !owner.life().equals(request.slotOwner.life());
+            if (forgetOldUnresponsiveOwners(request) || isReplaced) {
+                requestAgain(request);
             }
         }
     }
 
-    /** These are members no longer. */
-    void gone(Collection<Member> members) {
-        members.forEach(member -> silentUntil.remove(member.life()));
+    /** Forgets the state of former members. */
+    void membersGone(Collection<Member> members) {
+        members.forEach(member -> skippedUntil.remove(member.life()));
     }
 
     @Override
     public void granted(long number, Instance instance) {
-        Request request = asking.get(number);
+        Request request = pending.get(number);
         if (request == null) {
-            return; // its owner has been told that it asks no longer
+            return; // it was cancelled, and its owner has been informed
         }
-        if (environment.now() >= request.deadline) { // after a standstill: nothing is begun that cannot be answered
-            outcome.refused(request, 0, "not done in time");
+        if (environment.now() >= request.deadline) { // after a pause of this process: too late to start an attempt
+            callbacks.rejected(request, 0, "deadline exceeded");
             return;
         }
-        asking.remove(number);
-        request.answerTimer.run();
+        pending.remove(number);
+        request.cancelReplyTimer.run();
         request.slotNumber = 0;
-        outcome.granted(request, instance, number);
+        callbacks.granted(request, instance, number);
     }
 
     @Override
     public void queued(long number) {
-        Request request = asking.get(number);
+        Request request = pending.get(number);
         if (request == null) {
             return;
         }
-        if (refusesWaiting) {
-            refuseWaiting(request);
+        if (rejectsQueued) {
+            rejectQueued(request);
             return;
         }
-        request.answerTimer.run();
-        request.answerTimer = environment.after(heartbeat, () -> unanswered(request, number));
-        if (reachesMore(request)) {
-            askAgainAfter(0, request, number); // not now: its owner may be this proxy, going through what waits
+        request.cancelReplyTimer.run();
+        request.cancelReplyTimer = environment.after(heartbeatNanos, () -> replyTimedOut(request, number));
+        if (forgetOldUnresponsiveOwners(request)) {
+            requestAgainAfter(0, request, number); // not now: the owner may be this proxy, iterating over its queue
         }
     }
 
     @Override
-    public void elsewhere(long number, String zone) {
-        Request request = asking.get(number);
+    public void redirected(long number, String zone) {
+        Request request = pending.get(number);
         if (request == null) {
             return;
         }
-        Member there = cluster.owner(request.service, zone);
-        if (there == null || request.silentOwners.containsKey(zone)) {
-            request.silentOwners.putIfAbsent(zone, silent(there));
-            askAgain(request);
+        Member owner = cluster.owner(request.service, zone);
+        if (owner == null || request.unresponsiveOwners.containsKey(zone)) {
+            request.unresponsiveOwners.putIfAbsent(zone, unresponsive(owner));
+            requestAgain(request);
             return;
         }
-        asking.remove(number);
-        request.answerTimer.run();
-        request.owner = there;
-        number(request);
-        request.hops++;
+        pending.remove(number);
+        request.cancelReplyTimer.run();
+        request.slotOwner = owner;
+        assignNumber(request);
+        request.zoneHops++;
         send(request, false);
     }
 
     @Override
-    public void refused(long number, long pauseMillis) {
-        Request request = asking.get(number);
+    public void rejected(long number, long retryAfterMillis) {
+        Request request = pending.get(number);
         if (request != null) {
-            outcome.refused(request, pauseMillis, "no instance can take it in time");
+            callbacks.rejected(request, retryAfterMillis, "no instance can take the request in time");
         }
     }
 
     @Override
-    public void notOwned(long number) {
-        Request request = asking.get(number);
+    public void notOwner(long number) {
+        Request request = pending.get(number);
         if (request != null) {
-            request.silentOwners.put(cluster.zone(), silent(cluster.owner(request.service, cluster.zone())));
-            askAgainAfter(NOT_OWNED_PAUSE, request, number);
+            request.unresponsiveOwners.put(
+                    cluster.zone(), unresponsive(cluster.owner(request.service, cluster.zone())));
+            requestAgainAfter(NOT_OWNER_RETRY_DELAY_NANOS, request, number);
         }
     }
 }
--- a/proxy/src/main/java/saltdale/proxy/Transport.java
+++ b/proxy/src/main/java/saltdale/proxy/Transport.java
@@ -1,22 +1,25 @@
 package saltdale.proxy;
 
-/** What carries bytes for a proxy: connections to instances and to clients. */
+/** Connections to instances and clients, as a proxy uses them. */
 public interface Transport {
-    /** Sends the request there; tells the proxy by {@link Proxy#ended}. */
-    void carry(Attempt attempt);
+    /** Sends the request of this attempt to its instance; reports the end by {@link Proxy#attemptEnded}. */
+    void send(Attempt attempt);
 
-    /** Breaks the attempt off; nothing of it is told any more. Tells whether the instance cannot have read it whole. */
+    /**
+     * Closes the connection of an attempt without any further report. Returns whether the instance cannot have read
+     * the whole request.
+     */
     boolean abandon(Attempt attempt);
 
-    /** Hands the instance's whole answer to the client. */
-    void deliver(Attempt attempt);
+    /** Forwards the complete answer of the instance to the client. */
+    void deliverAnswer(Attempt attempt);
 
-    /** Answers with a status of our own; {@code pauseMillis} (0: none) says when to come back. */
-    void refuse(Request request, int status, long pauseMillis, String why);
+    /** Answers with a status of the proxy itself; {@code retryAfterMillis} is 0 if the client gets no such hint. */
+    void sendError(Request request, int status, long retryAfterMillis, String reason);
 
-    /** Tries whether an instance that is starting takes connections; tells by {@link Proxy#tried}. */
-    void tryConnection(String id, String address);
+    /** Tests whether a booting instance accepts connections; reports the result by {@link Proxy#connectionTested}. */
+    void testConnection(String instanceId, String address);
 
-    /** Nothing goes to this instance any more. */
-    void forget(String id);
+    /** Releases the connections to an instance that is gone. */
+    void forgetInstance(String instanceId);
 }
--- a/proxy/src/test/java/saltdale/proxy/CatchUpTest.java
+++ b/proxy/src/test/java/saltdale/proxy/CatchUpTest.java
@@ -143,7 +143,7 @@
             }
         };
         ContactChecks operator = new ContactChecks(world);
-        operator.begin();
+        operator.start();
         load(world, 30, 40_000);
         for (int i = 0; i < 4; i++) {
             world.run(1500);
@@ -160,7 +160,7 @@
             }
             holder.start();
         }
-        operator.end();
+        operator.stop();
         world.run(3000);
         assertThat(fences.size(), greaterThan(2));
         return late(world, fences);
--- a/proxy/src/test/java/saltdale/proxy/ConfigurationTreeTest.java
+++ b/proxy/src/test/java/saltdale/proxy/ConfigurationTreeTest.java
@@ -54,7 +54,7 @@
         ConfigurationReplica replica = new ConfigurationReplica();
         ConfigurationSnapshot snapshot = ConfigurationSnapshot.of(tree);
         byte[] bytes = snapshot.bytes();
-        replica.part(new SnapshotPart("", snapshot.digest(), 0, bytes.length, bytes));
+        replica.addSnapshotPart(new SnapshotPart("", snapshot.digest(), 0, bytes.length, bytes));
         return replica;
     }
 
@@ -66,7 +66,7 @@
         for (int revision = 2; revision < 300; revision++) {
             ConfigurationTree next = over(random(revision, chance));
             assertThat(next.digest(), is(not(present.digest())));
-            assertThat(replica.change(change(present, next)), is(ConfigurationReplica.Outcome.TAKEN));
+            assertThat(replica.apply(change(present, next)), is(ConfigurationReplica.Outcome.APPLIED));
             assertThat(replica.digest(), is(next.digest()));
             Map<String, Object> nothing =
                     Map.of("dropped", List.of(), "set", Map.of(), "removed", Map.of(), "items", Map.of());
@@ -82,7 +82,7 @@
         ConfigurationTree second = over(random(2, chance));
         ConfigurationTree third = over(random(3, chance));
         ConfigurationReplica replica = replica(first);
-        assertThat(replica.change(change(second, third)), is(ConfigurationReplica.Outcome.REFUSED));
+        assertThat(replica.apply(change(second, third)), is(ConfigurationReplica.Outcome.REJECTED));
         assertThat(replica.digest(), is(first.digest()));
         ConfigurationChange whole = change(first, second);
         ConfigurationChange wrong = new ConfigurationChange(
@@ -93,10 +93,10 @@
                 2,
                 second.digest(),
                 change(first, third).change());
-        assertThat(replica.change(wrong), is(ConfigurationReplica.Outcome.REFUSED));
+        assertThat(replica.apply(wrong), is(ConfigurationReplica.Outcome.REJECTED));
         assertThat("a snapshot must come", replica.digest(), is(""));
         assertThat(replica.revision(), is(1L));
-        assertThat(replica.change(whole), is(ConfigurationReplica.Outcome.REFUSED));
+        assertThat(replica.apply(whole), is(ConfigurationReplica.Outcome.REJECTED));
     }
 
     @Test
@@ -106,7 +106,7 @@
         spoilt[spoilt.length / 2] ^= 1;
         ConfigurationReplica replica = new ConfigurationReplica();
         SnapshotPart part = new SnapshotPart("", snapshot.digest(), 0, spoilt.length, spoilt);
-        assertThrows(MalformedMessage.class, () -> replica.part(part));
+        assertThrows(MalformedMessage.class, () -> replica.addSnapshotPart(part));
         assertThat(replica.revision(), is(-1L));
         assertThat(replica.snapshotOffset(), is(0));
     }
--- a/proxy/src/test/java/saltdale/proxy/ContactChecks.java
+++ b/proxy/src/test/java/saltdale/proxy/ContactChecks.java
@@ -43,9 +43,9 @@
      * Whether processes stand still only one at a time. Else a control node may have contact by answers that come late:
      * what counts then is whether an answer is proven, and whether what is handed out is old.
      */
-    boolean standstillsAreSingle = true;
+    boolean atMostOneFrozen = true;
 
-    int stepsInTouch;
+    int stepsInContact;
     private final Map<String, Long> apartSince = new HashMap<>(); // control nodes without contact, by host
     private final TreeMap<Long, Long> chosen = new TreeMap<>(); // versions told to be chosen, by when
     private final Map<Proxy, Long> highest = new HashMap<>();
@@ -98,8 +98,8 @@
                 fault(each.host + " went back to " + now);
             }
             highest.put(each.proxy(), now);
-            if (contact.inTouch(each)) {
-                stepsInTouch++;
+            if (contact.isInContact(each)) {
+                stepsInContact++;
                 if (now < due) {
                     fault(each.host + " is in touch with revision " + now + ", " + due + " was due");
                 }
@@ -135,7 +135,7 @@
                 || message instanceof ConfigurationOffer
                 || message instanceof SnapshotPart
                 || message instanceof MembersChange) {
-            if (standstillsAreSingle && isApart(from, LEASE + ON_THE_WAY)) {
+            if (atMostOneFrozen && isApart(from, LEASE + ON_THE_WAY)) {
                 fault(from + " hands out " + message.kind() + " though it has no contact");
             }
             if (message instanceof ConfigurationChange change) {
@@ -153,12 +153,12 @@
 
     // The operator: one change at a time, sent again until there is a clear answer.
 
-    void begin() {
+    void start() {
         send(revision, revision + 1 + world.chance.nextInt(3));
         look();
     }
 
-    void end() {
+    void stop() {
         over = true;
     }
 
@@ -189,7 +189,7 @@
     }
 
     private void answered(SimMachine at, long base, long next, ControlNode.Reply reply, boolean[] done) {
-        boolean clear = reply.status() < 500 && (standstillsAreSingle || !isProven(reply.status(), base, next));
+        boolean clear = reply.status() < 500 && (atMostOneFrozen || !isProven(reply.status(), base, next));
         if (clear && isApart(at.host, Environment.millis(500))) {
             fault(at.host + " answers " + reply.status() + " though it has no contact");
         } else if (reply.status() >= 400 && reply.status() < 500) {
--- a/proxy/src/test/java/saltdale/proxy/ContactModel.java
+++ b/proxy/src/test/java/saltdale/proxy/ContactModel.java
@@ -100,7 +100,7 @@
                         > world.controlNodes.size() / 2;
     }
 
-    boolean inTouch(SimMachine proxy) {
+    boolean isInContact(SimMachine proxy) {
         return world.now() - Math.max(coreDisturbedAt, disturbedAt.getOrDefault(proxy, 0L)) >= CONTACT;
     }
 }
--- a/proxy/src/test/java/saltdale/proxy/ControlNodeReplacementTest.java
+++ b/proxy/src/test/java/saltdale/proxy/ControlNodeReplacementTest.java
@@ -59,12 +59,12 @@
         for (int seed = 0; seed < 8; seed++) {
             SimWorld world = serving(seed, seed % 4 == 3 ? 5 : 3, 4);
             ContactChecks checks = new ContactChecks(world);
-            checks.begin();
+            checks.start();
             for (int round = 0; round < ROUNDS; round++) {
                 replaceOldest(world, round);
                 world.run(4500 + world.chance.nextInt(3000));
             }
-            checks.end();
+            checks.stop();
             assertThat(checks.acknowledged.lastEntry().getValue(), greaterThan(50L));
             for (String fault : world.faults) {
                 faults.add("seed " + seed + ", " + fault);
@@ -109,7 +109,8 @@
         assertTrue(insists(world, 1, config(2), 5000));
         world.run(5000);
         assertThat("knows nobody", proxy.proxy().revision(), is(1L));
-        proxy.proxy().seeds(world.controlNodes.stream().map(each -> each.host).toList());
+        proxy.proxy()
+                .updateSeeds(world.controlNodes.stream().map(each -> each.host).toList());
         assertTrue(world.until(1000, () -> proxy.proxy().revision() == 2));
     }
 
