--- a/proxy/src/test/java/saltdale/proxy/ControlNodeSearchTest.java
+++ b/proxy/src/test/java/saltdale/proxy/ControlNodeSearchTest.java
@@ -40,13 +40,13 @@
 
     @Test
     void nobodyIsAskedAgainBeforeAllOthersWere() {
-        directory.told(hosts("old-", 5));
-        directory.told(hosts("new-", 5));
+        directory.updateCurrent(hosts("old-", 5));
+        directory.updateCurrent(hosts("new-", 5));
         for (int round = 0; round < 4; round++) {
             Set<String> inRound = new HashSet<>();
             int from = asked.size();
             for (int turn = 0; turn < 6; turn++) { // 12 others than our own
-                search.ask("new-0");
+                search.probeNext("new-0");
             }
             asked.subList(from, asked.size()).stream()
                     .filter(host -> !host.equals("fellow"))
@@ -62,33 +62,33 @@
     @Test
     void whatAQuorumTellsReplacesWhatItToldBefore() {
         for (int i = 0; i < 50; i++) {
-            directory.told(hosts("v" + i + "-", 3));
+            directory.updateCurrent(hosts("v" + i + "-", 3));
         }
-        assertThat(directory.known(), contains("v49-0", "v49-1", "v49-2"));
-        assertThat(directory.all().subList(0, 3), is(directory.known()));
+        assertThat(directory.current(), contains("v49-0", "v49-1", "v49-2"));
+        assertThat(directory.all().subList(0, 3), is(directory.current()));
         assertThat(directory.all().size(), lessThanOrEqualTo(3 + 3 + 8));
-        directory.seeds(List.of("s-4"));
+        directory.updateSeeds(List.of("s-4"));
         assertThat(directory.all().get(3), is("s-4"));
-        directory.hinted(List.of("v49-1", "s-2", "fresh"));
+        directory.addHints(List.of("v49-1", "s-2", "fresh"));
         assertThat(directory.all(), hasItem("fresh"));
         assertThat(new HashSet<>(directory.all()), hasSize(directory.all().size()));
     }
 
     @Test
     void anAnswerToAnEarlierSearchOrOfAStrangerDoesNotCount() {
-        search.ask(null);
+        search.probeNext(null);
         String host = asked.get(0);
         long number = numbers.get(0);
-        search.end();
-        search.ask(null);
-        search.answered(host, new ContactReply(number, true, List.of()));
-        search.answered("fellow", new ContactReply(numbers.get(2), true, List.of("told-1")));
+        search.stop();
+        search.probeNext(null);
+        search.handleReply(host, new ContactReply(number, true, List.of()));
+        search.handleReply("fellow", new ContactReply(numbers.get(2), true, List.of("told-1")));
         assertThat(search.serving(), nullValue());
         assertThat(directory.all(), hasItem("told-1"));
-        search.answered(asked.get(2), new ContactReply(numbers.get(2), false, List.of()));
+        search.handleReply(asked.get(2), new ContactReply(numbers.get(2), false, List.of()));
         assertThat(search.serving(), nullValue());
         assertThat(search.notServing(), is(asked.get(2)));
-        search.answered(asked.get(3), new ContactReply(numbers.get(3), true, List.of()));
+        search.handleReply(asked.get(3), new ContactReply(numbers.get(3), true, List.of()));
         assertThat(search.serving(), is(asked.get(3)));
     }
 }
--- a/proxy/src/test/java/saltdale/proxy/CutOffTest.java
+++ b/proxy/src/test/java/saltdale/proxy/CutOffTest.java
@@ -109,7 +109,7 @@
         /** One schedule: cut off, a proxy begins anew meanwhile, and back; often right as it acknowledges a change. */
         List<String> play(Cut cut) {
             applyVariant();
-            checks.begin();
+            checks.start();
             world.run(800);
             SimMachine off = world.controlNodes.get(world.chance.nextInt(3));
             boolean[] isOff = new boolean[1];
@@ -133,11 +133,11 @@
             world.run(20_000 - world.chance.nextInt(9000));
             heal(off);
             world.run(7000);
-            checks.end();
+            checks.stop();
             world.run(4000);
             long newest = checks.acknowledged.lastEntry().getValue();
             assertThat(newest, greaterThan(20L));
-            assertThat(checks.stepsInTouch, greaterThan(1000));
+            assertThat(checks.stepsInContact, greaterThan(1000));
             return world.faults;
         }
 
--- a/proxy/src/test/java/saltdale/proxy/OverlappingTroublesTest.java
+++ b/proxy/src/test/java/saltdale/proxy/OverlappingTroublesTest.java
@@ -34,7 +34,7 @@
         Run(long seed) {
             world = serving(seed, seed % 3 == 2 ? 5 : 3, 4);
             checks = new ContactChecks(world);
-            checks.standstillsAreSingle = false;
+            checks.atMostOneFrozen = false;
         }
 
         private SimMachine any(List<SimMachine> machines) {
@@ -42,7 +42,7 @@
         }
 
         void play() {
-            checks.begin();
+            checks.start();
             long end = world.now() + LENGTH_MS * 1_000_000;
             while (world.now() < end) {
                 world.run(200 + world.chance.nextInt(2800));
@@ -179,7 +179,7 @@
             world.controlNodes.forEach(SimMachine::start);
             world.proxies.forEach(SimMachine::start);
             world.run(8000);
-            checks.end();
+            checks.stop();
             world.run(4000);
             long newest = checks.acknowledged.lastEntry().getValue();
             for (SimMachine each : world.controlNodes) {
@@ -242,7 +242,7 @@
             Run run = new Run(seed);
             try {
                 run.play();
-                assertThat(run.checks.stepsInTouch, greaterThan(100));
+                assertThat(run.checks.stepsInContact, greaterThan(100));
             } catch (AssertionError | RuntimeException e) {
                 faults.add("seed " + seed + ": " + e);
             }
--- a/proxy/src/test/java/saltdale/proxy/ProxyClusterTest.java
+++ b/proxy/src/test/java/saltdale/proxy/ProxyClusterTest.java
@@ -208,7 +208,7 @@
                     case JOIN ->
                         world.proxy("10.1.0." + (50 + i), SimWorld.ZONES[i]).start();
                     case LEAVE -> {
-                        one.proxy().end(2_000_000_000L);
+                        one.proxy().shutDown(2_000_000_000L);
                         world.at(5_000_000_000L, one::kill);
                     }
                     case KILL -> {
@@ -393,7 +393,7 @@
         SimMachine ending = world.proxies.get(0);
         SimPlatform.OutgoingCall before = world.platform.call(ending, "h.example", "/a/1", 20_000);
         world.run(500);
-        ending.proxy().end(1_000_000_000L);
+        ending.proxy().shutDown(1_000_000_000L);
         SimPlatform.OutgoingCall meanwhile = world.platform.call(ending, "h.example", "/b/1", 20_000);
         world.run(900);
         assertThat(before.answers, is(empty()));
@@ -402,7 +402,7 @@
         SimPlatform.OutgoingCall late = world.platform.call(ending, "h.example", "/a/1", 20_000);
         world.run(300);
         assertThat(late.is(503), is(true));
-        assertThat(ending.proxy().open(), is(0));
+        assertThat(ending.proxy().openRequests(), is(0));
     }
 
     /** Who waits for a slot at a proxy that leaves asks the new owner at once, not when the old one stays silent. */
@@ -419,7 +419,7 @@
                     .orElseThrow();
             SimPlatform.OutgoingCall waiting = world.platform.call(asks, "h.example", "/b/1", 4000);
             world.run(1350);
-            owner.proxy().end(2_000_000_000L);
+            owner.proxy().shutDown(2_000_000_000L);
             assertTrue(world.until(
                     2000, () -> world.platform.instances.values().stream().anyMatch(SimPlatform.Instance::takes)));
             assertThat(waiting.answers, is(empty()));
--- a/proxy/src/test/java/saltdale/proxy/SimMachine.java
+++ b/proxy/src/test/java/saltdale/proxy/SimMachine.java
@@ -82,7 +82,7 @@
         for (SimMachine other : world.machines.values()) {
             world.at(world.hop(), () -> {
                 if (other.proxy() != null && !other.frozen) {
-                    other.proxy().unreachable(host);
+                    other.proxy().connectionLost(host);
                 }
             });
         }
@@ -214,7 +214,7 @@
                                     Environment.millis(10_000),
                                     52),
                             world.transports.apply(this));
-                    proxy.begin();
+                    proxy.start();
                 }
             } catch (MalformedMessage e) {
                 world.faults.add("the disk of " + host + " cannot be used: " + e.getMessage());
@@ -297,7 +297,7 @@
             if (controlNode != null) {
                 controlNode.message(from, message);
             } else {
-                proxy.message(from, message);
+                proxy.handleMessage(from, message);
             }
         }
     }
--- a/proxy/src/test/java/saltdale/proxy/SimPlatform.java
+++ b/proxy/src/test/java/saltdale/proxy/SimPlatform.java
@@ -69,7 +69,7 @@
     static final class OutgoingCall {
         final boolean idempotent;
         final List<Integer> answers = new ArrayList<>();
-        final List<Attempt.End> ends = new ArrayList<>();
+        final List<Attempt.Outcome> ends = new ArrayList<>();
         int runs;
         long answeredAt;
         SimMachine.Process at;
@@ -101,14 +101,14 @@
             this.to = to;
         }
 
-        void tell(Attempt.End end) {
+        void tell(Attempt.Outcome end) {
             world.at(
                     world.hop(),
                     () -> from.deliver(() -> {
                         if (!closed) {
                             asked().ends.add(end);
                             sendings.remove(attempt);
-                            from.proxy.ended(attempt, end);
+                            from.proxy.attemptEnded(attempt, end);
                         }
                     }));
         }
@@ -375,8 +375,8 @@
             asked.answers.add(decision == null ? 0 : decision instanceof RouteDecision.Denied ? 404 : 503);
             return asked;
         }
-        at.process.deliver(
-                () -> at.proxy().arrived("a-" + all.size(), route, Environment.millis(leftMs), "10.9.9.9", asked));
+        at.process.deliver(() ->
+                at.proxy().handleRequest("a-" + all.size(), route, Environment.millis(leftMs), "10.9.9.9", asked));
         return asked;
     }
 
@@ -391,15 +391,16 @@
     Transport transport(SimMachine.Process process) {
         return new Transport() {
             @Override
-            public void carry(Attempt attempt) {
-                Sending sending = new Sending(attempt, process, instances.get(attempt.instance));
+            public void send(Attempt attempt) {
+                Sending sending = new Sending(attempt, process, instances.get(attempt.instanceId));
                 OutgoingCall asked = sending.asked();
-                if (!asked.idempotent && asked.ends.stream().anyMatch(end -> end.status() != ExecutionStatus.NOT_RUN)) {
+                if (!asked.idempotent
+                        && asked.ends.stream().anyMatch(end -> end.executionStatus() != ExecutionStatus.NOT_EXECUTED)) {
                     world.faults.add(attempt.request.id + " is carried again after " + asked.ends);
                 }
                 sendings.put(attempt, sending);
                 if (world.chance.nextDouble() < unsent) {
-                    sending.tell(Attempt.End.UNSENT);
+                    sending.tell(Attempt.Outcome.UNSENT);
                 } else {
                     world.at(world.hop(), () -> reached(sending));
                 }
@@ -409,19 +410,19 @@
             public boolean abandon(Attempt attempt) {
                 Sending sending = sendings.remove(attempt);
                 if (sending != null) {
-                    sending.asked().ends.add(Attempt.End.ABANDONED);
+                    sending.asked().ends.add(Attempt.Outcome.ABANDONED);
                     sending.close();
                 }
                 return false;
             }
 
             @Override
-            public void deliver(Attempt attempt) {
+            public void deliverAnswer(Attempt attempt) {
                 answered(attempt.request, 200);
             }
 
             @Override
-            public void refuse(Request request, int status, long pauseMillis, String why) {
+            public void sendError(Request request, int status, long pauseMillis, String why) {
                 answered(request, status);
             }
 
@@ -431,15 +432,15 @@
             }
 
             @Override
-            public void tryConnection(String id, String address) {
+            public void testConnection(String id, String address) {
                 world.at(
                         2 * world.hop(),
-                        () -> process.deliver(
-                                () -> process.proxy.tried(id, instances.get(id).takes())));
+                        () -> process.deliver(() -> process.proxy.connectionTested(
+                                id, instances.get(id).takes())));
             }
 
             @Override
-            public void forget(String id) {
+            public void forgetInstance(String id) {
                 // No connection is kept here.
             }
         };
@@ -452,7 +453,7 @@
         }
         if (!to.takes()) {
             notConnected.add(to.id);
-            sending.tell(Attempt.End.NOT_CONNECTED);
+            sending.tell(Attempt.Outcome.NOT_CONNECTED);
             return;
         }
         // The list has shown it as draining for longer than drain_ms.
@@ -461,9 +462,9 @@
         }
         if (to.busy >= slots.get(to.service)) {
             overLimit.add(world.now());
-            sending.tell(Attempt.End.TURNED_AWAY);
+            sending.tell(Attempt.Outcome.TURNED_AWAY);
         } else if (world.chance.nextDouble() < turnsAway) {
-            sending.tell(Attempt.End.TURNED_AWAY);
+            sending.tell(Attempt.Outcome.TURNED_AWAY);
         } else {
             to.busy++;
             sending.working = true;
@@ -473,7 +474,7 @@
             world.at(work, () -> {
                 if (sending.working) {
                     sending.done();
-                    sending.tell(breaking ? Attempt.End.BROKEN : Attempt.End.ANSWERED);
+                    sending.tell(breaking ? Attempt.Outcome.BROKEN : Attempt.Outcome.ANSWERED);
                 }
             });
         }
