--- a/core/src/main/java/saltdale/decision/Dispatcher.java
+++ b/core/src/main/java/saltdale/decision/Dispatcher.java
@@ -2,7 +2,7 @@
 // method for each event, from began to woken, and settle after a round's last one: only settle acts.
 package saltdale.decision;
 
-import static saltdale.model.Spans.*;
+import static saltdale.model.Durations.*;
 import static saltdale.probing.Payoff.smooth;
 
 import java.time.Duration;
@@ -14,746 +14,746 @@
 
 /** One dispatcher of jobs: probes runners for each job, stops at the first idle one, and weighs further attempts. */
 public final class Dispatcher {
-    static final double SCARCE = 0.95;  // busy share above which the busy and unsteady are needed too
-    static final double MOVABLE = 0.5;  // busy share up to which work that waits is moved
-    static final double BELIEF = 4;  // so many runs at the usual pace are believed before any is seen
-    static final double POOR = 0.3;  // a runner failing more than this share of late is set aside
-    static final double HOMES = 3;  // runners that are home to a key, and so many times its share of all
-    static final double REPEAT = 0.5;  // what a marked repeat earns beside a first try: its time is short
-    static final double DOUBT = 0.7;  // the most that a runner is passed over for the silence of its zone
-
-    StandingOrders orders;  // replaced for the length of a question by a preview alone
+    static final double SATURATION = 0.95;  // busy share above which the busy and unsteady are needed too
+    static final double MAX_BUSY_TO_MOVE = 0.5;  // busy share up to which work that waits is moved
+    static final double PRIOR_RUNS = 4;  // so many runs at the usual pace are believed before any is seen
+    static final double MAX_FAILURE_SHARE = 0.3;  // a runner failing more than this share of late is set aside
+    static final double HOMES_PER_KEY = 3;  // runners that are home to a key, and so many times its share of all
+    static final double RETRY_VALUE = 0.5;  // what a marked repeat earns beside a first try: its time is short
+    static final double MAX_ZONE_DOUBT = 0.7;  // the most that a runner is passed over for the silence of its zone
+
+    DispatcherSettings settings;  // replaced for the length of a question by a preview alone
     Preview preview = Preview.NONE;
-    private final Door door;
-    private final SplittableRandom chance;
+    private final DispatcherActions actions;
+    private final SplittableRandom random;
     final List<Runner> runners = new ArrayList<>();
     private final Map<Workload, WorkloadStats> stats = new HashMap<>();
-    private final Pace pace = new Pace(16, null);  // of all runners; within it those of each kind
-    private final Map<String, Kind> kinds = new HashMap<>();
-    private final Set<Assignment> touched = new LinkedHashSet<>();
+    private final RunTimeRatio runTimeRatio = new RunTimeRatio(16, null);  // of all runners; within it those of each kind
+    private final Map<String, MachineTypeStats> machineTypes = new HashMap<>();
+    private final Set<Request> changed = new LinkedHashSet<>();
     final ProbeLoop probing = new ProbeLoop();
     double waitPerLoad;  // smoothed: the wait that a load of 1 brings
-    private double meanSize, meanWorth, arrivals;  // of all that arrived
-    double unseen;  // jobs that likely reached a runner since the report that it answers with
-    private final Map<String, Double> silent = new HashMap<>();  // by zone, how much of late went unanswered
-    final Histogram further = Histogram.ofOdds(32);  // whether recent further dispatches succeeded
-    double busyElsewhere;  // λ' of the runners where no bound work may run
+    private double meanRunTime, meanValue, arrivalCount;  // of all that arrived
+    double unreportedJobs;  // jobs that likely reached a runner since the report that it answers with
+    private final Map<String, Double> zoneSilence = new HashMap<>();  // by zone, how much of late went unanswered
+    final Histogram retries = Histogram.ofBooleans(32);  // whether recent further dispatches succeeded
+    double unrestrictedLambda;  // λ' of the runners where no bound work may run
     private final Keys keys = new Keys();
-    private final Workload[] bound;  // those that may not run everywhere
-    private static final Workload[] NONE = {};
-    private Duration dropped, droppedAt;  // after which rest a connection was found dropped, and when
-    final Histogram connects = Histogram.ofOdds(32);  // whether recent new connections came up
+    private final Workload[] restricted;  // those that may not run everywhere
+    private static final Workload[] NO_WORKLOADS = {};
+    private Duration droppedIdleTime, droppedAt;  // after which rest a connection was found dropped, and when
+    final Histogram connects = Histogram.ofBooleans(32);  // whether recent new connections came up
     private final FleetSurvey fleet;
-    private final ColdBudget cold;
-    private final boolean noPure;
-    private Duration askAt, askGap;  // when to ask for the list (null while subscribed), and again
-    private final Levels levels;  // null where overloads are not met by them
-    private final Budget budget = new Budget();  // of further dispatches, likewise
-    private final Duration spell, memory;  // the unit of setting aside; how long what was measured counts
-
-    public Dispatcher(StandingOrders orders, Door door, SplittableRandom chance) {
-        this.orders = orders;
-        this.door = door;
-        this.chance = chance;
-        spell = orders.workloads.stream().map(w -> w.patience).reduce(orders.askWithin, Spans::least)
+    private final ColdBudget coldBudget;
+    private final boolean nonePure;
+    private Duration subscribeAt, subscribeDelay;  // when to ask for the list (null while subscribed), and again
+    private final AdmissionControl admission;  // null where overloads are not met by them
+    private final RetryBudget retryBudget = new RetryBudget();  // of further dispatches, likewise
+    private final Duration backoffUnit, timeConstant;  // the unit of setting aside; how long what was measured counts
+
+    public Dispatcher(DispatcherSettings settings, DispatcherActions actions, SplittableRandom random) {
+        this.settings = settings;
+        this.actions = actions;
+        this.random = random;
+        backoffUnit = settings.workloads.stream().map(w -> w.clientTimeout).reduce(settings.subscribeWithin, Durations::min)
                 .dividedBy(4);
-        memory = most(spell, orders.warmWithin);
-        fleet = new FleetSurvey(orders, runners, memory);
-        cold = new ColdBudget(orders, fleet, stats.values(), memory, chance);
-        levels = orders.relief == null ? null : new Levels(orders.relief, memory);
-        orders.workloads.forEach(w -> stats.put(w, new WorkloadStats(levels)));
-        bound = orders.workloads.stream().filter(Workload::isBound).toArray(Workload[]::new);
-        noPure = orders.workloads.stream().noneMatch(w -> w.repeat == Workload.Repeat.PURE);
-        askGap = orders.askWithin.dividedBy(20);
+        timeConstant = max(backoffUnit, settings.warmUpTime);
+        fleet = new FleetSurvey(settings, runners, timeConstant);
+        coldBudget = new ColdBudget(settings, fleet, stats.values(), timeConstant, random);
+        admission = settings.overload == null ? null : new AdmissionControl(settings.overload, timeConstant);
+        settings.workloads.forEach(w -> stats.put(w, new WorkloadStats(admission)));
+        restricted = settings.workloads.stream().filter(Workload::isRestricted).toArray(Workload[]::new);
+        nonePure = settings.workloads.stream().noneMatch(w -> w.repeatSafety == Workload.RepeatSafety.PURE);
+        subscribeDelay = settings.subscribeWithin.dividedBy(20);
     }
 
-    public void began(Duration now) {
-        askAt = orders.mustSubscribe ? now : null;
+    public void onStart(Duration now) {
+        subscribeAt = settings.subscribes ? now : null;
     }
 
-    public void listed(Duration now, List<Sighting> sightings, boolean whole, boolean cached) {
-        Set<Runner> seen = new LinkedHashSet<>();
-        for (Sighting s : sightings) {
-            seen.add(s.runner());
-            s.runner().sighted(s, kinds.computeIfAbsent(s.kind(), k -> new Kind(new Pace(64, pace))));
+    public void onRunnerList(Duration now, List<RunnerListEntry> entries, boolean complete, boolean cached) {
+        Set<Runner> listed = new LinkedHashSet<>();
+        for (RunnerListEntry entry : entries) {
+            listed.add(entry.runner());
+            entry.runner().update(entry, machineTypes.computeIfAbsent(entry.machineType(), name -> new MachineTypeStats(new RunTimeRatio(64, runTimeRatio))));
             // Guards against waiting for work that a process took with it: the one there now has none.
-            s.runner().out.stream().filter(d -> s.startedAt() != null
-                    && d.sentAt.compareTo(s.startedAt()) < 0).forEach(this::takeBack);
+            entry.runner().inFlight.stream().filter(attempt -> entry.startedAt() != null
+                    && attempt.sentAt.compareTo(entry.startedAt()) < 0).forEach(this::withdraw);
         }
-        runners.stream().filter(r -> whole && !seen.contains(r)).forEach(r -> r.mode = Runner.Mode.GONE);
-        seen.addAll(runners);
+        runners.stream().filter(runner -> complete && !listed.contains(runner)).forEach(runner -> runner.mode = Runner.Mode.GONE);
+        listed.addAll(runners);
         runners.clear();
-        runners.addAll(seen);
-        runners.removeIf(r -> r.mode == Runner.Mode.GONE);
-        if (!cached && orders.mustSubscribe) {
-            askAt = null;
-            askGap = orders.askWithin.dividedBy(20);
+        runners.addAll(listed);
+        runners.removeIf(runner -> runner.mode == Runner.Mode.GONE);
+        if (!cached && settings.subscribes) {
+            subscribeAt = null;
+            subscribeDelay = settings.subscribeWithin.dividedBy(20);
         }
     }
 
     /** Learnt of one, held against its zone too: each of us meets a runner seldom, but a lost zone often. */
-    private void unheard(Duration now, Runner r) {
-        r.unheard(now, spell);
-        silent.merge(r.zone, smooth(0, 1), (share, first) -> smooth(share, 1));
+    private void recordNoResponse(Duration now, Runner runner) {
+        runner.recordNoResponse(now, backoffUnit);
+        zoneSilence.merge(runner.zone, smooth(0, 1), (old, first) -> smooth(old, 1));
     }
 
-    private void takeBack(Dispatch d) {
-        d.cancelWanted = true;
-        touched.add(d.assignment);
+    private void withdraw(Attempt attempt) {
+        attempt.cancelPlanned = true;
+        changed.add(attempt.request);
     }
 
-    public void listFailed(Duration now) {  // jitter, and a gap that doubles, spare the small list service
-        askAt = now.plus(ofSecs(secs(askGap) * (0.5 + chance.nextDouble())));
-        askGap = least(askGap.multipliedBy(2), orders.askWithin.dividedBy(2));
+    public void onRunnerListFailure(Duration now) {  // jitter, and a gap that doubles, spare the small list service
+        subscribeAt = now.plus(ofSeconds(seconds(subscribeDelay) * (0.5 + random.nextDouble())));
+        subscribeDelay = min(subscribeDelay.multipliedBy(2), settings.subscribeWithin.dividedBy(2));
     }
 
-    public void arrived(Duration now, Assignment a) {
-        WorkloadStats seen = stats.get(a.workload);
-        seen.patience = most(seen.patience, a.patience());
-        if (a.hint != null) {
-            seen.saw(secs(a.hint));
+    public void onRequest(Duration now, Request request) {
+        WorkloadStats seen = stats.get(request.workload);
+        seen.maxClientTimeout = max(seen.maxClientTimeout, request.clientTimeout());
+        if (request.runTimeHint != null) {
+            seen.addRunTime(seconds(request.runTimeHint));
         }
-        meanSize += (size(a) - meanSize) / Math.min(++arrivals, 99);
-        meanWorth += (worth(a) - meanWorth) / Math.min(arrivals, 99);
-        a.luck = chance.nextDouble();
-        if (a.key != 0) {
-            keys.add(a.key);
+        meanRunTime += (runTime(request) - meanRunTime) / Math.min(++arrivalCount, 99);
+        meanValue += (value(request) - meanValue) / Math.min(arrivalCount, 99);
+        request.randomDraw = random.nextDouble();
+        if (request.affinityKey != 0) {
+            keys.add(request.affinityKey);
         }
-        if (levels != null && a.workload.lateImportance == 0 && crowdedOut(now, a)) {
-            answer(a, soon(a));
+        if (admission != null && request.workload.lateImportance == 0 && isCrowdedOut(now, request)) {
+            respond(request, retryAfter(request));
         } else {
-            consider(now, a);
+            decide(now, request);
         }
     }
 
     // Guards against an overload in which what earns least for its work keeps out all that earns more.
-    private boolean crowdedOut(Duration now, Assignment a) {
-        Workload w = a.workload;
+    private boolean isCrowdedOut(Duration now, Request request) {
+        Workload w = request.workload;
         WorkloadStats seen = stats.get(w);
-        double earns = earns(w);
-        double slack = secs(w.promised) + (w.stretch - 1) * seen.usual;
-        double work = seen.ended == 0 ? seen.unit() : size(a);
-        levels.offered(now, kind(a), work, isRepeat(a) ? REPEAT * earns : earns, slack, seen.ended);
-        return levels.turnsAway(now, kind(a), a.luck);
+        double value = valuePerSecond(w);
+        double slack = seconds(w.targetLatency) + (w.latencyStretch - 1) * seen.meanRunTime;
+        double workSeconds = seen.sampleCount == 0 ? seen.runTimeOrDefault() : runTime(request);
+        admission.recordArrival(now, admissionClass(request), workSeconds, isMarkedRetry(request) ? RETRY_VALUE * value : value, slack, seen.sampleCount);
+        return admission.shouldReject(now, admissionClass(request), request.randomDraw);
     }
 
-    private boolean isRepeat(Assignment a) {
-        return orders.repeatsMarked && a.repeated;
+    private boolean isMarkedRetry(Request request) {
+        return settings.retriesMarked && request.markedAsRetry;
     }
 
-    private Levels.Kind kind(Assignment a) {
-        return isRepeat(a) ? stats.get(a.workload).again : stats.get(a.workload).kind;
+    private AdmissionControl.AdmissionClass admissionClass(Request request) {
+        return isMarkedRetry(request) ? stats.get(request.workload).retries : stats.get(request.workload).firstTries;
     }
 
-    private void judged(Duration now, Assignment a, boolean missed) {
-        if (levels != null) {
-            levels.judged(now, kind(a), missed);
+    private void recordCompletion(Duration now, Request request, boolean missed) {
+        if (admission != null) {
+            admission.recordCompletion(now, admissionClass(request), missed);
         }
     }
 
     /** When what is shed may come back: spread over the time in which it can still be served. */
-    private Duration soon(Assignment a) {
-        return ofSecs(aim(a) * a.luck / 4);
+    private Duration retryAfter(Request request) {
+        return ofSeconds(targetSeconds(request) * request.randomDraw / 4);
     }
 
     /** How overloads are met; null where that is not asked for. */
-    public Levels levels() {
-        return levels;
+    public AdmissionControl admissionControl() {
+        return admission;
     }
 
-    public void started(Duration now, Dispatch d) {
-        begun(now, d);
-        progressed(now, d);
-        consider(now, d.assignment);
+    public void onStarted(Duration now, Attempt attempt) {
+        recordStart(now, attempt);
+        onProgress(now, attempt);
+        decide(now, attempt.request);
     }
 
-    public void progressed(Duration now, Dispatch d) {
-        if (d.startedAt == null) {  // no start is told: it was at most one period ago
-            begun(most(d.sentAt, now.minus(orders.progressEvery)), d);
+    public void onProgress(Duration now, Attempt attempt) {
+        if (attempt.startedAt == null) {  // no start is told: it was at most one period ago
+            recordStart(max(attempt.sentAt, now.minus(settings.progressInterval)), attempt);
         }
-        d.heardAt = now;
-        d.runner.heard();
+        attempt.lastProgressAt = now;
+        attempt.runner.recordResponse();
     }
 
     /** The wait that a load of 1 brings: as seen, until then as slots and the mean size tell. */
-    private double waitPerLoad(Runner r) {
-        double likely = waitPerLoad > 0 || r.of.slots == 0 ? waitPerLoad : meanSize / r.of.slots;
+    private double waitPerLoad(Runner runner) {
+        double estimate = waitPerLoad > 0 || runner.typeStats.slots == 0 ? waitPerLoad : meanRunTime / runner.typeStats.slots;
         // Guards against a start in an overload: with no wait known nothing is late, and queues fill at once.
-        return likely == 0 && levels != null ? secs(spell) / 2 / Math.max(1, r.of.slots) : likely;
+        return estimate == 0 && admission != null ? seconds(backoffUnit) / 2 / Math.max(1, runner.typeStats.slots) : estimate;
     }
 
-    private void begun(Duration at, Dispatch d) {
-        d.startedAt = at;
-        double perLoad = waitPerLoad(d.runner), waited = secs(at.minus(d.sentAt));
-        if (d.load == 0 && perLoad > 0 && Double.isNaN(d.runner.report.queue())) {
+    private void recordStart(Duration at, Attempt attempt) {
+        attempt.startedAt = at;
+        double perLoad = waitPerLoad(attempt.runner), waited = seconds(at.minus(attempt.sentAt));
+        if (attempt.runnerLoad == 0 && perLoad > 0 && Double.isNaN(attempt.runner.report.queue())) {
             // Guards against reports so old that each draws all: what a job waited for where it was found
             // idle had come unseen. A start known by progress alone is off by half a period.
-            double ahead = waited - (orders.tellsStart ? 0 : secs(orders.progressEvery) / 2);
-            unseen += Math.min(1, Math.max(0, ahead / perLoad / 4));
+            double ahead = waited - (settings.reportsStart ? 0 : seconds(settings.progressInterval) / 2);
+            unreportedJobs += Math.min(1, Math.max(0, ahead / perLoad / 4));
         }
-        waitPerLoad = d.load < 0.5 ? waitPerLoad : smooth(perLoad, waited / d.load);
+        waitPerLoad = attempt.runnerLoad < 0.5 ? waitPerLoad : smooth(perLoad, waited / attempt.runnerLoad);
     }
 
-    public void streaming(Duration now, Dispatch d) {
-        d.assignment.stream = d;
-        touched.add(d.assignment);
+    public void onStreaming(Duration now, Attempt attempt) {
+        attempt.request.streamingAttempt = attempt;
+        changed.add(attempt.request);
     }
 
-    public void ended(Duration now, Dispatch d, Outcome outcome, boolean over, LoadReport report) {
-        Assignment a = d.assignment;
-        d.outcome = outcome;
-        d.unproven = outcome == Outcome.TURNED_AWAY && orders.fullProvesNothing;
-        d.runner.out.remove(d);
-        d.runner.report = report == null ? d.runner.report : report;
-        learn(now, d);
-        if (over) {
-            close(a);
-        } else if (!a.closed && a.pending() == null && a.wantedRunner == null) {
-            furtherOrAnswer(now, a);
+    public void onAttemptEnd(Duration now, Attempt attempt, Outcome outcome, boolean finished, LoadReport report) {
+        Request request = attempt.request;
+        attempt.outcome = outcome;
+        attempt.ambiguousRejection = outcome == Outcome.TURNED_AWAY && settings.lateRejections;
+        attempt.runner.inFlight.remove(attempt);
+        attempt.runner.report = report == null ? attempt.runner.report : report;
+        recordResult(now, attempt);
+        if (finished) {
+            close(request);
+        } else if (!request.closed && request.pendingAttempt() == null && request.plannedRunner == null) {
+            retryOrRespond(now, request);
         }
-        touched.add(a);
+        changed.add(request);
     }
 
-    public void probed(Duration now, Runner r, boolean answered, Duration took, LoadReport report) {
-        Assignment a = r.asking.poll();
-        while (a != null && a.asked != r) {  // it no longer waited
-            a = r.asking.poll();
+    public void onProbeResult(Duration now, Runner runner, boolean answered, Duration roundTrip, LoadReport report) {
+        Request request = runner.probeWaiters.poll();
+        while (request != null && request.probeTarget != runner) {  // it no longer waited
+            request = runner.probeWaiters.poll();
         }
         double load = Double.POSITIVE_INFINITY;
-        boolean idle = false;
+        boolean isIdle = false;
         if (!answered) {
-            unheard(now, r);
+            recordNoResponse(now, runner);
         } else {
-            r.heard();
-            silent.remove(r.zone);  // it is not cut off, whatever holds for others in it
-            r.report = report == null ? LoadReport.NONE : report;
-            r.of.sawFree(r.report);
-            r.known = true;
-            unseen *= 0.99;
-            load = load(r);
-            idle = idle(now, r, a == null ? 1 : a.slots);
-            preview.probed(now, a, r);
-            probing.sawProbe(idle, load, secs(took));
-            if (levels != null) {
-                levels.waits(now, probing.meanQueue * waitPerLoad);
+            runner.recordResponse();
+            zoneSilence.remove(runner.zone);  // it is not cut off, whatever holds for others in it
+            runner.report = report == null ? LoadReport.NONE : report;
+            runner.typeStats.recordSlots(runner.report);
+            runner.contacted = true;
+            unreportedJobs *= 0.99;
+            load = load(runner);
+            isIdle = isIdle(now, runner, request == null ? 1 : request.slots);
+            preview.onProbeResult(now, request, runner);
+            probing.recordProbe(isIdle, load, seconds(roundTrip));
+            if (admission != null) {
+                admission.recordWait(now, probing.meanQueue * waitPerLoad);
             }
-            busyElsewhere = r.takesAny(bound) ? busyElsewhere : smooth(busyElsewhere, idle ? 0 : 1);
-            r.busyAt = idle ? null : now;
-        }
-        if (a != null) {
-            a.asked = null;
-            double toll = toll(now, a, r);
-            if (!a.closed && idle && sendable(now, a, r) && toll <= a.leastCost()) {
-                take(now, a, r, 0);
-            } else if (!a.closed) {
+            unrestrictedLambda = runner.acceptsAny(restricted) ? unrestrictedLambda : smooth(unrestrictedLambda, isIdle ? 0 : 1);
+            runner.foundBusyAt = isIdle ? null : now;
+        }
+        if (request != null) {
+            request.probeTarget = null;
+            double extraLoad = extraLoad(now, request, runner);
+            if (!request.closed && isIdle && canSend(now, request, runner) && extraLoad <= request.lowestCost()) {
+                choose(now, request, runner, 0);
+            } else if (!request.closed) {
                 // Guards against chance sends that gather in a cold queue: those go to an idle runner alone.
-                boolean over = orders.warmth(now, r) < 1 && cold.room(now, r) < work(a);
-                a.found(r, over ? Double.POSITIVE_INFINITY : weighed(now, r, load, idle), toll);
-                search(now, a);
+                boolean overBudget = settings.warmth(now, runner) < 1 && coldBudget.remaining(now, runner) < work(request);
+                request.addProbeResult(runner, overBudget ? Double.POSITIVE_INFINITY : adjustedLoad(now, runner, load, isIdle), extraLoad);
+                search(now, request);
             }
         }
     }
 
-    double weighed(Duration now, Runner r, double load, boolean idle) {
-        return Math.max(load, idle ? 0 : 0.5) * pace(now, r) / pace.of(BELIEF, BELIEF);  // slots may be full
+    double adjustedLoad(Duration now, Runner runner, double load, boolean isIdle) {
+        return Math.max(load, isIdle ? 0 : 0.5) * runTimeRatio(now, runner) / runTimeRatio.estimate(PRIOR_RUNS, PRIOR_RUNS);  // slots may be full
     }
 
-    public void close(Assignment a) {
-        a.closed = true;
-        touched.add(a);
+    public void close(Request request) {
+        request.closed = true;
+        changed.add(request);
     }
 
-    public void woken(Duration now, Object what) {
-        if (what instanceof Assignment a) {
-            a.timerAt = null;
-            consider(now, a);
+    public void onTimer(Duration now, Object timerTarget) {
+        if (timerTarget instanceof Request request) {
+            request.timerAt = null;
+            decide(now, request);
         }
     }
 
-    private void consider(Duration now, Assignment a) {
-        Dispatch out = a.pending();
-        Duration lastCall = least(a.deadline, orders.endsAt).minus(orders.round.multipliedBy(4));  // ours
-        a.wantedLook = null;
-        if (a.stream != null || a.closed) {
+    private void decide(Duration now, Request request) {
+        Attempt pending = request.pendingAttempt();
+        Duration latestDecision = min(request.deadline, settings.shutdownAt).minus(settings.roundInterval.multipliedBy(4));  // ours
+        request.plannedCheckAt = null;
+        if (request.streamingAttempt != null || request.closed) {
             return;
         }
-        look(a, lastCall);
-        if (reached(now, lastCall)) {
-            answer(a, null);
-        } else if (a.asked != null || out == null && a.wantedRunner == null) {
-            search(now, a);
-        } else if (out != null) {
-            watch(now, a, out);
+        checkAt(request, latestDecision);
+        if (reached(now, latestDecision)) {
+            respond(request, null);
+        } else if (request.probeTarget != null || pending == null && request.plannedRunner == null) {
+            search(now, request);
+        } else if (pending != null) {
+            watch(now, request, pending);
         }
     }
 
-    private void search(Duration now, Assignment a) {
-        if (a.asked != null) {
-            Duration limit = a.askedAt.plus(probeLimit(a));
+    private void search(Duration now, Request request) {
+        if (request.probeTarget != null) {
+            Duration limit = request.probeSentAt.plus(probeTimeout(request));
             if (!reached(now, limit)) {
-                look(a, limit);
+                checkAt(request, limit);
                 return;
             }
-            a.found(a.asked, 2 * probing.meanQueue + 1, toll(now, a, a.asked));  // guards against a halt here
-            unheard(now, a.asked);
-            a.asked = null;
+            request.addProbeResult(request.probeTarget, 2 * probing.meanQueue + 1, extraLoad(now, request, request.probeTarget));  // guards against a halt here
+            recordNoResponse(now, request.probeTarget);
+            request.probeTarget = null;
         }
-        while (a.probed.isEmpty() || probing.worthAnother(a.probed.size(), Collections.min(a.loads))) {
-            Runner next = pick(now, a);
+        while (request.probedRunners.isEmpty() || probing.worthAnother(request.probedRunners.size(), Collections.min(request.probedLoads))) {
+            Runner next = pickRunner(now, request);
             if (next == null) {
                 break;
-            } else if (orders.probes) {
-                a.wantedProbe = next;
-                look(a, now.plus(probeLimit(a)));
+            } else if (settings.mayProbe) {
+                request.plannedProbe = next;
+                checkAt(request, now.plus(probeTimeout(request)));
                 return;
-            } else if (idle(now, next, a.slots)) {
-                take(now, a, next, 0);
+            } else if (isIdle(now, next, request.slots)) {
+                choose(now, request, next, 0);
                 return;
             }
-            a.found(next, load(next), toll(now, a, next));
+            request.addProbeResult(next, load(next), extraLoad(now, request, next));
         }
         int best = -1, ties = 0;
-        for (int i = 0; i < a.probed.size(); i++) {
-            double cost = a.costs.get(i), gap = best < 0 ? -1 : cost - a.costs.get(best);
-            Runner r = a.probed.get(i);
-            if (cost < Double.POSITIVE_INFINITY && gap <= 0 && sendable(now, a, r) && !r.isSilent(now)) {
+        for (int i = 0; i < request.probedRunners.size(); i++) {
+            double cost = request.probedCosts.get(i), gap = best < 0 ? -1 : cost - request.probedCosts.get(best);
+            Runner runner = request.probedRunners.get(i);
+            if (cost < Double.POSITIVE_INFINITY && gap <= 0 && canSend(now, request, runner) && !runner.isUnresponsive(now)) {
                 ties = gap < 0 ? 1 : ties + 1;
-                best = chance.nextInt(ties) == 0 ? i : best;
+                best = random.nextInt(ties) == 0 ? i : best;
             }
         }
-        if (a.secondLook) {
-            a.secondLook = false;
-            look(a, now.plus(a.lookGap));
+        if (request.seekingAlternative) {
+            request.seekingAlternative = false;
+            checkAt(request, now.plus(request.recheckDelay));
         } else if (best >= 0) {
-            preview.chosen(now, a);
-            take(now, a, a.probed.get(best), a.loads.get(best));
-        } else if (a.workload.repeat != Workload.Repeat.PURE && a.mayHaveRun()
-                && runners.stream().noneMatch(r -> repeatable(now, a, r))) {
-            answer(a, null);  // guards against holding until its patience ends what nothing may follow
+            preview.onRunnerChosen(now, request);
+            choose(now, request, request.probedRunners.get(best), request.probedLoads.get(best));
+        } else if (request.workload.repeatSafety != Workload.RepeatSafety.PURE && request.mayHaveRun()
+                && runners.stream().noneMatch(runner -> mayRepeat(now, request, runner))) {
+            respond(request, null);  // guards against holding until its patience ends what nothing may follow
         } else {
-            a.forgetSearch();  // nobody may be sent to just now: hold it, and begin again before long
-            a.luck = chance.nextDouble();
-            look(a, now.plus(a.workload.promised.dividedBy(4)));
+            request.clearSearch();  // nobody may be sent to just now: hold it, and begin again before long
+            request.randomDraw = random.nextDouble();
+            checkAt(request, now.plus(request.workload.targetLatency.dividedBy(4)));
         }
     }
 
-    double load(Runner r) {
-        if (!Double.isNaN(r.report.queue())) {
+    double load(Runner runner) {
+        if (!Double.isNaN(runner.report.queue())) {
             // Guards against late reports: as many of each other dispatcher's jobs may wait there as of ours.
-            return Math.max(r.report.queue(), orders.tellsStart ? r.waiting() * orders.dispatchers : 0);
+            return Math.max(runner.report.queue(), settings.reportsStart ? runner.notStartedCount() * settings.dispatcherCount : 0);
         }
-        double held = r.report.inFlight(), free = r.report.freeSlots();
-        if (Double.isNaN(held) && orders.liveWeights && r.of.slots > 0 && r.power > 0) {
-            held = (r.of.size / r.power - 1) * r.of.slots;
+        double inFlight = runner.report.inFlight(), free = runner.report.freeSlots();
+        if (Double.isNaN(inFlight) && settings.loadBasedWeights && runner.typeStats.slots > 0 && runner.weight > 0) {
+            inFlight = (runner.typeStats.maxWeight / runner.weight - 1) * runner.typeStats.slots;
         }
-        return (free < unseen ? unseen - free : 0)
-                + (Double.isNaN(held) ? r.known ? r.out.size() : fleet.meanOut
-                : Math.max(Math.max(held, r.out.size()) - r.of.slots, 0));
+        return (free < unreportedJobs ? unreportedJobs - free : 0)
+                + (Double.isNaN(inFlight) ? runner.contacted ? runner.inFlight.size() : fleet.meanInFlight
+                : Math.max(Math.max(inFlight, runner.inFlight.size()) - runner.typeStats.slots, 0));
     }
 
     /** Idle: nothing queued, and enough free slots for this job where they are reported. */
-    boolean idle(Duration now, Runner r, double slots) {
-        if (orders.tellsStart && r.waitsSince(now.minus(fewRoundTrips()))) {
+    boolean isIdle(Duration now, Runner runner, double slots) {
+        if (settings.reportsStart && runner.hasNotStartedSince(now.minus(fewRoundTrips()))) {
             return false;  // guards against late or untrue reports: the word of a start takes no longer
         }
-        double ours = orders.tellsStart ? r.slotsWaiting() : 0;  // whether the report has seen it or not
-        if (Double.isNaN(r.report.freeSlots())) {
-            return Double.isNaN(r.report.queue()) ? load(r) < 0.5 : r.report.queue() + ours < 0.5;
+        double ownSlots = settings.reportsStart ? runner.notStartedSlots() : 0;  // whether the report has seen it or not
+        if (Double.isNaN(runner.report.freeSlots())) {
+            return Double.isNaN(runner.report.queue()) ? load(runner) < 0.5 : runner.report.queue() + ownSlots < 0.5;
         }
-        return !(r.report.queue() >= 0.5) && r.report.freeSlots() - ours - unseen >= slots - 0.25;
+        return !(runner.report.queue() >= 0.5) && runner.report.freeSlots() - ownSlots - unreportedJobs >= slots - 0.25;
     }
 
     // A random runner to probe next, new to this assignment: before all in good standing (at first, any will
     // do), quick enough to run it in time, not likely busy or silent, of our own zone until a crossing counts
     // less than the least found; last, slower ones are passed over by their pace.
-    private Runner pick(Duration now, Assignment a) {
-        fleet.take(now);
-        boolean mostAside = 2 * fleet.aside > fleet.ready;  // then it is not them, and nobody is passed over
-        stats.get(a.workload).sought.add(now, work(a), memory);
+    private Runner pickRunner(Duration now, Request request) {
+        fleet.update(now);
+        boolean mostEjected = 2 * fleet.ejectedCount > fleet.readyCount;  // then it is not them, and nobody is passed over
+        stats.get(request.workload).searchedWork.add(now, work(request), timeConstant);
         // Homes of what it concerns are probed first: where all of us send it, what it needs is likely kept.
-        Workload[] before = yieldsTo(a);
-        Duration keeps = keeps(now);
-        double homes = a.key == 0 ? 1 : HOMES * (1 / fleet.ready + keys.share(a.key));
-        double aim = aim(a), size = size(a);
-        double least = a.probed.isEmpty() ? 0 : a.leastCost();
+        Workload[] privileged = yieldsTo(request);
+        Duration maxIdleTime = maxIdleTime(now);
+        double homeShare = request.affinityKey == 0 ? 1 : HOMES_PER_KEY * (1 / fleet.readyCount + keys.share(request.affinityKey));
+        double target = targetSeconds(request), runTime = runTime(request);
+        double lowestCost = request.probedRunners.isEmpty() ? 0 : request.lowestCost();
         Runner best = null;
-        int leastRank = a.probed.isEmpty() && !a.secondLook ? 64 : 32;
-        for (int i = 0; i < runners.size() && leastRank > 0; i++) {
-            Collections.swap(runners, i, i + chance.nextInt(runners.size() - i));  // draws without lists
-            Runner r = runners.get(i);
-            if (!a.probed.contains(r) && sendable(now, a, r)) {
-                boolean trusted = (r.trickle == null || mostAside || mayTry(a) && reached(now, r.trickleAt))
-                        && !r.refuses(now, a.workload) && !r.isSilent(now) && !a.sentTo(r);
+        int bestRank = request.probedRunners.isEmpty() && !request.seekingAlternative ? 64 : 32;
+        for (int i = 0; i < runners.size() && bestRank > 0; i++) {
+            Collections.swap(runners, i, i + random.nextInt(runners.size() - i));  // draws without lists
+            Runner runner = runners.get(i);
+            if (!request.probedRunners.contains(runner) && canSend(now, request, runner)) {
+                boolean trusted = (runner.trialInterval == null || mostEjected || mayTrial(request) && reached(now, runner.nextTrialAt))
+                        && !runner.isRejecting(now, request.workload) && !runner.isUnresponsive(now) && !request.wasSentTo(runner);
                 // Guards against asking again what is busy still, unless nearly all are.
-                boolean unlikely = chance.nextDouble() < DOUBT * silent.getOrDefault(r.zone, 0.0)
-                        || r.busyAt != null && probing.runningTime > 0 && probing.lambdaSeen <= SCARCE
-                        && chance.nextDouble() < Math.exp(-secs(now.minus(r.busyAt)) / probing.runningTime);
+                boolean unlikely = random.nextDouble() < MAX_ZONE_DOUBT * zoneSilence.getOrDefault(runner.zone, 0.0)
+                        || runner.foundBusyAt != null && probing.runTime > 0 && probing.observedLambda <= SATURATION
+                        && random.nextDouble() < Math.exp(-seconds(now.minus(runner.foundBusyAt)) / probing.runTime);
                 // Guards against finding out who errs by what may then go to few others: pure work does it.
-                unlikely |= r.takesAny(before) || fleet.aside > 0 && a.workload.repeat != Workload.Repeat.PURE
-                        && (r.failures.count() == 0 || r.failures.last() > POOR);
-                double takes = pace(now, r), toll = toll(a, r, aim - takes * size, keeps, now);
-                int rank = (trusted ? 0 : 32) + (aim >= takes * size ? 0 : 16)
-                        + (a.key == 0 || Keys.isHome(a.key, r.hash, homes) ? 0 : 8)
-                        + (unlikely ? 4 : 0) + (toll > least ? 2 : 0)
-                        + (chance.nextDouble() * takes > pace.of(BELIEF, BELIEF) ? 1 : 0);
-                best = rank < leastRank ? r : best;
-                leastRank = Math.min(rank, leastRank);
+                unlikely |= runner.acceptsAny(privileged) || fleet.ejectedCount > 0 && request.workload.repeatSafety != Workload.RepeatSafety.PURE
+                        && (runner.failures.count() == 0 || runner.failures.lastBin() > MAX_FAILURE_SHARE);
+                double ratio = runTimeRatio(now, runner), extraLoad = extraLoad(request, runner, target - ratio * runTime, maxIdleTime, now);
+                int rank = (trusted ? 0 : 32) + (target >= ratio * runTime ? 0 : 16)
+                        + (request.affinityKey == 0 || Keys.isHome(request.affinityKey, runner.hash, homeShare) ? 0 : 8)
+                        + (unlikely ? 4 : 0) + (extraLoad > lowestCost ? 2 : 0)
+                        + (random.nextDouble() * ratio > runTimeRatio.estimate(PRIOR_RUNS, PRIOR_RUNS) ? 1 : 0);
+                best = rank < bestRank ? runner : best;
+                bestRank = Math.min(rank, bestRank);
             }
         }
         return best;
     }
 
     /** Guards against filling the only places of bound work that earns more, while the rest has room. */
-    private Workload[] yieldsTo(Assignment a) {
-        return a.workload.isBound() || bound.length == 0 || busyElsewhere >= SCARCE ? NONE
-                : Stream.of(bound).filter(w -> earns(w) > earns(a.workload)).toArray(Workload[]::new);
+    private Workload[] yieldsTo(Request request) {
+        return request.workload.isRestricted() || restricted.length == 0 || unrestrictedLambda >= SATURATION ? NO_WORKLOADS
+                : Stream.of(restricted).filter(w -> valuePerSecond(w) > valuePerSecond(request.workload)).toArray(Workload[]::new);
     }
 
     /** What a second of its work earns in time. */
-    private double earns(Workload w) {
-        return w.importance * (orders.importanceByWork ? 1 : 1 / stats.get(w).unit());
+    private double valuePerSecond(Workload w) {
+        return w.importance * (settings.importanceByWork ? 1 : 1 / stats.get(w).runTimeOrDefault());
     }
 
     // The load that a crossing to another zone and a new connection count as: the wait whose risk of being
     // late costs as much, in the tariffs' own units, so that long work crosses before short work of the same
     // workload does; and the wait for connections that fail first, by the share that failed of late.
-    double toll(Duration now, Assignment a, Runner r) {
-        return toll(a, r, slack(now, a, r), keeps(now), now);
+    double extraLoad(Duration now, Request request, Runner runner) {
+        return extraLoad(request, runner, slack(now, request, runner), maxIdleTime(now), now);
     }
 
-    private double toll(Assignment a, Runner r, double slack, Duration keeps, Duration now) {
-        double perLoad = waitPerLoad(r);
-        boolean opens = !r.isConnected(now, keeps);
-        double price = (r.zone.equals(orders.zone) ? 0 : orders.crossZonePrice)
-                + (opens ? orders.handshakePrice : 0);
-        double fails = opens ? (connects.count() - connects.last()) / (connects.last() + 1) : 0;
-        if (perLoad == 0 || price == 0 && fails == 0) {
+    private double extraLoad(Request request, Runner runner, double slack, Duration maxIdleTime, Duration now) {
+        double perLoad = waitPerLoad(runner);
+        boolean opens = !runner.hasIdleConnection(now, maxIdleTime);
+        double price = (runner.zone.equals(settings.zone) ? 0 : settings.crossZonePrice)
+                + (opens ? settings.handshakePrice : 0);
+        double failuresPerSuccess = opens ? (connects.count() - connects.lastBin()) / (connects.lastBin() + 1) : 0;
+        if (perLoad == 0 || price == 0 && failuresPerSuccess == 0) {
             return 0;
         }
-        double lost = Math.max(1e-9, orders.whole * (1 - a.workload.lateImportance) * worth(a) / meanWorth);
-        return (price / lost * Math.max(0, slack) + fails * secs(orders.connectTime)) / perLoad;
+        double valueAtRisk = Math.max(1e-9, settings.goalWeight * (1 - request.workload.lateImportance) * value(request) / meanValue);
+        return (price / valueAtRisk * Math.max(0, slack) + failuresPerSuccess * seconds(settings.connectTimeout)) / perLoad;
     }
 
     // How long a connection that rests is kept. Guards against ones dropped unseen: what is sent on one
     // is reset, and may have run. Once that was seen we close earlier, by less as time goes on.
-    private Duration keeps(Duration now) {
-        return dropped == null ? orders.idleClose
-                : least(orders.idleClose, ofSecs(secs(dropped) / Fading.part(now, droppedAt, memory)));
+    private Duration maxIdleTime(Duration now) {
+        return droppedIdleTime == null ? settings.idleTimeout
+                : min(settings.idleTimeout, ofSeconds(seconds(droppedIdleTime) / DecayingSum.decayFactor(now, droppedAt, timeConstant)));
     }
 
     /** Guards against trickles that end jobs: failures cost least at first sendings of what may run twice. */
-    private boolean mayTry(Assignment a) {
-        return a.dispatches.isEmpty() && (a.workload.repeat == Workload.Repeat.PURE || noPure);
+    private boolean mayTrial(Request request) {
+        return request.attempts.isEmpty() && (request.workload.repeatSafety == Workload.RepeatSafety.PURE || nonePure);
     }
 
-    private boolean sendable(Duration now, Assignment a, Runner r) {
-        return r.ready() && a.workload.mayRunOn(r)
-                && repeatable(now, a, r) && cold.allows(now, r, work(a), a.luck);
+    private boolean canSend(Duration now, Request request, Runner runner) {
+        return runner.isReady() && request.workload.mayRunOn(runner)
+                && mayRepeat(now, request, runner) && coldBudget.allows(now, runner, work(request), request.randomDraw);
     }
 
     /** Rule 2: what may have run goes again only where a repeat is harmless. */
-    boolean repeatable(Duration now, Assignment a, Runner r) {
-        Workload w = a.workload;
-        if (w.repeat == Workload.Repeat.PURE || !a.mayHaveRun()) {
+    boolean mayRepeat(Duration now, Request request, Runner runner) {
+        Workload w = request.workload;
+        if (w.repeatSafety == Workload.RepeatSafety.PURE || !request.mayHaveRun()) {
             return true;
         }
-        Duration forgotten = now.minus(w.window).plus(orders.round.multipliedBy(4));
-        return w.repeat == Workload.Repeat.RECEIPTED && a.dispatches.stream().filter(Dispatch::mayHaveRun)
-                .allMatch(d -> w.sameGroup(r, d.runner) && !reached(forgotten, d.sentAt));
+        Duration windowStart = now.minus(w.dedupWindow).plus(settings.roundInterval.multipliedBy(4));
+        return w.repeatSafety == Workload.RepeatSafety.RECEIPTED && request.attempts.stream().filter(Attempt::mayHaveRun)
+                .allMatch(attempt -> w.sharesDedupScope(runner, attempt.runner) && !reached(windowStart, attempt.sentAt));
     }
 
     /** Rule 2: a shed reply says that trying again is harmless. */
-    boolean mayShed(Assignment a) {
-        Workload w = a.workload;
-        return w.repeat == Workload.Repeat.PURE || !a.mayHaveRun()
-                || w.repeat == Workload.Repeat.RECEIPTED && w.group == Workload.Group.ALL;
-    }
-
-    private void take(Duration now, Assignment a, Runner r, double load) {
-        Dispatch out = a.pending();
-        touched.add(a);
-        if (a.secondLook && out != null) {  // it waits or is silent, and this runner is idle: move or copy it
-            out.cancelWanted = out.startedAt == null || !orders.parallel;
-        } else if (mayShed(a)) {  // guards against an overload in which all end late
-            preview.taking(now, a, r);
-            if (late(now, a, r, load)) {
-                judged(now, a, true);
-                answer(a, levels == null ? ofSecs(load * waitPerLoad(r)) : soon(a));
+    boolean mayShed(Request request) {
+        Workload w = request.workload;
+        return w.repeatSafety == Workload.RepeatSafety.PURE || !request.mayHaveRun()
+                || w.repeatSafety == Workload.RepeatSafety.RECEIPTED && w.dedupScope == Workload.DedupScope.ALL;
+    }
+
+    private void choose(Duration now, Request request, Runner runner, double load) {
+        Attempt pending = request.pendingAttempt();
+        changed.add(request);
+        if (request.seekingAlternative && pending != null) {  // it waits or is silent, and this runner is idle: move or copy it
+            pending.cancelPlanned = pending.startedAt == null || !settings.parallelAttempts;
+        } else if (mayShed(request)) {  // guards against an overload in which all end late
+            preview.onLatenessCheck(now, request, runner);
+            if (isLate(now, request, runner, load)) {
+                recordCompletion(now, request, true);
+                respond(request, admission == null ? ofSeconds(load * waitPerLoad(runner)) : retryAfter(request));
                 return;
             }
         }
-        a.secondLook = false;
-        a.wantedRunner = r;
-        a.wantedLoad = load;
+        request.seekingAlternative = false;
+        request.plannedRunner = runner;
+        request.plannedLoad = load;
     }
 
-    boolean late(Duration now, Assignment a, Runner r, double load) {
-        double wait = (load + toll(now, a, r)) * waitPerLoad(r);
-        double slack = slack(now, a, r);
-        double bears = levels == null ? slack
-                : levels.bears(kind(a), slack, orders.repeatsMarked && !a.repeated);
+    boolean isLate(Duration now, Request request, Runner runner, double load) {
+        double wait = (load + extraLoad(now, request, runner)) * waitPerLoad(runner);
+        double slack = slack(now, request, runner);
+        double maxWait = admission == null ? slack
+                : admission.maxWaitSeconds(admissionClass(request), slack, settings.retriesMarked && !request.markedAsRetry);
         // Guards against an overload that lasts, in which all is late: what late work takes earns more in
         // time, so of it that part is shed which it would not earn.
-        double earns = a.workload.lateImportance;
-        boolean keepsTime = earns == 0 || probing.lambdaSeen > SCARCE && a.luck >= earns;
-        return keepsTime && secs(elapsed(now, a)) + wait > bears
-                || secs(orders.endsAt.minus(now)) < wait + pace(now, r) * size(a);  // we end before it
+        double lateImportance = request.workload.lateImportance;
+        boolean deadlineApplies = lateImportance == 0 || probing.observedLambda > SATURATION && request.randomDraw >= lateImportance;
+        return deadlineApplies && seconds(elapsed(now, request)) + wait > maxWait
+                || seconds(settings.shutdownAt.minus(now)) < wait + runTimeRatio(now, runner) * runTime(request);  // we end before it
     }
 
     /** How long this client has waited over all its tries: what a later try lacks, but not a first one. */
-    private Duration elapsed(Duration now, Assignment a) {
-        boolean first = orders.repeatsMarked && !a.repeated;
-        return now.minus(first ? a.arrivedAt : a.deadline.minus(stats.get(a.workload).patience));
+    private Duration elapsed(Duration now, Request request) {
+        boolean isFirstTry = settings.retriesMarked && !request.markedAsRetry;
+        return now.minus(isFirstTry ? request.arrivedAt : request.deadline.minus(stats.get(request.workload).maxClientTimeout));
     }
 
-    private double slack(Duration now, Assignment a, Runner r) {
-        return aim(a) - pace(now, r) * size(a);
+    private double slack(Duration now, Request request, Runner runner) {
+        return targetSeconds(request) - runTimeRatio(now, runner) * runTime(request);
     }
 
-    private double worth(Assignment a) {
-        double size = a.hint == null ? stats.get(a.workload).unit() : size(a);
-        return Math.max(1e-9, a.workload.importance * (orders.importanceByWork ? size : 1));
+    private double value(Request request) {
+        double runTime = request.runTimeHint == null ? stats.get(request.workload).runTimeOrDefault() : runTime(request);
+        return Math.max(1e-9, request.workload.importance * (settings.importanceByWork ? runTime : 1));
     }
 
-    private double aim(Assignment a) {
+    private double targetSeconds(Request request) {
         // Guards against work for clients who wait less than the promised time, by habit or on one bad day.
-        return Math.min(secs(a.workload.promised) + a.workload.stretch * size(a),
-                secs(elapsed(a.deadline, a).minus(orders.round)));
+        return Math.min(seconds(request.workload.targetLatency) + request.workload.latencyStretch * runTime(request),
+                seconds(elapsed(request.deadline, request).minus(settings.roundInterval)));
     }
 
     /** How long runs take there beside what is expected: the fleet's, its kind's in that, its own in that. */
-    double pace(Duration now, Runner r) {
-        return r.pace.of(BELIEF / Fading.part(now, r.pacedAt, memory), BELIEF);
+    double runTimeRatio(Duration now, Runner runner) {
+        return runner.runTimeRatio.estimate(PRIOR_RUNS / DecayingSum.decayFactor(now, runner.ratioUpdatedAt, timeConstant), PRIOR_RUNS);
     }
 
     /** The running time to expect at speed 1: the workload's mean; beside it a rough hint counts half. */
-    private double size(Assignment a) {
-        double usual = stats.get(a.workload).usual;
-        return a.hint == null ? usual : Math.sqrt(usual * secs(a.hint));
+    private double runTime(Request request) {
+        double mean = stats.get(request.workload).meanRunTime;
+        return request.runTimeHint == null ? mean : Math.sqrt(mean * seconds(request.runTimeHint));
     }
 
-    private void answer(Assignment a, Duration pause) {
-        a.wantedAnswer = mayShed(a) ? Assignment.Answer.SHED : Assignment.Answer.GIVEN_UP;
-        a.wantedPause = orders.pauses && pause != null ? least(pause, orders.longestPause) : null;
-        touched.add(a);
+    private void respond(Request request, Duration retryAfter) {
+        request.plannedResponse = mayShed(request) ? Request.LocalResponse.SHED : Request.LocalResponse.GIVEN_UP;
+        request.plannedRetryAfter = settings.sendsRetryAfter && retryAfter != null ? min(retryAfter, settings.maxRetryAfter) : null;
+        changed.add(request);
     }
 
     /** After a failure: again, rationed once under half of the recent further ones succeeded; or answered. */
-    private void furtherOrAnswer(Duration now, Assignment a) {
-        double odds = (further.last() + 1) / (further.count() + 1);
-        boolean moved = a.last().outcome == Outcome.CANCELLED;  // that is no failure, and no load more
-        if (a.dispatches.size() >= orders.mostDispatches || !moved && !mayFollow(2 * odds)) {
-            answer(a, null);
+    private void retryOrRespond(Duration now, Request request) {
+        double successRate = (retries.lastBin() + 1) / (retries.count() + 1);
+        boolean moved = request.lastAttempt().outcome == Outcome.CANCELLED;  // that is no failure, and no load more
+        if (request.attempts.size() >= settings.maxAttempts || !moved && !mayRetry(2 * successRate)) {
+            respond(request, null);
         } else {
-            a.forgetSearch();
-            consider(now, a);
+            request.clearSearch();
+            decide(now, request);
         }
     }
 
-    private boolean mayFollow(double odds) {
-        boolean lucky = chance.nextDouble() <= odds;
-        return levels == null || odds >= 1 ? lucky : budget.further();
+    private boolean mayRetry(double probability) {
+        boolean drawn = random.nextDouble() <= probability;
+        return admission == null || probability >= 1 ? drawn : retryBudget.tryAcquire();
     }
 
-    private void watch(Duration now, Assignment a, Dispatch out) {
-        boolean waiting = out.startedAt == null;
-        double left = slack(now, a, out.runner) - secs(elapsed(now, a));
-        if (waiting && orders.tellsStart && a.workload.lateImportance == 0 && mayShed(a)) {
-            look(a, now.plus(ofSecs(Math.max(0, left))));
-            if (left <= 0) {  // guards against spending an overload on what is worth nothing any more
-                answer(a, null);
+    private void watch(Duration now, Request request, Attempt pending) {
+        boolean waiting = pending.startedAt == null;
+        double slackLeft = slack(now, request, pending.runner) - seconds(elapsed(now, request));
+        if (waiting && settings.reportsStart && request.workload.lateImportance == 0 && mayShed(request)) {
+            checkAt(request, now.plus(ofSeconds(Math.max(0, slackLeft))));
+            if (slackLeft <= 0) {  // guards against spending an overload on what is worth nothing any more
+                respond(request, null);
                 return;
             }
         }
-        if (a.dispatches.size() >= orders.mostDispatches || out.cancelWanted || out != a.last()
-                || a.workload.repeat == Workload.Repeat.EFFECTFUL || !orders.cancels
-                || !waiting && orders.progressEvery.isZero()) {
+        if (request.attempts.size() >= settings.maxAttempts || pending.cancelPlanned || pending != request.lastAttempt()
+                || request.workload.repeatSafety == Workload.RepeatSafety.EFFECTFUL || !settings.mayCancel
+                || !waiting && settings.progressInterval.isZero()) {
             return;
         }
-        Duration limit = !waiting ? out.heardAt
-                : out.sentAt.plus(most(ofSecs(2 * out.load * waitPerLoad), a.workload.promised.dividedBy(2)));
-        limit = limit.plus(orders.progressEvery.multipliedBy(waiting && orders.tellsStart ? 0 : 3))
-                .plus(a.lookGap == null ? Duration.ZERO : a.lookGap);
+        Duration limit = !waiting ? pending.lastProgressAt
+                : pending.sentAt.plus(max(ofSeconds(2 * pending.runnerLoad * waitPerLoad), request.workload.targetLatency.dividedBy(2)));
+        limit = limit.plus(settings.progressInterval.multipliedBy(waiting && settings.reportsStart ? 0 : 3))
+                .plus(request.recheckDelay == null ? Duration.ZERO : request.recheckDelay);
         if (!reached(now, limit)) {
-            look(a, limit);
+            checkAt(request, limit);
             return;
         }
         if (!waiting) {
-            mark(now, out.runner, true);
+            recordHealth(now, pending.runner, true);
         }
-        if (out.runner.isUnheard() && a.workload.repeat == Workload.Repeat.PURE) {
-            takeBack(out);  // guards against waiting for an idle runner while the one it is at says nothing
+        if (pending.runner.hasNotResponded() && request.workload.repeatSafety == Workload.RepeatSafety.PURE) {
+            withdraw(pending);  // guards against waiting for an idle runner while the one it is at says nothing
             return;
         }
-        a.lookGap = now.minus(out.sentAt);
-        if (probing.lambdaSeen > MOVABLE) {  // guards against running twice what goes on where called off
-            look(a, now.plus(a.lookGap));
+        request.recheckDelay = now.minus(pending.sentAt);
+        if (probing.observedLambda > MAX_BUSY_TO_MOVE) {  // guards against running twice what goes on where called off
+            checkAt(request, now.plus(request.recheckDelay));
             return;
         }
-        a.forgetSearch();
-        a.secondLook = true;
-        search(now, a);
+        request.clearSearch();
+        request.seekingAlternative = true;
+        search(now, request);
     }
 
-    private void learn(Duration now, Dispatch d) {
-        Assignment a = d.assignment;
-        if (d != a.dispatches.get(0) && d.outcome != Outcome.CANCELLED) {  // to be moved is no failure
-            further.add(d.outcome == Outcome.FULFILLED);
+    private void recordResult(Duration now, Attempt attempt) {
+        Request request = attempt.request;
+        if (attempt != request.attempts.get(0) && attempt.outcome != Outcome.CANCELLED) {  // to be moved is no failure
+            retries.add(attempt.outcome == Outcome.FULFILLED);
         }
-        if (EnumSet.of(Outcome.FULFILLED, Outcome.ERROR, Outcome.TURNED_AWAY).contains(d.outcome)) {
-            d.runner.rests(now, orders.idleClose);
+        if (EnumSet.of(Outcome.FULFILLED, Outcome.ERROR, Outcome.TURNED_AWAY).contains(attempt.outcome)) {
+            attempt.runner.addIdleConnection(now, settings.idleTimeout);
         }
-        if (d.rested == null && d.outcome != Outcome.CANCELLED && d.outcome != Outcome.NEVER_SENT) {
-            connects.add(d.outcome != Outcome.NOT_CONNECTED);
+        if (attempt.connectionIdleTime == null && attempt.outcome != Outcome.CANCELLED && attempt.outcome != Outcome.NEVER_SENT) {
+            connects.add(attempt.outcome != Outcome.NOT_CONNECTED);
         }
-        if (d.outcome == Outcome.BROKEN && d.rested != null && d.startedAt == null
-                && !reached(now, d.sentAt.plus(fewRoundTrips()))) {
-            dropped = most(d.rested, orders.round);
+        if (attempt.outcome == Outcome.BROKEN && attempt.connectionIdleTime != null && attempt.startedAt == null
+                && !reached(now, attempt.sentAt.plus(fewRoundTrips()))) {
+            droppedIdleTime = max(attempt.connectionIdleTime, settings.roundInterval);
             droppedAt = now;
         }
-        switch (d.outcome) {
+        switch (attempt.outcome) {
             case FULFILLED -> {
                 // Where its start was not told, the wait that was foreseen for it is taken off.
-                boolean guessed = d.startedAt == null && d.load >= 0.5;
-                Duration from = guessed ? d.sentAt.plus(ofSecs(d.load * waitPerLoad(d.runner)))
-                        : d.startedAt == null ? d.sentAt : d.startedAt;
-                double run = secs(most(now.minus(from), orders.round));  // a start may be told with the end
-                WorkloadStats seen = stats.get(a.workload);
-                if (a.hint == null) {
-                    seen.saw(seen.ended == 0 ? run : Math.min(run, 4 * seen.usual));  // tails mislead means
+                boolean startUnknown = attempt.startedAt == null && attempt.runnerLoad >= 0.5;
+                Duration start = startUnknown ? attempt.sentAt.plus(ofSeconds(attempt.runnerLoad * waitPerLoad(attempt.runner)))
+                        : attempt.startedAt == null ? attempt.sentAt : attempt.startedAt;
+                double runTime = seconds(max(now.minus(start), settings.roundInterval));  // a start may be told with the end
+                WorkloadStats seen = stats.get(request.workload);
+                if (request.runTimeHint == null) {
+                    seen.addRunTime(seen.sampleCount == 0 ? runTime : Math.min(runTime, 4 * seen.meanRunTime));  // tails mislead means
                 }
-                probing.ended(run);
-                if (!guessed) {
-                    d.runner.pace.add(Math.min(run, 4 * size(a) * pace(now, d.runner)), size(a), BELIEF);
-                    d.runner.pacedAt = now;
+                probing.recordRunTime(runTime);
+                if (!startUnknown) {
+                    attempt.runner.runTimeRatio.add(Math.min(runTime, 4 * runTime(request) * runTimeRatio(now, attempt.runner)), runTime(request), PRIOR_RUNS);
+                    attempt.runner.ratioUpdatedAt = now;
                 }
-                if (orders.warmth(now, d.runner) >= 1) {
-                    fleet.workDone.add(now, d.work, memory);
+                if (settings.warmth(now, attempt.runner) >= 1) {
+                    fleet.warmWorkDone.add(now, attempt.work, timeConstant);
                 }
-                d.runner.fulfilled(a.workload);
-                judged(now, a, secs(now.minus(a.arrivedAt)) > aim(a));
-                mark(now, d.runner, false);
+                attempt.runner.recordSuccess(request.workload);
+                recordCompletion(now, request, seconds(now.minus(request.arrivedAt)) > targetSeconds(request));
+                recordHealth(now, attempt.runner, false);
             }
-            case TURNED_AWAY -> d.runner.turnedAway(now, d, spell);
-            case ERROR, BROKEN, TIMED_OUT -> mark(now, d.runner, true);
+            case TURNED_AWAY -> attempt.runner.recordRejection(now, attempt, backoffUnit);
+            case ERROR, BROKEN, TIMED_OUT -> recordHealth(now, attempt.runner, true);
             case NOT_CONNECTED -> {
                 // Guards against setting aside all while no connection comes up: then it is not that runner.
-                if (connects.count() - connects.last() <= POOR * (connects.count() + BELIEF)) {
-                    mark(now, d.runner, true);
-                    unheard(now, d.runner);
+                if (connects.count() - connects.lastBin() <= MAX_FAILURE_SHARE * (connects.count() + PRIOR_RUNS)) {
+                    recordHealth(now, attempt.runner, true);
+                    recordNoResponse(now, attempt.runner);
                 }
             }
         }
     }
 
     /** Notes how a dispatch went; a runner that fails often is set aside, with a trickle that doubles. */
-    private void mark(Duration now, Runner r, boolean failed) {
-        r.failures.add(failed);
-        boolean poor = r.failures.last() >= 2 && r.failures.last() > POOR * r.failures.count();
-        boolean back = !failed && r.trickle != null && r.trickle.compareTo(spell.dividedBy(8)) <= 0;
-        if (back) {
-            r.failures.clear();
+    private void recordHealth(Duration now, Runner runner, boolean failed) {
+        runner.failures.add(failed);
+        boolean failing = runner.failures.lastBin() >= 2 && runner.failures.lastBin() > MAX_FAILURE_SHARE * runner.failures.count();
+        boolean recovered = !failed && runner.trialInterval != null && runner.trialInterval.compareTo(backoffUnit.dividedBy(8)) <= 0;
+        if (recovered) {
+            runner.failures.clear();
         }
-        r.trickle = r.trickle == null ? poor ? spell : null : back ? null
-                : failed ? least(r.trickle.multipliedBy(2), spell.multipliedBy(4)) : r.trickle.dividedBy(2);
-        r.trickleAt = failed && r.trickle != null ? now.plus(r.trickle) : r.trickleAt;
+        runner.trialInterval = runner.trialInterval == null ? failing ? backoffUnit : null : recovered ? null
+                : failed ? min(runner.trialInterval.multipliedBy(2), backoffUnit.multipliedBy(4)) : runner.trialInterval.dividedBy(2);
+        runner.nextTrialAt = failed && runner.trialInterval != null ? now.plus(runner.trialInterval) : runner.nextTrialAt;
     }
 
-    private double work(Assignment a) {
-        return a.slots * stats.get(a.workload).unit();
+    private double work(Request request) {
+        return request.slots * stats.get(request.workload).runTimeOrDefault();
     }
 
     // ---- The one place that acts: the difference between what is wanted and what is.
 
-    public void settle(Duration now) {
-        if (askAt != null) {
-            if (reached(now, askAt)) {
-                door.subscribe(true);
-                askAt = now.plus(orders.askWithin.dividedBy(2));  // asked again should no answer come
+    public void applyActions(Duration now) {
+        if (subscribeAt != null) {
+            if (reached(now, subscribeAt)) {
+                actions.subscribe(true);
+                subscribeAt = now.plus(settings.subscribeWithin.dividedBy(2));  // asked again should no answer come
             }
-            door.wake(askAt.minus(now), this);
+            actions.setTimer(subscribeAt.minus(now), this);
         }
-        List.copyOf(touched).forEach(a -> settle(now, a));
-        touched.clear();
+        List.copyOf(changed).forEach(request -> applyActions(now, request));
+        changed.clear();
     }
 
-    private void settle(Duration now, Assignment a) {
-        if (!a.closed && a.wantedAnswer != null) {
-            close(a);
-            if (a.wantedAnswer == Assignment.Answer.SHED) {
-                door.shed(a, a.wantedPause);
+    private void applyActions(Duration now, Request request) {
+        if (!request.closed && request.plannedResponse != null) {
+            close(request);
+            if (request.plannedResponse == Request.LocalResponse.SHED) {
+                actions.shed(request, request.plannedRetryAfter);
             } else {
-                door.giveUp(a);
+                actions.giveUp(request);
             }
         }
-        for (Dispatch d : a.dispatches) {
-            boolean wanted = d == a.stream || a.stream == null && !a.closed && !d.cancelWanted;
-            if (!wanted && !d.cancelSent && d.outcome == null && orders.cancels) {
-                d.cancelSent = true;
-                door.cancel(d);
+        for (Attempt attempt : request.attempts) {
+            boolean needed = attempt == request.streamingAttempt || request.streamingAttempt == null && !request.closed && !attempt.cancelPlanned;
+            if (!needed && !attempt.cancelSent && attempt.outcome == null && settings.mayCancel) {
+                attempt.cancelSent = true;
+                actions.cancel(attempt);
             }
         }
-        if (a.closed) {
+        if (request.closed) {
             return;
         }
-        if (a.wantedRunner != null && (orders.parallel || a.pending() == null)) {
-            Runner r = a.wantedRunner;
-            a.wantedRunner = null;
-            if (sendable(now, a, r)) {  // re-checked: list, window or budget may have changed since
-                dispatch(now, a, r);
+        if (request.plannedRunner != null && (settings.parallelAttempts || request.pendingAttempt() == null)) {
+            Runner runner = request.plannedRunner;
+            request.plannedRunner = null;
+            if (canSend(now, request, runner)) {  // re-checked: list, window or budget may have changed since
+                dispatch(now, request, runner);
             } else {
-                a.forgetSearch();
-                consider(now, a);
+                request.clearSearch();
+                decide(now, request);
             }
         }
-        if (a.wantedProbe != null) {
-            a.asked = a.wantedProbe;
-            a.askedAt = now;
-            a.wantedProbe = null;
-            a.asked.asking.add(a);
-            door.probe(a.asked);
+        if (request.plannedProbe != null) {
+            request.probeTarget = request.plannedProbe;
+            request.probeSentAt = now;
+            request.plannedProbe = null;
+            request.probeTarget.probeWaiters.add(request);
+            actions.probe(request.probeTarget);
         }
-        if (a.wantedLook != null && (a.timerAt == null || a.wantedLook.compareTo(a.timerAt) < 0)) {
-            a.timerAt = a.wantedLook;
-            door.wake(most(Duration.ZERO, a.wantedLook.minus(now)), a);
+        if (request.plannedCheckAt != null && (request.timerAt == null || request.plannedCheckAt.compareTo(request.timerAt) < 0)) {
+            request.timerAt = request.plannedCheckAt;
+            actions.setTimer(max(Duration.ZERO, request.plannedCheckAt.minus(now)), request);
         }
     }
 
-    private void dispatch(Duration now, Assignment a, Runner r) {
-        Dispatch d = new Dispatch(a, r, now, work(a), a.wantedLoad);
-        if (orders.warmth(now, r) < 1) {
-            r.coldSends.add(d);
+    private void dispatch(Duration now, Request request, Runner runner) {
+        Attempt attempt = new Attempt(request, runner, now, work(request), request.plannedLoad);
+        if (settings.warmth(now, runner) < 1) {
+            runner.coldAttempts.add(attempt);
         }
-        if (r.isConnected(now, keeps(now))) {
-            d.rested = r.rested(now);
-            r.takesConnection();
-        } else if (r.isConnected(now, orders.idleClose)) {
-            r.closes();
-            door.closeIdle(r);
+        if (runner.hasIdleConnection(now, maxIdleTime(now))) {
+            attempt.connectionIdleTime = runner.connectionIdleTime(now);
+            runner.takeIdleConnection();
+        } else if (runner.hasIdleConnection(now, settings.idleTimeout)) {
+            runner.clearIdleConnections();
+            actions.closeIdleConnections(runner);
         }
-        if (a.dispatches.isEmpty()) {
-            budget.first();
+        if (request.attempts.isEmpty()) {
+            retryBudget.recordFirstAttempt();
         }
-        a.dispatches.add(d);
-        r.out.add(d);
-        r.known = true;
-        r.trickleAt = r.trickle == null ? r.trickleAt : now.plus(r.trickle);
-        a.lookGap = null;
-        door.dispatch(d, null);
-        consider(now, a);
+        request.attempts.add(attempt);
+        runner.inFlight.add(attempt);
+        runner.contacted = true;
+        runner.nextTrialAt = runner.trialInterval == null ? runner.nextTrialAt : now.plus(runner.trialInterval);
+        request.recheckDelay = null;
+        actions.dispatch(attempt, null);
+        decide(now, request);
     }
 
-    private Duration probeLimit(Assignment a) {
-        Duration part = a.workload.promised.dividedBy(4);
-        return probing.roundTrip == 0 ? part : least(part, fewRoundTrips());
+    private Duration probeTimeout(Request request) {
+        Duration quarter = request.workload.targetLatency.dividedBy(4);
+        return probing.roundTrip == 0 ? quarter : min(quarter, fewRoundTrips());
     }
 
     private Duration fewRoundTrips() {
-        return ofSecs(3 * probing.roundTrip).plus(orders.round.multipliedBy(2));
+        return ofSeconds(3 * probing.roundTrip).plus(settings.roundInterval.multipliedBy(2));
     }
 
-    private void look(Assignment a, Duration at) {
-        touched.add(a);
-        a.wantedLook = a.wantedLook == null ? at : least(at, a.wantedLook);
+    private void checkAt(Request request, Duration time) {
+        changed.add(request);
+        request.plannedCheckAt = request.plannedCheckAt == null ? time : min(time, request.plannedCheckAt);
     }
 }
--- a/core/src/main/java/saltdale/decision/FleetSurvey.java
+++ b/core/src/main/java/saltdale/decision/FleetSurvey.java
@@ -1,51 +1,55 @@
 package saltdale.decision;
 
-import static saltdale.model.Spans.secs;
+import static saltdale.model.Durations.seconds;
 
 import java.time.Duration;
 import java.util.List;
-import saltdale.model.Fading;
+import saltdale.model.DecayingSum;
+import saltdale.model.DispatcherSettings;
 import saltdale.model.Runner;
-import saltdale.model.StandingOrders;
 
 /** What one dispatcher sees of all its runners together, counted at most once for one moment. */
 final class FleetSurvey {
     /** Work done by warm runners. */
-    final Fading workDone = new Fading();
+    final DecayingSum warmWorkDone = new DecayingSum();
     /** How many are ready, and how many of those are set aside. */
-    double ready;
+    double readyCount;
 
-    double aside;
+    double ejectedCount;
     /** What a warm runner does for us, in seconds of work a second, and what of ours each known one holds. */
-    double warmRate;
+    double warmWorkRate;
 
-    double meanOut;
+    double meanInFlight;
 
-    private final StandingOrders orders;
+    private final DispatcherSettings settings;
     private final List<Runner> runners;
-    private final Duration memory;
-    private Duration at;
+    private final Duration timeConstant;
+    private Duration updatedAt;
 
-    FleetSurvey(StandingOrders orders, List<Runner> runners, Duration memory) {
-        this.orders = orders;
+    FleetSurvey(DispatcherSettings settings, List<Runner> runners, Duration timeConstant) {
+        this.settings = settings;
         this.runners = runners;
-        this.memory = memory;
+        this.timeConstant = timeConstant;
     }
 
-    void take(Duration now) {
-        if (now.equals(at)) {
+    void update(Duration now) {
+        if (now.equals(updatedAt)) {
             return;
         }
-        at = now;
-        List<Runner> ready = runners.stream().filter(Runner::ready).toList();
-        this.ready = ready.size();
-        long warm = ready.stream().filter(r -> orders.warmth(now, r) >= 1).count();
-        warmRate = warm == 0 ? warmRate : workDone.at(now, memory) / secs(memory) / warm;
-        meanOut = ready.stream()
-                .filter(r -> r.known)
-                .mapToInt(r -> r.out.size())
+        updatedAt = now;
+        List<Runner> ready = runners.stream().filter(Runner::isReady).toList();
+        this.readyCount = ready.size();
+        long warm = ready.stream()
+                .filter(runner -> settings.warmth(now, runner) >= 1)
+                .count();
+        warmWorkRate =
+                warm == 0 ? warmWorkRate : warmWorkDone.valueAt(now, timeConstant) / seconds(timeConstant) / warm;
+        meanInFlight = ready.stream()
+                .filter(runner -> runner.contacted)
+                .mapToInt(runner -> runner.inFlight.size())
                 .average()
                 .orElse(0);
-        aside = ready.stream().filter(r -> r.trickle != null).count();
+        ejectedCount =
+                ready.stream().filter(runner -> runner.trialInterval != null).count();
     }
 }
--- a/core/src/main/java/saltdale/decision/Preview.java
+++ b/core/src/main/java/saltdale/decision/Preview.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 import java.util.StringJoiner;
 import java.util.function.Supplier;
-import saltdale.model.Assignment;
+import saltdale.model.DispatcherSettings;
+import saltdale.model.Request;
 import saltdale.model.Runner;
-import saltdale.model.StandingOrders;
 
 /**
  * Counts where the settings of another shape would have decided otherwise, and changes nothing: the dispatcher's own
@@ -27,13 +27,13 @@
     }
 
     private final Dispatcher dispatcher;
-    private final StandingOrders other;
+    private final DispatcherSettings otherSettings;
     private final Map<Kind, long[]> counts = new EnumMap<>(Kind.class);
 
     /** Begins to watch this dispatcher; workloads, tenants and the round are its own in both. */
-    public Preview(Dispatcher dispatcher, StandingOrders other) {
+    public Preview(Dispatcher dispatcher, DispatcherSettings otherSettings) {
         this.dispatcher = dispatcher;
-        this.other = other;
+        this.otherSettings = otherSettings;
         for (Kind kind : Kind.values()) {
             counts.put(kind, new long[2]);
         }
@@ -42,23 +42,23 @@
 
     private Preview() {
         this.dispatcher = null;
-        this.other = null;
+        this.otherSettings = null;
     }
 
-    private <T> T under(StandingOrders orders, Supplier<T> question) {
-        StandingOrders own = dispatcher.orders;
-        orders.round = own.round;
-        orders.endsAt = own.endsAt; // neither is a matter of the shape
-        dispatcher.orders = orders;
+    private <T> T withSettings(DispatcherSettings settings, Supplier<T> question) {
+        DispatcherSettings ownSettings = dispatcher.settings;
+        settings.roundInterval = ownSettings.roundInterval;
+        settings.shutdownAt = ownSettings.shutdownAt; // neither is a matter of the shape
+        dispatcher.settings = settings;
         try {
             return question.get();
         } finally {
-            dispatcher.orders = own;
+            dispatcher.settings = ownSettings;
         }
     }
 
     private void compare(Kind kind, Supplier<Boolean> question) {
-        count(kind, !question.get().equals(under(other, question)));
+        count(kind, !question.get().equals(withSettings(otherSettings, question)));
     }
 
     private void count(Kind kind, boolean differs) {
@@ -66,47 +66,58 @@
         counts.get(kind)[1] += differs ? 1 : 0;
     }
 
-    void probed(Duration now, Assignment a, Runner r) {
-        if (other != null && a != null) {
-            compare(Kind.IDLE, () -> dispatcher.idle(now, r, a.slots));
+    void onProbeResult(Duration now, Request request, Runner runner) {
+        if (otherSettings != null && request != null) {
+            compare(Kind.IDLE, () -> dispatcher.isIdle(now, runner, request.slots));
         }
     }
 
     /** One of those probed takes it: which one is asked anew under both, on what is known by now. */
-    void chosen(Duration now, Assignment a) {
-        if (other == null) {
+    void onRunnerChosen(Duration now, Request request) {
+        if (otherSettings == null) {
             return;
         }
-        Supplier<Runner> question = () -> best(now, a);
-        Runner own = question.get();
-        Runner others = under(other, question);
-        count(Kind.RUNNER, under(other, () -> cost(now, a, own) > cost(now, a, others)));
-        count(Kind.CROSSING, crosses(own) != under(other, () -> crosses(others)));
+        Supplier<Runner> question = () -> best(now, request);
+        Runner ownChoice = question.get();
+        Runner otherChoice = withSettings(otherSettings, question);
+        count(
+                Kind.RUNNER,
+                withSettings(otherSettings, () -> cost(now, request, ownChoice) > cost(now, request, otherChoice)));
+        count(Kind.CROSSING, isCrossZone(ownChoice) != withSettings(otherSettings, () -> isCrossZone(otherChoice)));
     }
 
-    private boolean crosses(Runner r) {
-        return !r.zone.equals(dispatcher.orders.zone);
+    private boolean isCrossZone(Runner runner) {
+        return !runner.zone.equals(dispatcher.settings.zone);
     }
 
-    private Runner best(Duration now, Assignment a) {
+    private Runner best(Duration now, Request request) {
         Runner best = null;
-        for (int i = 0; i < a.probed.size(); i++) {
-            Runner r = a.probed.get(i);
-            boolean open = a.costs.get(i) < Double.POSITIVE_INFINITY && r.ready() && !r.isSilent(now);
-            best = open && (best == null || cost(now, a, r) < cost(now, a, best)) ? r : best;
+        for (int i = 0; i < request.probedRunners.size(); i++) {
+            Runner runner = request.probedRunners.get(i);
+            boolean open = request.probedCosts.get(i) < Double.POSITIVE_INFINITY
+                    && runner.isReady()
+                    && !runner.isUnresponsive(now);
+            best = open && (best == null || cost(now, request, runner) < cost(now, request, best)) ? runner : best;
         }
         return best;
     }
 
-    void taking(Duration now, Assignment a, Runner r) {
-        if (other != null) {
-            compare(Kind.SHED, () -> dispatcher.late(now, a, r, cost(now, a, r) - dispatcher.toll(now, a, r)));
+    void onLatenessCheck(Duration now, Request request, Runner runner) {
+        if (otherSettings != null) {
+            compare(
+                    Kind.SHED,
+                    () -> dispatcher.isLate(
+                            now,
+                            request,
+                            runner,
+                            cost(now, request, runner) - dispatcher.extraLoad(now, request, runner)));
         }
     }
 
-    private double cost(Duration now, Assignment a, Runner r) {
-        return dispatcher.weighed(now, r, dispatcher.load(r), dispatcher.idle(now, r, a.slots))
-                + dispatcher.toll(now, a, r);
+    private double cost(Duration now, Request request, Runner runner) {
+        return dispatcher.adjustedLoad(
+                        now, runner, dispatcher.load(runner), dispatcher.isIdle(now, runner, request.slots))
+                + dispatcher.extraLoad(now, request, runner);
     }
 
     /** How often this was decided, and how often otherwise under the other settings. */
--- a/core/src/main/java/saltdale/decision/WorkloadStats.java
+++ b/core/src/main/java/saltdale/decision/WorkloadStats.java
@@ -1,35 +1,35 @@
 package saltdale.decision;
 
 import java.time.Duration;
-import saltdale.model.Fading;
-import saltdale.overload.Levels;
+import saltdale.model.DecayingSum;
+import saltdale.overload.AdmissionControl;
 
 /** What one dispatcher has seen of one workload. */
 final class WorkloadStats {
     /** The mean size in seconds, over how many that were hinted, else have ended. */
-    double usual;
+    double meanRunTime;
 
-    double ended;
+    double sampleCount;
     /** Work that runners were picked for. */
-    final Fading sought = new Fading();
+    final DecayingSum searchedWork = new DecayingSum();
     /** The longest a client has come with: that of a first try. */
-    Duration patience = Duration.ZERO;
+    Duration maxClientTimeout = Duration.ZERO;
     /** Among the others, where overloads are met by levels: its first tries and its marked repeats. */
-    final Levels.Kind kind;
+    final AdmissionControl.AdmissionClass firstTries;
 
-    final Levels.Kind again;
+    final AdmissionControl.AdmissionClass retries;
 
-    WorkloadStats(Levels levels) {
-        kind = levels == null ? null : levels.add();
-        again = levels == null ? null : levels.add();
+    WorkloadStats(AdmissionControl admission) {
+        firstTries = admission == null ? null : admission.addClass();
+        retries = admission == null ? null : admission.addClass();
     }
 
-    void saw(double size) {
-        usual += (size - usual) / Math.min(++ended, 99);
+    void addRunTime(double runTimeSeconds) {
+        meanRunTime += (runTimeSeconds - meanRunTime) / Math.min(++sampleCount, 99);
     }
 
     /** The mean size; a second until one is known. */
-    double unit() {
-        return ended == 0 ? 1 : usual;
+    double runTimeOrDefault() {
+        return sampleCount == 0 ? 1 : meanRunTime;
     }
 }
--- a/core/src/main/java/saltdale/model/Keys.java
+++ b/core/src/main/java/saltdale/model/Keys.java
@@ -3,13 +3,13 @@
 /** How much of late concerned each key, in bounded memory, and which runners are the home of a key. */
 public final class Keys {
     private static final int BUCKETS = 1024;  // keys that share one count as one
-    private static final int ENOUGH = 8192;
+    private static final int HALVING_COUNT = 8192;
     private final int[] counts = new int[BUCKETS];
     private int total;
 
     public void add(long key) {
         counts[bucket(key)]++;
-        if (++total >= ENOUGH) {
+        if (++total >= HALVING_COUNT) {
             total = 0;
             for (int i = 0; i < BUCKETS; i++) {
                 counts[i] /= 2;
@@ -24,8 +24,8 @@
     }
 
     /** Whether the runner is a home of this key, as this part of all runners is: alike at all of us. */
-    public static boolean isHome(long key, long runner, double part) {
-        return (mix(key ^ mix(runner)) >>> 11) * 0x1.0p-53 < part;
+    public static boolean isHome(long key, long runnerHash, double share) {
+        return (mix(key ^ mix(runnerHash)) >>> 11) * 0x1.0p-53 < share;
     }
 
     private static int bucket(long key) {
@@ -33,7 +33,7 @@
     }
 
     /** A hash of a text: FNV-1a, 64 bits; never 0. */
-    public static long of(String text) {
+    public static long hash(String text) {
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < text.length(); i++) {
             hash = (hash ^ text.charAt(i)) * 0x100000001b3L;
--- a/core/src/main/java/saltdale/model/Relief.java
+++ b/core/src/main/java/saltdale/model/OverloadSettings.java
@@ -14,7 +14,14 @@
  * @param step the least time between two changes of the level
  * @param known so many assignments of a workload must have ended before it is weighed against others
  */
-public record Relief(double low, double high, double borne, double missed, Duration step, int known) {
+public record OverloadSettings(
+        double lowWaitShare,
+        double highWaitShare,
+        double slackShare,
+        double tolerableMissShare,
+        Duration minChangeInterval,
+        int minCompletions) {
     /** Measured in {@code docs/overload.md}. */
-    public static final Relief USUAL = new Relief(0.2, 0.5, 0.5, 0.05, Duration.ofMillis(100), 8);
+    public static final OverloadSettings DEFAULTS =
+            new OverloadSettings(0.2, 0.5, 0.5, 0.05, Duration.ofMillis(100), 8);
 }
--- a/core/src/main/java/saltdale/model/Assignment.java
+++ b/core/src/main/java/saltdale/model/Request.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /** A client's request, from its arrival to its final answer. */
-public final class Assignment {
+public final class Request {
     /** The final answers that a dispatcher can give itself. */
-    public enum Answer {
+    public enum LocalResponse {
         SHED,
         GIVEN_UP
     }
@@ -19,74 +19,74 @@
     /** The client's tenant; null where there are none. */
     public Tenant tenant;
     /** The hinted running time at speed 1; null where there is none. */
-    public Duration hint;
+    public Duration runTimeHint;
 
     public double slots = 1;
     public double memory;
     /** What it concerns, as a hash: runners may keep what such work needs. 0 where it is not told. */
-    public long key;
+    public long affinityKey;
     /** True for a client's repeat, where clients mark them. */
-    public boolean repeated;
+    public boolean markedAsRetry;
 
-    public final List<Dispatch> dispatches = new ArrayList<>(2);
+    public final List<Attempt> attempts = new ArrayList<>(2);
     /** The runners probed in the present search, and the load found at each. */
-    public final List<Runner> probed = new ArrayList<>(4);
+    public final List<Runner> probedRunners = new ArrayList<>(4);
 
-    public final List<Double> loads = new ArrayList<>(4);
+    public final List<Double> probedLoads = new ArrayList<>(4);
     /** The loads, each with what a crossing to that runner's zone counts as. */
-    public final List<Double> costs = new ArrayList<>(4);
+    public final List<Double> probedCosts = new ArrayList<>(4);
     /** The runner whose probe is awaited, and since when. */
-    public Runner asked;
+    public Runner probeTarget;
 
-    public Duration askedAt;
+    public Duration probeSentAt;
     /** True once the final answer is out, whoever gave it. */
     public boolean closed;
     /** The dispatch whose answer has begun to stream and so belongs to the client; null while none has. */
-    public Dispatch stream;
+    public Attempt streamingAttempt;
 
     // What is wanted and not yet done; the dispatcher's settle() compares it with the above.
-    public Runner wantedProbe;
-    public Runner wantedRunner;
-    public double wantedLoad;
-    public Answer wantedAnswer;
-    public Duration wantedPause;
-    public Duration wantedLook;
+    public Runner plannedProbe;
+    public Runner plannedRunner;
+    public double plannedLoad;
+    public LocalResponse plannedResponse;
+    public Duration plannedRetryAfter;
+    public Duration plannedCheckAt;
     public Duration timerAt;
     /** A search made beside a dispatch that is out. */
-    public boolean secondLook;
+    public boolean seekingAlternative;
 
-    public Duration lookGap;
+    public Duration recheckDelay;
     /** Drawn between 0 and 1 at its arrival, and anew when it has been held. */
-    public double luck;
+    public double randomDraw;
 
-    public Assignment(Workload workload, Duration arrivedAt, Duration patience) {
+    public Request(Workload workload, Duration arrivedAt, Duration clientTimeout) {
         this.workload = workload;
         this.arrivedAt = arrivedAt;
-        this.deadline = arrivedAt.plus(patience);
+        this.deadline = arrivedAt.plus(clientTimeout);
     }
 
     /** The first dispatch that is still out; null where none is. */
-    public Dispatch pending() {
-        for (Dispatch d : dispatches) {
-            if (d.outcome == null) {
-                return d;
+    public Attempt pendingAttempt() {
+        for (Attempt attempt : attempts) {
+            if (attempt.outcome == null) {
+                return attempt;
             }
         }
         return null;
     }
 
     /** True once its answer is out and so is the outcome of each dispatch. */
-    public boolean isOver() {
-        return closed && pending() == null;
+    public boolean isFinished() {
+        return closed && pendingAttempt() == null;
     }
 
-    public Dispatch last() {
-        return dispatches.get(dispatches.size() - 1);
+    public Attempt lastAttempt() {
+        return attempts.get(attempts.size() - 1);
     }
 
-    public boolean sentTo(Runner runner) {
-        for (Dispatch d : dispatches) {
-            if (d.runner == runner) {
+    public boolean wasSentTo(Runner runner) {
+        for (Attempt attempt : attempts) {
+            if (attempt.runner == runner) {
                 return true;
             }
         }
@@ -95,35 +95,35 @@
 
     /** True where some dispatch may have run, for all that is known. */
     public boolean mayHaveRun() {
-        for (Dispatch d : dispatches) {
-            if (d.mayHaveRun()) {
+        for (Attempt attempt : attempts) {
+            if (attempt.mayHaveRun()) {
                 return true;
             }
         }
         return false;
     }
 
-    public void found(Runner runner, double load, double toll) {
-        probed.add(runner);
-        loads.add(load);
-        costs.add(load + toll);
+    public void addProbeResult(Runner runner, double load, double extraLoad) {
+        probedRunners.add(runner);
+        probedLoads.add(load);
+        probedCosts.add(load + extraLoad);
     }
 
     /** The least cost found in the present search; infinite where nothing has been. */
-    public double leastCost() {
-        return costs.stream().mapToDouble(cost -> cost).min().orElse(Double.POSITIVE_INFINITY);
+    public double lowestCost() {
+        return probedCosts.stream().mapToDouble(cost -> cost).min().orElse(Double.POSITIVE_INFINITY);
     }
 
-    public void forgetSearch() {
-        probed.clear();
-        loads.clear();
-        costs.clear();
-        wantedRunner = null;
-        secondLook = false;
+    public void clearSearch() {
+        probedRunners.clear();
+        probedLoads.clear();
+        probedCosts.clear();
+        plannedRunner = null;
+        seekingAlternative = false;
     }
 
     /** The client's patience with this try. */
-    public Duration patience() {
+    public Duration clientTimeout() {
         return deadline.minus(arrivedAt);
     }
 }
--- a/core/src/main/java/saltdale/probing/Payoff.java
+++ b/core/src/main/java/saltdale/probing/Payoff.java
@@ -5,14 +5,14 @@
     public static final double C = 0.003;
     public static final double ALPHA = 0.9;
     public static final int PROBE_CAP = 4;
-    public static final double LAMBDA_MOST = 0.999;
+    public static final double MAX_LAMBDA = 0.999;
 
     private Payoff() {
     }
 
     /** λ = λ'/(1 − 2C·d) after d probes, kept below 1. */
-    public static double lambda(double seen, int d) {
-        return 2 * C * d >= 1 ? LAMBDA_MOST : Math.min(LAMBDA_MOST, seen / (1 - 2 * C * d));
+    public static double lambda(double observed, int d) {
+        return 2 * C * d >= 1 ? MAX_LAMBDA : Math.min(MAX_LAMBDA, observed / (1 - 2 * C * d));
     }
 
     /** B = Σ (Qmin − i)·p(i), with p(i) = s(i) − s(i+1). */
--- a/core/src/main/java/saltdale/orders/MalformedInput.java
+++ b/core/src/main/java/saltdale/settings/MalformedInputException.java
@@ -1,10 +1,10 @@
-package saltdale.orders;
+package saltdale.settings;
 
 /** Input that does not follow its page; the message names the field. */
-public final class MalformedInput extends RuntimeException {
+public final class MalformedInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    public MalformedInput(String message) {
+    public MalformedInputException(String message) {
         super(message);
     }
 }
--- a/core/src/test/java/saltdale/decision/DispatcherTest.java
+++ b/core/src/test/java/saltdale/decision/DispatcherTest.java
@@ -9,18 +9,18 @@
 import java.time.Duration;
 import java.util.List;
 import org.junit.jupiter.api.Test;
-import saltdale.model.Assignment;
-import saltdale.model.Dispatch;
+import saltdale.model.Attempt;
 import saltdale.model.Keys;
 import saltdale.model.LoadReport;
 import saltdale.model.Outcome;
+import saltdale.model.Request;
 import saltdale.model.Runner;
-import saltdale.model.Sighting;
+import saltdale.model.RunnerListEntry;
 import saltdale.model.Workload;
 import saltdale.probing.Payoff;
 
 class DispatcherTest {
-    private final Scene scene = new Scene();
+    private final DispatcherFixture fixture = new DispatcherFixture();
 
     // The design's arithmetic, by hand.
 
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void anEmptyQueueLeavesNothingToGain() {
+    void payoffIsZeroForAnEmptyQueue() {
         assertEquals(0, Payoff.payoff(0, 0.5, 1), 1e-9);
     }
 
@@ -49,11 +49,11 @@
     }
 
     @Test
-    void costIsNothingUntilAJobHasEnded() {
-        Dispatcher dispatcher = scene.with(2);
+    void costIsZeroUntilAJobHasCompleted() {
+        Dispatcher dispatcher = fixture.createWithRunners(2);
         dispatcher.probing.roundTrip = 0.01;
         assertEquals(0, dispatcher.probing.cost(), 1e-9);
-        dispatcher.probing.runningTime = 0.5;
+        dispatcher.probing.runTime = 0.5;
         dispatcher.probing.meanQueue = 2;
         assertEquals(0.02 + 2 * Payoff.C, dispatcher.probing.cost(), 1e-9);
     }
@@ -61,651 +61,715 @@
     // The search.
 
     @Test
-    void anIdleRunnerTakesTheJob() {
-        Dispatcher dispatcher = scene.with(3);
-        scene.arrives(scene.assignment());
-        scene.finds(0);
-        assertEquals(List.of("probe", "dispatch"), scene.acts);
-        assertSame(scene.probes.get(0), scene.dispatches.get(0).runner);
+    void idleRunnerGetsTheRequest() {
+        Dispatcher dispatcher = fixture.createWithRunners(3);
+        fixture.sendRequest(fixture.newRequest());
+        fixture.answerLastProbe(0);
+        assertEquals(List.of("probe", "dispatch"), fixture.actions);
+        assertSame(fixture.probes.get(0), fixture.attempts.get(0).runner);
     }
 
     @Test
-    void aBusyRunnerIsFollowedByAnotherAndTheShortestQueueTakesTheJob() {
-        scene.workload.lateImportance = 0.5;
-        Dispatcher dispatcher = scene.with(2);
-        scene.arrives(scene.assignment());
-        scene.finds(2);
-        dispatcher.probed(Scene.at(10), scene.probes.get(1), true, Scene.at(5), Scene.queue(3));
-        dispatcher.settle(Scene.at(10));
-        assertNotSame(scene.probes.get(0), scene.probes.get(1));
-        assertSame(scene.probes.get(0), scene.dispatches.get(0).runner);
+    void afterABusyRunnerAnotherIsProbedAndTheShortestQueueGetsTheRequest() {
+        fixture.workload.lateImportance = 0.5;
+        Dispatcher dispatcher = fixture.createWithRunners(2);
+        fixture.sendRequest(fixture.newRequest());
+        fixture.answerLastProbe(2);
+        dispatcher.onProbeResult(
+                DispatcherFixture.at(10),
+                fixture.probes.get(1),
+                true,
+                DispatcherFixture.at(5),
+                DispatcherFixture.queueReport(3));
+        dispatcher.applyActions(DispatcherFixture.at(10));
+        assertNotSame(fixture.probes.get(0), fixture.probes.get(1));
+        assertSame(fixture.probes.get(0), fixture.attempts.get(0).runner);
     }
 
     @Test
-    void idleNeedsRoomForTheJobAndNothingOfOursThatWaits() {
-        Dispatcher dispatcher = scene.with(1);
+    void idleRequiresFreeSlotsAndNoWaitingAttemptOfOurs() {
+        Dispatcher dispatcher = fixture.createWithRunners(1);
         Runner runner = dispatcher.runners.get(0);
         dispatcher.probing.roundTrip = 0.01;
         runner.report = new LoadReport(0, 5, 2, Double.NaN, Double.NaN);
-        assertTrue(dispatcher.idle(Scene.at(0), runner, 2));
-        assertFalse(dispatcher.idle(Scene.at(0), runner, 4));
-        Dispatch d = scene.sentTo(runner).last();
-        assertTrue(dispatcher.idle(Scene.at(30), runner, 1));
-        assertFalse(dispatcher.idle(Scene.at(50), runner, 1), "ours waits there");
-        dispatcher.started(Scene.at(50), d);
-        assertTrue(dispatcher.idle(Scene.at(50), runner, 1));
+        assertTrue(dispatcher.isIdle(DispatcherFixture.at(0), runner, 2));
+        assertFalse(dispatcher.isIdle(DispatcherFixture.at(0), runner, 4));
+        Attempt attempt = fixture.newRequestSentTo(runner).lastAttempt();
+        assertTrue(dispatcher.isIdle(DispatcherFixture.at(30), runner, 1));
+        assertFalse(dispatcher.isIdle(DispatcherFixture.at(50), runner, 1), "ours waits there");
+        dispatcher.onStarted(DispatcherFixture.at(50), attempt);
+        assertTrue(dispatcher.isIdle(DispatcherFixture.at(50), runner, 1));
     }
 
     @Test
-    void loadFallsBackToInFlightThenToWhatWeSent() {
-        Dispatcher dispatcher = scene.with(1);
+    void loadFallsBackToInFlightThenToOwnAttempts() {
+        Dispatcher dispatcher = fixture.createWithRunners(1);
         Runner runner = dispatcher.runners.get(0);
-        runner.report = report(5, Double.NaN);
+        runner.report = inFlightReport(5, Double.NaN);
         assertEquals(5, dispatcher.load(runner));
         runner.report = LoadReport.NONE;
-        runner.known = true;
-        scene.sentTo(runner);
+        runner.contacted = true;
+        fixture.newRequestSentTo(runner);
         assertEquals(1, dispatcher.load(runner));
-        runner.of.sawFree(report(5, 2)); // at one of its kind, which has seven slots then
-        runner.report = report(11, 0);
+        runner.typeStats.recordSlots(inFlightReport(5, 2)); // at one of its kind, which has seven slots then
+        runner.report = inFlightReport(11, 0);
         assertEquals(4, dispatcher.load(runner));
-        scene.orders.liveWeights = true;
-        runner.report = report(Double.NaN, 0);
-        runner.power = 1 / 3.0; // of 1: two jobs a core are held
+        fixture.settings.loadBasedWeights = true;
+        runner.report = inFlightReport(Double.NaN, 0);
+        runner.weight = 1 / 3.0; // of 1: two jobs a core are held
         assertEquals(7, dispatcher.load(runner), 1e-9);
     }
 
     @Test
-    void aSilentProbeDoesNotHoldTheJobUp() {
-        Dispatcher dispatcher = scene.with(2);
-        Assignment a = scene.assignment();
-        scene.arrives(a);
-        Duration later = scene.workload.promised.dividedBy(2);
-        dispatcher.woken(later, a);
-        dispatcher.settle(later);
-        assertEquals(List.of("probe", "probe"), scene.acts);
+    void unansweredProbeDoesNotBlockTheRequest() {
+        Dispatcher dispatcher = fixture.createWithRunners(2);
+        Request request = fixture.newRequest();
+        fixture.sendRequest(request);
+        Duration later = fixture.workload.targetLatency.dividedBy(2);
+        dispatcher.onTimer(later, request);
+        dispatcher.applyActions(later);
+        assertEquals(List.of("probe", "probe"), fixture.actions);
     }
 
     @Test
-    void anEmptyListEndsInAnAnswerBeforePatienceDoes() {
-        Dispatcher dispatcher = scene.with(0);
-        Assignment a = scene.assignment();
-        scene.arrives(a);
-        dispatcher.woken(Scene.at(5990), a);
-        dispatcher.settle(Scene.at(5990));
-        assertEquals(List.of("shed"), scene.acts);
+    void withoutRunnersTheRequestIsAnsweredBeforeTheClientTimesOut() {
+        Dispatcher dispatcher = fixture.createWithRunners(0);
+        Request request = fixture.newRequest();
+        fixture.sendRequest(request);
+        dispatcher.onTimer(DispatcherFixture.at(5990), request);
+        dispatcher.applyActions(DispatcherFixture.at(5990));
+        assertEquals(List.of("shed"), fixture.actions);
     }
 
     // The rules.
 
     @Test
-    void aTimeOutAtPatienceEndsInOneAnswer() {
-        Dispatcher dispatcher = scene.with(1);
-        Assignment a = scene.sentTo(dispatcher.runners.get(0));
-        dispatcher.ended(Scene.at(6000), a.dispatches.get(0), Outcome.TIMED_OUT, false, null);
-        dispatcher.settle(Scene.at(6000));
-        dispatcher.close(a);
-        dispatcher.settle(Scene.at(6001));
-        assertEquals(List.of("shed"), scene.acts);
+    void attemptTimeoutAtTheDeadlineGivesExactlyOneResponse() {
+        Dispatcher dispatcher = fixture.createWithRunners(1);
+        Request request = fixture.newRequestSentTo(dispatcher.runners.get(0));
+        dispatcher.onAttemptEnd(DispatcherFixture.at(6000), request.attempts.get(0), Outcome.TIMED_OUT, false, null);
+        dispatcher.applyActions(DispatcherFixture.at(6000));
+        dispatcher.close(request);
+        dispatcher.applyActions(DispatcherFixture.at(6001));
+        assertEquals(List.of("shed"), fixture.actions);
     }
 
     @Test
-    void anEffectfulJobThatMayHaveRunIsGivenUp() {
-        scene.workload.repeat = Workload.Repeat.EFFECTFUL;
-        Dispatcher dispatcher = scene.with(2);
+    void effectfulRequestThatMayHaveRunIsNotRepeated() {
+        fixture.workload.repeatSafety = Workload.RepeatSafety.EFFECTFUL;
+        Dispatcher dispatcher = fixture.createWithRunners(2);
         Runner runner = dispatcher.runners.get(0);
-        Assignment a = scene.sentTo(runner);
-        Dispatch d = a.dispatches.get(0);
-        d.outcome = Outcome.BROKEN;
-        assertFalse(dispatcher.repeatable(Scene.at(1), a, runner));
-        assertFalse(dispatcher.mayShed(a));
-        d.outcome = Outcome.NOT_CONNECTED;
-        assertTrue(dispatcher.repeatable(Scene.at(1), a, runner));
-        assertTrue(dispatcher.mayShed(a));
+        Request request = fixture.newRequestSentTo(runner);
+        Attempt attempt = request.attempts.get(0);
+        attempt.outcome = Outcome.BROKEN;
+        assertFalse(dispatcher.mayRepeat(DispatcherFixture.at(1), request, runner));
+        assertFalse(dispatcher.mayShed(request));
+        attempt.outcome = Outcome.NOT_CONNECTED;
+        assertTrue(dispatcher.mayRepeat(DispatcherFixture.at(1), request, runner));
+        assertTrue(dispatcher.mayShed(request));
     }
 
     @Test
-    void whatMayHaveRunAndMayNotGoAgainIsGivenUpAtOnce() {
-        scene.workload.repeat = Workload.Repeat.EFFECTFUL;
-        Dispatcher dispatcher = scene.with(2);
-        Assignment a = scene.sentTo(dispatcher.runners.get(0));
-        dispatcher.ended(Scene.at(10), a.dispatches.get(0), Outcome.ERROR, false, null);
-        dispatcher.settle(Scene.at(10));
-        assertEquals(List.of("give up"), scene.acts);
+    void requestThatMustNotBeRepeatedIsGivenUpAtOnce() {
+        fixture.workload.repeatSafety = Workload.RepeatSafety.EFFECTFUL;
+        Dispatcher dispatcher = fixture.createWithRunners(2);
+        Request request = fixture.newRequestSentTo(dispatcher.runners.get(0));
+        dispatcher.onAttemptEnd(DispatcherFixture.at(10), request.attempts.get(0), Outcome.ERROR, false, null);
+        dispatcher.applyActions(DispatcherFixture.at(10));
+        assertEquals(List.of("give up"), fixture.actions);
     }
 
     @Test
-    void aReceiptedJobGoesAgainOnlyWithinItsCellAndWindow() {
-        scene.workload.repeat = Workload.Repeat.RECEIPTED;
-        scene.workload.group = Workload.Group.CELL;
-        scene.workload.window = Duration.ofSeconds(5);
-        Dispatcher dispatcher = scene.with(2);
+    void receiptedRequestIsRepeatedOnlyWithinItsCellAndWindow() {
+        fixture.workload.repeatSafety = Workload.RepeatSafety.RECEIPTED;
+        fixture.workload.dedupScope = Workload.DedupScope.CELL;
+        fixture.workload.dedupWindow = Duration.ofSeconds(5);
+        Dispatcher dispatcher = fixture.createWithRunners(2);
         Runner near = dispatcher.runners.get(0);
         Runner far = dispatcher.runners.get(1);
         far.cell = 7;
-        Assignment a = scene.sentTo(near);
-        a.dispatches.get(0).outcome = Outcome.CANCELLED;
-        assertTrue(dispatcher.repeatable(Scene.at(1000), a, near));
-        assertFalse(dispatcher.repeatable(Scene.at(1000), a, far));
-        assertFalse(dispatcher.repeatable(Scene.at(5000), a, near));
-        assertFalse(dispatcher.mayShed(a));
+        Request request = fixture.newRequestSentTo(near);
+        request.attempts.get(0).outcome = Outcome.CANCELLED;
+        assertTrue(dispatcher.mayRepeat(DispatcherFixture.at(1000), request, near));
+        assertFalse(dispatcher.mayRepeat(DispatcherFixture.at(1000), request, far));
+        assertFalse(dispatcher.mayRepeat(DispatcherFixture.at(5000), request, near));
+        assertFalse(dispatcher.mayShed(request));
     }
 
     /** As reported on quiet at budapest-gyor-ut: at 0.2 s a first dispatch left the only zone that was open to it. */
     @Test
-    void aBoundWorkloadGoesNowhereElseNotWhenAllThatItNamesAreGone() {
-        scene.workload.zones.add("there");
-        scene.workload.kinds.add("big");
-        scene.with(2);
-        scene.arrives(scene.assignment());
-        assertEquals(List.of(), scene.acts);
+    void restrictedWorkloadGoesNowhereElseEvenIfAllItsRunnersAreGone() {
+        fixture.workload.zones.add("there");
+        fixture.workload.machineTypes.add("big");
+        fixture.createWithRunners(2);
+        fixture.sendRequest(fixture.newRequest());
+        assertEquals(List.of(), fixture.actions);
         Runner open = new Runner();
-        scene.dispatcher.listed(
-                Scene.at(1),
+        fixture.dispatcher.onRunnerList(
+                DispatcherFixture.at(1),
                 List.of(
-                        new Sighting(open, "big", "there", 1, Runner.Mode.READY, 0, null),
-                        new Sighting(new Runner(), "big", "here", 1, Runner.Mode.READY, 0, null),
-                        new Sighting(new Runner(), "any", "there", 1, Runner.Mode.READY, 0, null)),
+                        new RunnerListEntry(open, "big", "there", 1, Runner.Mode.READY, 0, null),
+                        new RunnerListEntry(new Runner(), "big", "here", 1, Runner.Mode.READY, 0, null),
+                        new RunnerListEntry(new Runner(), "any", "there", 1, Runner.Mode.READY, 0, null)),
                 false,
                 false);
         for (int i = 0; i < 8; i++) {
-            scene.arrives(scene.assignment());
+            fixture.sendRequest(fixture.newRequest());
         }
-        assertEquals(List.of(open), scene.probes.stream().distinct().toList());
+        assertEquals(List.of(open), fixture.probes.stream().distinct().toList());
     }
 
     /** As reported on calm at tamebridge-main: a second dispatch followed 'full', where that is no proof. */
     @Test
-    void fullProvesNothingWhereThatIsSaid() {
-        scene.orders.fullProvesNothing = true;
-        scene.workload.repeat = Workload.Repeat.EFFECTFUL;
-        scene.with(3);
-        Assignment a = scene.sentTo(scene.dispatcher.runners.get(0));
-        scene.dispatcher.ended(Scene.at(9), a.last(), Outcome.TURNED_AWAY, false, null);
-        scene.dispatcher.settle(Scene.at(9));
-        assertEquals(List.of("give up"), scene.acts);
+    void lateRejectionsDoNotProveThatWorkNeverRan() {
+        fixture.settings.lateRejections = true;
+        fixture.workload.repeatSafety = Workload.RepeatSafety.EFFECTFUL;
+        fixture.createWithRunners(3);
+        Request request = fixture.newRequestSentTo(fixture.dispatcher.runners.get(0));
+        fixture.dispatcher.onAttemptEnd(
+                DispatcherFixture.at(9), request.lastAttempt(), Outcome.TURNED_AWAY, false, null);
+        fixture.dispatcher.applyActions(DispatcherFixture.at(9));
+        assertEquals(List.of("give up"), fixture.actions);
     }
 
     @Test
-    void nothingGoesToARunnerThatBeganToDrainWhileItWasProbed() {
-        Dispatcher dispatcher = scene.with(1);
+    void runnerThatStartsDrainingDuringAProbeGetsNothing() {
+        Dispatcher dispatcher = fixture.createWithRunners(1);
         Runner runner = dispatcher.runners.get(0);
-        scene.arrives(scene.assignment());
-        dispatcher.listed(Scene.at(1), List.of(Scene.sighting(runner, Runner.Mode.DRAINING, null)), false, false);
-        scene.finds(0);
-        assertEquals(List.of("probe"), scene.acts);
+        fixture.sendRequest(fixture.newRequest());
+        dispatcher.onRunnerList(
+                DispatcherFixture.at(1),
+                List.of(DispatcherFixture.entry(runner, Runner.Mode.DRAINING, null)),
+                false,
+                false);
+        fixture.answerLastProbe(0);
+        assertEquals(List.of("probe"), fixture.actions);
     }
 
     @Test
-    void aRunnerMissingFromAWholeListIsGone() {
-        Dispatcher dispatcher = scene.with(1);
+    void runnerMissingFromACompleteListIsGone() {
+        Dispatcher dispatcher = fixture.createWithRunners(1);
         Runner runner = dispatcher.runners.get(0);
-        dispatcher.listed(Scene.at(1), List.of(), true, false);
+        dispatcher.onRunnerList(DispatcherFixture.at(1), List.of(), true, false);
         assertEquals(Runner.Mode.GONE, runner.mode);
-        dispatcher.listed(
-                Scene.at(2), List.of(new Sighting(runner, "", "", 1, Runner.Mode.GONE, 9, null)), false, false);
+        dispatcher.onRunnerList(
+                DispatcherFixture.at(2),
+                List.of(new RunnerListEntry(runner, "", "", 1, Runner.Mode.GONE, 9, null)),
+                false,
+                false);
         assertEquals("here", runner.zone, "an entry that is gone tells nothing else");
     }
 
     @Test
-    void aFailedSubscriptionIsAskedAgainWithinTheTimeAllowed() {
-        scene.orders.mustSubscribe = true;
-        Dispatcher dispatcher = scene.with(1);
-        dispatcher.began(Scene.at(0));
-        dispatcher.settle(Scene.at(0));
-        dispatcher.listFailed(Scene.at(500));
-        dispatcher.settle(Scene.at(500));
-        dispatcher.settle(Scene.at(500).plus(scene.orders.askWithin));
-        assertEquals(List.of("subscribe", "subscribe"), scene.acts);
+    void failedSubscriptionIsRetriedWithinTheTimeLimit() {
+        fixture.settings.subscribes = true;
+        Dispatcher dispatcher = fixture.createWithRunners(1);
+        dispatcher.onStart(DispatcherFixture.at(0));
+        dispatcher.applyActions(DispatcherFixture.at(0));
+        dispatcher.onRunnerListFailure(DispatcherFixture.at(500));
+        dispatcher.applyActions(DispatcherFixture.at(500));
+        dispatcher.applyActions(DispatcherFixture.at(500).plus(fixture.settings.subscribeWithin));
+        assertEquals(List.of("subscribe", "subscribe"), fixture.actions);
     }
 
     @Test
-    void aColdRunnerGetsNoMoreThanItsBudget() {
-        Dispatcher dispatcher = scene.with(2);
+    void coldRunnerGetsNoMoreThanItsBudget() {
+        Dispatcher dispatcher = fixture.createWithRunners(2);
         Runner cold = dispatcher.runners.get(1);
-        cold.startedAt = Scene.at(0);
+        cold.startedAt = DispatcherFixture.at(0);
         for (int i = 0; i < 40; i++) {
-            Assignment a = scene.assignment();
-            dispatcher.arrived(Scene.at(10), a);
-            dispatcher.settle(Scene.at(10));
-            if (a.asked != null) {
-                dispatcher.probed(Scene.at(10), a.asked, true, Scene.at(1), Scene.queue(0));
-                dispatcher.settle(Scene.at(10));
+            Request request = fixture.newRequest();
+            dispatcher.onRequest(DispatcherFixture.at(10), request);
+            dispatcher.applyActions(DispatcherFixture.at(10));
+            if (request.probeTarget != null) {
+                dispatcher.onProbeResult(
+                        DispatcherFixture.at(10),
+                        request.probeTarget,
+                        true,
+                        DispatcherFixture.at(1),
+                        DispatcherFixture.queueReport(0));
+                dispatcher.applyActions(DispatcherFixture.at(10));
             }
         }
-        long toCold = scene.dispatches.stream().filter(d -> d.runner == cold).count();
-        long toWarm = scene.dispatches.size() - toCold;
+        long toCold = fixture.attempts.stream()
+                .filter(attempt -> attempt.runner == cold)
+                .count();
+        long toWarm = fixture.attempts.size() - toCold;
         assertTrue(toCold <= 2.5 * 0.3 * toWarm / 8 * 2 + 1, toCold + " to the cold, " + toWarm + " to the warm");
     }
 
     @Test
-    void aPartUnderOneJobOfAColdRunnersBudgetIsSentByChance() {
-        scene.orders.dispatchers = 100;
-        Dispatcher dispatcher = scene.with(40);
+    void coldBudgetUnderOneJobIsUsedAtRandom() {
+        fixture.settings.dispatcherCount = 100;
+        Dispatcher dispatcher = fixture.createWithRunners(40);
         Runner cold = dispatcher.runners.get(7);
-        cold.startedAt = Scene.at(0);
+        cold.startedAt = DispatcherFixture.at(0);
         for (int i = 0; i < 200; i++) {
-            Assignment a = new Assignment(scene.workload, Scene.at(8 * i), scene.workload.patience);
-            dispatcher.arrived(Scene.at(8 * i), a);
-            dispatcher.settle(Scene.at(8 * i));
-            dispatcher.probed(Scene.at(8 * i), a.asked, true, Scene.at(1), Scene.queue(0));
-            dispatcher.settle(Scene.at(8 * i));
-            dispatcher.ended(Scene.at(8 * i + 4), a.dispatches.get(0), Outcome.FULFILLED, true, null);
+            Request request =
+                    new Request(fixture.workload, DispatcherFixture.at(8 * i), fixture.workload.clientTimeout);
+            dispatcher.onRequest(DispatcherFixture.at(8 * i), request);
+            dispatcher.applyActions(DispatcherFixture.at(8 * i));
+            dispatcher.onProbeResult(
+                    DispatcherFixture.at(8 * i),
+                    request.probeTarget,
+                    true,
+                    DispatcherFixture.at(1),
+                    DispatcherFixture.queueReport(0));
+            dispatcher.applyActions(DispatcherFixture.at(8 * i));
+            dispatcher.onAttemptEnd(
+                    DispatcherFixture.at(8 * i + 4), request.attempts.get(0), Outcome.FULFILLED, true, null);
         }
-        long toCold = scene.dispatches.stream().filter(d -> d.runner == cold).count();
+        long toCold = fixture.attempts.stream()
+                .filter(attempt -> attempt.runner == cold)
+                .count();
         assertTrue(toCold >= 1 && toCold <= 4, toCold + " to the cold runner, of 5 to an average one");
     }
 
     @Test
-    void whatGoesToAColdRunnerByChanceGoesThereOnlyWhileItIsIdle() {
-        scene.orders.dispatchers = 100;
-        Dispatcher dispatcher = scene.with(2);
-        Assignment first = scene.sentTo(dispatcher.runners.get(0));
-        dispatcher.ended(Scene.at(100), first.dispatches.get(0), Outcome.FULFILLED, true, null);
+    void randomSendsToAColdRunnerRequireThatItIsIdle() {
+        fixture.settings.dispatcherCount = 100;
+        Dispatcher dispatcher = fixture.createWithRunners(2);
+        Request first = fixture.newRequestSentTo(dispatcher.runners.get(0));
+        dispatcher.onAttemptEnd(DispatcherFixture.at(100), first.attempts.get(0), Outcome.FULFILLED, true, null);
         Runner cold = dispatcher.runners.get(1);
-        cold.startedAt = Scene.at(0);
-        Assignment a = scene.assignment();
-        cold.asking.add(a);
-        a.asked = cold;
-        dispatcher.probed(Scene.at(200), cold, true, Scene.at(5), Scene.queue(1));
-        assertEquals(List.of(Double.POSITIVE_INFINITY), a.loads);
+        cold.startedAt = DispatcherFixture.at(0);
+        Request request = fixture.newRequest();
+        cold.probeWaiters.add(request);
+        request.probeTarget = cold;
+        dispatcher.onProbeResult(
+                DispatcherFixture.at(200), cold, true, DispatcherFixture.at(5), DispatcherFixture.queueReport(1));
+        assertEquals(List.of(Double.POSITIVE_INFINITY), request.probedLoads);
     }
 
     // Failures.
 
     @Test
-    void whatAProcessTookWithItIsTakenBackOnceTheListTellsOfTheNext() {
-        Dispatcher dispatcher = scene.with(2);
+    void attemptsLostInARunnerRestartAreWithdrawn() {
+        Dispatcher dispatcher = fixture.createWithRunners(2);
         Runner runner = dispatcher.runners.get(0);
-        Dispatch before = scene.sentTo(runner).dispatches.get(0);
-        Dispatch after = new Dispatch(scene.assignment(), runner, Scene.at(600), 1, 0);
-        runner.out.add(after);
-        Sighting back = Scene.sighting(runner, Runner.Mode.READY, Scene.at(500));
-        dispatcher.listed(Scene.at(900), List.of(back), false, false);
-        dispatcher.settle(Scene.at(900));
-        assertEquals(List.of("cancel"), scene.acts);
-        assertTrue(before.cancelWanted && !after.cancelWanted);
+        Attempt before = fixture.newRequestSentTo(runner).attempts.get(0);
+        Attempt after = new Attempt(fixture.newRequest(), runner, DispatcherFixture.at(600), 1, 0);
+        runner.inFlight.add(after);
+        RunnerListEntry back = DispatcherFixture.entry(runner, Runner.Mode.READY, DispatcherFixture.at(500));
+        dispatcher.onRunnerList(DispatcherFixture.at(900), List.of(back), false, false);
+        dispatcher.applyActions(DispatcherFixture.at(900));
+        assertEquals(List.of("cancel"), fixture.actions);
+        assertTrue(before.cancelPlanned && !after.cancelPlanned);
     }
 
     @Test
-    void runnersJustFoundBusyArePassedOverForOthers() {
-        Dispatcher dispatcher = scene.with(8);
-        dispatcher.probing.runningTime = 1;
-        dispatcher.runners.subList(1, 8).forEach(r -> r.busyAt = Scene.at(0));
+    void runnersRecentlyFoundBusyAreAvoided() {
+        Dispatcher dispatcher = fixture.createWithRunners(8);
+        dispatcher.probing.runTime = 1;
+        dispatcher.runners.subList(1, 8).forEach(runner -> runner.foundBusyAt = DispatcherFixture.at(0));
         Runner other = dispatcher.runners.get(0);
-        scene.arrives(scene.assignment());
-        assertEquals(List.of(other), scene.probes);
-        scene.finds(3);
-        assertEquals(Scene.at(5), other.busyAt);
-        dispatcher.probing.lambdaSeen = 1;
-        assertTrue(drawnOf(List.of(other)) < 50, "with nearly all busy the draw is as before");
+        fixture.sendRequest(fixture.newRequest());
+        assertEquals(List.of(other), fixture.probes);
+        fixture.answerLastProbe(3);
+        assertEquals(DispatcherFixture.at(5), other.foundBusyAt);
+        dispatcher.probing.observedLambda = 1;
+        assertTrue(countFirstProbesOf(List.of(other)) < 50, "with nearly all busy the draw is as before");
     }
 
     @Test
-    void theSilenceOfSomeIsHeldAgainstTheirZoneUntilOneOfItIsHeard() {
-        Dispatcher dispatcher = scene.with(40);
+    void zoneOfUnresponsiveRunnersIsAvoidedUntilOneResponds() {
+        Dispatcher dispatcher = fixture.createWithRunners(40);
         List<Runner> lost = List.copyOf(dispatcher.runners.subList(0, 20));
-        lost.forEach(r -> r.zone = "lost");
-        lost.subList(0, 15).forEach(r -> dispatcher.probed(Scene.at(500), r, false, Scene.at(500), null));
-        assertTrue(drawnOf(lost) <= 10, "5 of 25 that are not silent, beside 20 elsewhere");
-        dispatcher.probed(Scene.at(600), lost.get(15), true, Scene.at(5), Scene.queue(0));
-        assertTrue(drawnOf(lost) > 10);
+        lost.forEach(runner -> runner.zone = "lost");
+        lost.subList(0, 15)
+                .forEach(runner -> dispatcher.onProbeResult(
+                        DispatcherFixture.at(500), runner, false, DispatcherFixture.at(500), null));
+        assertTrue(countFirstProbesOf(lost) <= 10, "5 of 25 that are not silent, beside 20 elsewhere");
+        dispatcher.onProbeResult(
+                DispatcherFixture.at(600),
+                lost.get(15),
+                true,
+                DispatcherFixture.at(5),
+                DispatcherFixture.queueReport(0));
+        assertTrue(countFirstProbesOf(lost) > 10);
     }
 
     /** How many of 100 assignments ask one of these first. */
-    private long drawnOf(List<Runner> these) {
-        int before = scene.probes.size();
+    private long countFirstProbesOf(List<Runner> candidates) {
+        int before = fixture.probes.size();
         for (int i = 0; i < 100; i++) {
-            scene.arrives(new Assignment(scene.workload, Scene.at(0), scene.workload.patience));
+            fixture.sendRequest(new Request(fixture.workload, DispatcherFixture.at(0), fixture.workload.clientTimeout));
         }
-        return scene.probes.subList(before, scene.probes.size()).stream()
-                .filter(these::contains)
+        return fixture.probes.subList(before, fixture.probes.size()).stream()
+                .filter(candidates::contains)
                 .count();
     }
 
     @Test
-    void whatIsMovedIsNoFailureAndIsNotRationed() {
-        Dispatcher dispatcher = scene.with(4);
+    void movedAttemptIsNoFailureAndNotLimited() {
+        Dispatcher dispatcher = fixture.createWithRunners(4);
         for (int i = 0; i < 40; i++) {
-            dispatcher.further.add(false);
+            dispatcher.retries.add(false);
         }
-        Assignment a = scene.sentTo(dispatcher.runners.get(0));
-        dispatcher.ended(Scene.at(10), a.dispatches.get(0), Outcome.CANCELLED, false, null);
-        dispatcher.settle(Scene.at(10));
-        assertEquals(List.of("probe"), scene.acts);
+        Request request = fixture.newRequestSentTo(dispatcher.runners.get(0));
+        dispatcher.onAttemptEnd(DispatcherFixture.at(10), request.attempts.get(0), Outcome.CANCELLED, false, null);
+        dispatcher.applyActions(DispatcherFixture.at(10));
+        assertEquals(List.of("probe"), fixture.actions);
     }
 
     @Test
-    void onlyAFirstSendingOfWhatMayRunTwiceTriesARunnerSetAside() {
+    void onlyFirstAttemptsOfPureWorkTryAnEjectedRunner() {
         Workload receipted = new Workload();
-        receipted.repeat = Workload.Repeat.RECEIPTED;
-        receipted.promised = scene.workload.promised;
-        receipted.patience = scene.workload.patience;
-        scene.orders.workloads.add(receipted);
-        Dispatcher dispatcher = scene.with(3);
-        Runner aside = dispatcher.runners.get(0);
-        aside.trickle = Scene.at(1);
+        receipted.repeatSafety = Workload.RepeatSafety.RECEIPTED;
+        receipted.targetLatency = fixture.workload.targetLatency;
+        receipted.clientTimeout = fixture.workload.clientTimeout;
+        fixture.settings.workloads.add(receipted);
+        Dispatcher dispatcher = fixture.createWithRunners(3);
+        Runner ejected = dispatcher.runners.get(0);
+        ejected.trialInterval = DispatcherFixture.at(1);
         for (int i = 0; i < 20; i++) {
-            scene.arrives(new Assignment(receipted, Scene.at(0), receipted.patience));
+            fixture.sendRequest(new Request(receipted, DispatcherFixture.at(0), receipted.clientTimeout));
         }
-        assertFalse(scene.probes.contains(aside));
-        assertTrue(drawnOf(List.of(aside)) > 0);
+        assertFalse(fixture.probes.contains(ejected));
+        assertTrue(countFirstProbesOf(List.of(ejected)) > 0);
     }
 
     @Test
-    void whereSomeErrReceiptedWorkGoesToRunnersThatHaveDoneWellOfLate() {
-        scene.workload.repeat = Workload.Repeat.RECEIPTED;
-        Dispatcher dispatcher = scene.with(6);
+    void receiptedWorkPrefersRecentlySuccessfulRunnersWhileOthersFail() {
+        fixture.workload.repeatSafety = Workload.RepeatSafety.RECEIPTED;
+        Dispatcher dispatcher = fixture.createWithRunners(6);
         List<Runner> runners = List.copyOf(dispatcher.runners);
-        runners.get(0).trickle = Scene.at(100_000);
-        runners.get(0).trickleAt = Scene.at(100_000);
+        runners.get(0).trialInterval = DispatcherFixture.at(100_000);
+        runners.get(0).nextTrialAt = DispatcherFixture.at(100_000);
         runners.get(1).failures.add(true);
         List.of(2, 3).forEach(i -> runners.get(i).failures.add(false));
-        assertEquals(100, drawnOf(runners.subList(2, 4)));
-        scene.with(6);
-        assertTrue(drawnOf(List.copyOf(scene.dispatcher.runners.subList(2, 4))) < 60, "none errs: all alike");
+        assertEquals(100, countFirstProbesOf(runners.subList(2, 4)));
+        fixture.createWithRunners(6);
+        assertTrue(
+                countFirstProbesOf(List.copyOf(fixture.dispatcher.runners.subList(2, 4))) < 60, "none errs: all alike");
     }
 
     @Test
-    void aPureJobLeavesARunnerThatAnswersNothingThoughNoneIsIdle() {
-        scene.orders.progressEvery = Duration.ofSeconds(1);
-        Dispatcher dispatcher = scene.with(2);
-        Dispatch d = scene.sentTo(dispatcher.runners.get(0)).dispatches.get(0);
-        dispatcher.started(Scene.at(0), d);
-        dispatcher.probed(Scene.at(500), d.runner, false, Scene.at(500), null);
-        dispatcher.probing.lambdaSeen = 1;
-        dispatcher.woken(Scene.at(3000), d.assignment);
-        dispatcher.settle(Scene.at(3000));
-        assertEquals(List.of("cancel"), scene.acts);
+    void pureRequestLeavesAnUnresponsiveRunnerEvenIfNoneIsIdle() {
+        fixture.settings.progressInterval = Duration.ofSeconds(1);
+        Dispatcher dispatcher = fixture.createWithRunners(2);
+        Attempt attempt =
+                fixture.newRequestSentTo(dispatcher.runners.get(0)).attempts.get(0);
+        dispatcher.onStarted(DispatcherFixture.at(0), attempt);
+        dispatcher.onProbeResult(DispatcherFixture.at(500), attempt.runner, false, DispatcherFixture.at(500), null);
+        dispatcher.probing.observedLambda = 1;
+        dispatcher.onTimer(DispatcherFixture.at(3000), attempt.request);
+        dispatcher.applyActions(DispatcherFixture.at(3000));
+        assertEquals(List.of("cancel"), fixture.actions);
     }
 
     @Test
-    void aRunnerThatWasSilentIsPassedOverUntilItIsHeard() {
-        Dispatcher dispatcher = scene.with(2);
-        Assignment first = scene.assignment();
-        scene.arrives(first);
-        Runner silent = scene.probes.get(0);
-        dispatcher.probed(Scene.at(500), silent, false, Scene.at(500), null);
-        assertEquals(0, drawnOf(List.of(silent)));
-        dispatcher.progressed(Scene.at(520), scene.sentTo(silent).dispatches.get(0));
-        assertFalse(silent.isSilent(Scene.at(520)));
+    void unresponsiveRunnerIsAvoidedUntilItResponds() {
+        Dispatcher dispatcher = fixture.createWithRunners(2);
+        Request first = fixture.newRequest();
+        fixture.sendRequest(first);
+        Runner silent = fixture.probes.get(0);
+        dispatcher.onProbeResult(DispatcherFixture.at(500), silent, false, DispatcherFixture.at(500), null);
+        assertEquals(0, countFirstProbesOf(List.of(silent)));
+        dispatcher.onProgress(
+                DispatcherFixture.at(520),
+                fixture.newRequestSentTo(silent).attempts.get(0));
+        assertFalse(silent.isUnresponsive(DispatcherFixture.at(520)));
     }
 
     @Test
-    void aRunnerThatErrsIsSetAsideAndComesBackByATrickle() {
-        Dispatcher dispatcher = scene.with(4);
+    void failingRunnerIsEjectedAndReturnsThroughTrials() {
+        Dispatcher dispatcher = fixture.createWithRunners(4);
         Runner runner = dispatcher.runners.get(0);
         for (int i = 0; i < 2; i++) {
-            Assignment a = scene.sentTo(runner);
-            dispatcher.ended(Scene.at(10), a.dispatches.get(0), Outcome.ERROR, false, null);
+            Request request = fixture.newRequestSentTo(runner);
+            dispatcher.onAttemptEnd(DispatcherFixture.at(10), request.attempts.get(0), Outcome.ERROR, false, null);
         }
-        assertTrue(runner.trickle != null && runner.trickleAt.compareTo(Scene.at(10)) > 0);
-        for (int i = 0; i < 8 && runner.trickle != null; i++) {
-            Assignment a = scene.sentTo(runner);
-            dispatcher.ended(Scene.at(20), a.dispatches.get(0), Outcome.FULFILLED, true, null);
+        assertTrue(runner.trialInterval != null && runner.nextTrialAt.compareTo(DispatcherFixture.at(10)) > 0);
+        for (int i = 0; i < 8 && runner.trialInterval != null; i++) {
+            Request request = fixture.newRequestSentTo(runner);
+            dispatcher.onAttemptEnd(DispatcherFixture.at(20), request.attempts.get(0), Outcome.FULFILLED, true, null);
         }
-        assertEquals(null, runner.trickle);
+        assertEquals(null, runner.trialInterval);
     }
 
     @Test
-    void aRunnerThatTurnsAWorkloadAwayWhileIdleIsPassedOverForThatWorkloadOnly() {
-        Dispatcher dispatcher = scene.with(2);
+    void runnerThatRejectsAWorkloadWhileIdleIsAvoidedForThatWorkloadOnly() {
+        Dispatcher dispatcher = fixture.createWithRunners(2);
         Runner runner = dispatcher.runners.get(0);
-        dispatcher.ended(Scene.at(0), scene.sentTo(runner).last(), Outcome.TURNED_AWAY, true, null);
+        dispatcher.onAttemptEnd(
+                DispatcherFixture.at(0),
+                fixture.newRequestSentTo(runner).lastAttempt(),
+                Outcome.TURNED_AWAY,
+                true,
+                null);
         for (int i = 0; i < 10; i++) {
-            scene.arrives(scene.assignment());
-            assertNotSame(runner, scene.probes.get(i));
+            fixture.sendRequest(fixture.newRequest());
+            assertNotSame(runner, fixture.probes.get(i));
         }
-        assertFalse(runner.refuses(Scene.at(0), new Workload()));
-        assertEquals(null, runner.trickle);
-        assertFalse(runner.refuses(Scene.at(1500), scene.workload), "tried again after a quarter of the patience");
+        assertFalse(runner.isRejecting(DispatcherFixture.at(0), new Workload()));
+        assertEquals(null, runner.trialInterval);
+        assertFalse(
+                runner.isRejecting(DispatcherFixture.at(1500), fixture.workload),
+                "tried again after a quarter of the patience");
     }
 
     @Test
-    void whatIsLostGoesAgainWhileHalfOfThoseSucceedAndAMoveIsNoFailure() {
-        Dispatcher dispatcher = scene.with(2);
+    void lostRequestIsRetriedWhileHalfOfRetriesSucceedAndAMoveIsNoFailure() {
+        Dispatcher dispatcher = fixture.createWithRunners(2);
         for (int i = 0; i < 20; i++) {
-            dispatcher.further.add(i % 2 == 0);
-            Assignment moved = scene.sentTo(dispatcher.runners.get(0));
-            moved.dispatches.add(new Dispatch(moved, dispatcher.runners.get(1), Scene.at(0), 1, 0));
-            dispatcher.ended(Scene.at(1), moved.last(), Outcome.CANCELLED, true, null);
-            Assignment a = scene.sentTo(dispatcher.runners.get(0));
-            dispatcher.ended(Scene.at(1), a.last(), Outcome.BROKEN, false, null);
-            assertEquals(null, a.wantedAnswer);
+            dispatcher.retries.add(i % 2 == 0);
+            Request moved = fixture.newRequestSentTo(dispatcher.runners.get(0));
+            moved.attempts.add(new Attempt(moved, dispatcher.runners.get(1), DispatcherFixture.at(0), 1, 0));
+            dispatcher.onAttemptEnd(DispatcherFixture.at(1), moved.lastAttempt(), Outcome.CANCELLED, true, null);
+            Request request = fixture.newRequestSentTo(dispatcher.runners.get(0));
+            dispatcher.onAttemptEnd(DispatcherFixture.at(1), request.lastAttempt(), Outcome.BROKEN, false, null);
+            assertEquals(null, request.plannedResponse);
         }
     }
 
     @Test
-    void whatCannotBeInTimeIsShedAtOnce() {
-        Dispatcher dispatcher = scene.with(1);
+    void requestThatCannotMeetItsTargetIsShedAtOnce() {
+        Dispatcher dispatcher = fixture.createWithRunners(1);
         dispatcher.waitPerLoad = 0.5;
-        Assignment a = scene.assignment();
-        scene.arrives(a);
-        scene.finds(3);
-        assertEquals(List.of("probe", "shed"), scene.acts);
+        Request request = fixture.newRequest();
+        fixture.sendRequest(request);
+        fixture.answerLastProbe(3);
+        assertEquals(List.of("probe", "shed"), fixture.actions);
     }
 
     @Test
-    void aFirstTryOfAnImpatientClientIsNotTakenForALateOne() {
-        scene.orders.repeatsMarked = true;
-        scene.orders.tellsStart = false; // so that what the test sends does not count as waiting
-        scene.with(1).waitPerLoad = 0.35;
-        scene.arrives(scene.assignment()); // this one waits 6 s
-        scene.finds(1);
+    void firstTryWithAShortClientTimeoutIsNotTakenForARetry() {
+        fixture.settings.retriesMarked = true;
+        fixture.settings.reportsStart = false; // so that what the test sends does not count as waiting
+        fixture.createWithRunners(1).waitPerLoad = 0.35;
+        fixture.sendRequest(fixture.newRequest()); // this one waits 6 s
+        fixture.answerLastProbe(1);
         for (double queue : new double[] {0, 1}) { // 0.35 s to wait are too long for these, not for the promised time
-            scene.arrives(new Assignment(scene.workload, Scene.at(0), Scene.at(300)));
-            scene.finds(queue);
+            fixture.sendRequest(new Request(fixture.workload, DispatcherFixture.at(0), DispatcherFixture.at(300)));
+            fixture.answerLastProbe(queue);
         }
-        assertEquals(List.of("probe", "dispatch", "probe", "dispatch", "probe", "shed"), scene.acts);
+        assertEquals(List.of("probe", "dispatch", "probe", "dispatch", "probe", "shed"), fixture.actions);
     }
 
     @Test
-    void whatWouldRunOnWhenTheDispatcherEndsIsShedBeforeItBegins() {
-        scene.workload.lateImportance = 0.5;
-        Dispatcher dispatcher = scene.with(1);
-        dispatcher.ended(Scene.at(3000), scene.sentTo(dispatcher.runners.get(0)).last(), Outcome.FULFILLED, true, null);
-        scene.orders.endsAt = Scene.at(6000);
-        scene.arrives(scene.assignment());
-        scene.finds(0);
-        assertEquals(List.of("probe", "dispatch"), scene.acts);
-        scene.orders.endsAt = Scene.at(2000);
-        scene.arrives(scene.assignment());
-        scene.finds(0);
-        assertEquals("shed", scene.acts.get(scene.acts.size() - 1));
+    void requestThatWouldOutliveTheDispatcherIsShed() {
+        fixture.workload.lateImportance = 0.5;
+        Dispatcher dispatcher = fixture.createWithRunners(1);
+        dispatcher.onAttemptEnd(
+                DispatcherFixture.at(3000),
+                fixture.newRequestSentTo(dispatcher.runners.get(0)).lastAttempt(),
+                Outcome.FULFILLED,
+                true,
+                null);
+        fixture.settings.shutdownAt = DispatcherFixture.at(6000);
+        fixture.sendRequest(fixture.newRequest());
+        fixture.answerLastProbe(0);
+        assertEquals(List.of("probe", "dispatch"), fixture.actions);
+        fixture.settings.shutdownAt = DispatcherFixture.at(2000);
+        fixture.sendRequest(fixture.newRequest());
+        fixture.answerLastProbe(0);
+        assertEquals("shed", fixture.actions.get(fixture.actions.size() - 1));
     }
 
     @Test
-    void ourOwnWaitingJobsAreTheLeastThatAReportedQueueCountsAs() {
-        scene.orders.dispatchers = 3;
-        Dispatcher dispatcher = scene.with(1);
+    void reportedQueueCountsAtLeastOwnWaitingAttemptsOfEachDispatcher() {
+        fixture.settings.dispatcherCount = 3;
+        Dispatcher dispatcher = fixture.createWithRunners(1);
         Runner runner = dispatcher.runners.get(0);
-        runner.report = Scene.queue(1);
-        scene.sentTo(runner);
+        runner.report = DispatcherFixture.queueReport(1);
+        fixture.newRequestSentTo(runner);
         assertEquals(3, dispatcher.load(runner));
     }
 
     @Test
-    void whatStillWaitsWhenItsPromisedTimeIsOutOfReachIsCalledOffAndShed() {
-        Dispatcher dispatcher = scene.with(1);
-        Assignment a = scene.sentTo(dispatcher.runners.get(0));
-        dispatcher.arrived(Scene.at(0), a);
-        dispatcher.woken(Scene.at(1000), a);
-        dispatcher.settle(Scene.at(1000));
-        assertEquals(List.of("shed", "cancel"), scene.acts);
+    void waitingRequestIsCancelledAndShedOnceItsTargetIsOutOfReach() {
+        Dispatcher dispatcher = fixture.createWithRunners(1);
+        Request request = fixture.newRequestSentTo(dispatcher.runners.get(0));
+        dispatcher.onRequest(DispatcherFixture.at(0), request);
+        dispatcher.onTimer(DispatcherFixture.at(1000), request);
+        dispatcher.applyActions(DispatcherFixture.at(1000));
+        assertEquals(List.of("shed", "cancel"), fixture.actions);
     }
 
     @Test
-    void aRunnerTooSlowForTheJobIsProbedOnlyWhenNoOtherIsLeft() {
-        Dispatcher dispatcher = scene.with(6);
+    void tooSlowRunnerIsProbedOnlyIfNoOtherIsLeft() {
+        Dispatcher dispatcher = fixture.createWithRunners(6);
         Runner slow = dispatcher.runners.get(2);
-        Assignment done = scene.sentTo(dispatcher.runners.get(0));
-        dispatcher.ended(Scene.at(1000), done.dispatches.get(0), Outcome.FULFILLED, true, null);
+        Request done = fixture.newRequestSentTo(dispatcher.runners.get(0));
+        dispatcher.onAttemptEnd(DispatcherFixture.at(1000), done.attempts.get(0), Outcome.FULFILLED, true, null);
         for (int i = 0; i < 12; i++) {
-            dispatcher.runners.forEach(r -> r.pace.add(r == slow ? 4 : 1, 1, 4));
+            dispatcher.runners.forEach(runner -> runner.runTimeRatio.add(runner == slow ? 4 : 1, 1, 4));
         }
         for (int i = 0; i < 20; i++) {
-            scene.arrives(scene.assignment());
+            fixture.sendRequest(fixture.newRequest());
         }
-        assertFalse(scene.probes.contains(slow));
+        assertFalse(fixture.probes.contains(slow));
     }
 
     @Test
-    void aSharedSlowdownTellsOfRunnersNotHeardOfSince() {
-        Dispatcher dispatcher = scene.with(2);
+    void sharedSlowdownAppliesToRunnersWithoutRecentData() {
+        Dispatcher dispatcher = fixture.createWithRunners(2);
         for (int i = 0; i < 40; i++) {
-            Assignment a = scene.sentTo(dispatcher.runners.get(i < 20 ? 0 : 1));
-            dispatcher.ended(Scene.at(i < 20 ? 400 : 1200), a.dispatches.get(0), Outcome.FULFILLED, true, null);
+            Request request = fixture.newRequestSentTo(dispatcher.runners.get(i < 20 ? 0 : 1));
+            dispatcher.onAttemptEnd(
+                    DispatcherFixture.at(i < 20 ? 400 : 1200), request.attempts.get(0), Outcome.FULFILLED, true, null);
         }
-        assertTrue(dispatcher.pace(Scene.at(1200), dispatcher.runners.get(0)) > 1.3);
+        assertTrue(dispatcher.runTimeRatio(DispatcherFixture.at(1200), dispatcher.runners.get(0)) > 1.3);
     }
 
     @Test
-    void aStartToldTogetherWithTheEndLeavesAFinitePace() {
-        Dispatcher dispatcher = scene.with(1);
-        Dispatch d = scene.sentTo(dispatcher.runners.get(0)).dispatches.get(0);
-        dispatcher.started(Scene.at(900), d);
-        dispatcher.ended(Scene.at(900), d, Outcome.FULFILLED, true, null);
-        assertEquals(1, dispatcher.pace(Scene.at(900), d.runner), 0.01);
+    void startReportedTogetherWithTheEndGivesAFiniteRatio() {
+        Dispatcher dispatcher = fixture.createWithRunners(1);
+        Attempt attempt =
+                fixture.newRequestSentTo(dispatcher.runners.get(0)).attempts.get(0);
+        dispatcher.onStarted(DispatcherFixture.at(900), attempt);
+        dispatcher.onAttemptEnd(DispatcherFixture.at(900), attempt, Outcome.FULFILLED, true, null);
+        assertEquals(1, dispatcher.runTimeRatio(DispatcherFixture.at(900), attempt.runner), 0.01);
     }
 
     @Test
-    void noSecondLookWhileMostAreBusy() {
-        scene.workload.lateImportance = 0.5;
-        Dispatcher dispatcher = scene.with(3);
-        dispatcher.probing.lambdaSeen = 0.6;
-        Assignment a = scene.sentTo(dispatcher.runners.get(0));
-        dispatcher.woken(Scene.at(1000), a);
-        dispatcher.settle(Scene.at(1000));
-        assertEquals(List.of(), scene.acts);
+    void noAlternativeIsSoughtWhileMostRunnersAreBusy() {
+        fixture.workload.lateImportance = 0.5;
+        Dispatcher dispatcher = fixture.createWithRunners(3);
+        dispatcher.probing.observedLambda = 0.6;
+        Request request = fixture.newRequestSentTo(dispatcher.runners.get(0));
+        dispatcher.onTimer(DispatcherFixture.at(1000), request);
+        dispatcher.applyActions(DispatcherFixture.at(1000));
+        assertEquals(List.of(), fixture.actions);
     }
 
     @Test
-    void theFirstProgressDatesAStartThatIsNotToldAndTheWaitForIt() {
-        scene.orders.tellsStart = false;
-        scene.orders.progressEvery = Duration.ofSeconds(1);
-        Dispatcher dispatcher = scene.with(1);
-        Dispatch d = scene.sentTo(dispatcher.runners.get(0)).dispatches.get(0);
-        dispatcher.woken(Scene.at(3500), d.assignment); // nothing heard: it may wait there, and is not held silent
-        assertEquals(0, d.runner.failures.count());
+    void firstProgressImpliesTheStartAndWaitOfAnAttempt() {
+        fixture.settings.reportsStart = false;
+        fixture.settings.progressInterval = Duration.ofSeconds(1);
+        Dispatcher dispatcher = fixture.createWithRunners(1);
+        Attempt attempt =
+                fixture.newRequestSentTo(dispatcher.runners.get(0)).attempts.get(0);
+        dispatcher.onTimer(
+                DispatcherFixture.at(3500),
+                attempt.request); // nothing heard: it may wait there, and is not held silent
+        assertEquals(0, attempt.runner.failures.count());
         dispatcher.waitPerLoad = 0.1;
-        d.runner.report = report(Double.NaN, 1);
-        assertTrue(dispatcher.idle(Scene.at(4000), d.runner, 1));
-        dispatcher.progressed(Scene.at(4000), d);
-        assertEquals(Scene.at(3000), d.startedAt);
-        assertFalse(dispatcher.idle(Scene.at(4000), d.runner, 1), "it waited where it was found idle");
+        attempt.runner.report = inFlightReport(Double.NaN, 1);
+        assertTrue(dispatcher.isIdle(DispatcherFixture.at(4000), attempt.runner, 1));
+        dispatcher.onProgress(DispatcherFixture.at(4000), attempt);
+        assertEquals(DispatcherFixture.at(3000), attempt.startedAt);
+        assertFalse(
+                dispatcher.isIdle(DispatcherFixture.at(4000), attempt.runner, 1), "it waited where it was found idle");
     }
 
     /** By its slack of 0.4 s a crossing counts as four loads times its price, though no size is known yet. */
     @Test
-    void aCrossingCountsAsTheWaitThatCostsAsMuch() {
+    void crossZoneSendCountsAsTheWaitOfEqualCost() {
         for (double price : new double[] {0.1, 1.5}) {
-            Scene scene = new Scene();
-            scene.orders.crossZonePrice = price;
-            scene.orders.importanceByWork = true;
-            scene.orders.zone = "home";
-            scene.with(9).waitPerLoad = 0.1;
-            scene.dispatcher.probing.lambdaSeen = 0.9;
+            DispatcherFixture scene = new DispatcherFixture();
+            scene.settings.crossZonePrice = price;
+            scene.settings.importanceByWork = true;
+            scene.settings.zone = "home";
+            scene.createWithRunners(9).waitPerLoad = 0.1;
+            scene.dispatcher.probing.observedLambda = 0.9;
             Runner near = scene.dispatcher.runners.get(4);
             near.zone = "home";
-            scene.arrives(scene.assignment());
-            scene.finds(1);
-            scene.finds(0);
+            scene.sendRequest(scene.newRequest());
+            scene.answerLastProbe(1);
+            scene.answerLastProbe(0);
             assertSame(near, scene.probes.get(0));
-            assertEquals(price > 1, scene.dispatches.get(0).runner == near);
+            assertEquals(price > 1, scene.attempts.get(0).runner == near);
         }
     }
 
     @Test
-    void aRunnerToWhichAConnectionRestsGoesFirst() {
-        scene.orders.handshakePrice = 0.02;
-        scene.orders.importanceByWork = true;
-        scene.orders.idleClose = Scene.at(60_000);
-        scene.with(9).waitPerLoad = 0.1;
-        Runner kept = scene.dispatcher.runners.get(4);
-        kept.rests(Scene.at(0), scene.orders.idleClose);
-        scene.arrives(scene.assignment());
-        assertSame(kept, scene.probes.get(0));
+    void runnerWithAnIdleConnectionIsPreferred() {
+        fixture.settings.handshakePrice = 0.02;
+        fixture.settings.importanceByWork = true;
+        fixture.settings.idleTimeout = DispatcherFixture.at(60_000);
+        fixture.createWithRunners(9).waitPerLoad = 0.1;
+        Runner kept = fixture.dispatcher.runners.get(4);
+        kept.addIdleConnection(DispatcherFixture.at(0), fixture.settings.idleTimeout);
+        fixture.sendRequest(fixture.newRequest());
+        assertSame(kept, fixture.probes.get(0));
     }
 
     /** As seen at valle-alto-subs: connections at rest were dropped unseen, and effectful work sent on one was lost. */
     @Test
-    void aConnectionThatRestsLongerThanOneFoundDroppedIsClosedFirst() {
-        scene.orders.idleClose = Scene.at(60_000);
-        Dispatcher dispatcher = scene.with(1);
+    void connectionIdleForLongerThanADroppedOneIsClosedBeforeUse() {
+        fixture.settings.idleTimeout = DispatcherFixture.at(60_000);
+        Dispatcher dispatcher = fixture.createWithRunners(1);
         Runner runner = dispatcher.runners.get(0);
-        runner.rests(Scene.at(0), scene.orders.idleClose);
-        scene.arrives(scene.assignment());
-        scene.finds(0);
-        dispatcher.ended(Scene.at(6), scene.dispatches.get(0), Outcome.BROKEN, true, null);
-        runner.rests(Scene.at(10), scene.orders.idleClose);
-        dispatcher.arrived(Scene.at(1000), new Assignment(scene.workload, Scene.at(1000), scene.workload.patience));
-        dispatcher.settle(Scene.at(1000));
-        dispatcher.probed(Scene.at(1005), runner, true, Scene.at(5), Scene.queue(0));
-        dispatcher.settle(Scene.at(1005));
-        assertEquals(List.of("probe", "dispatch", "probe", "close", "dispatch"), scene.acts);
+        runner.addIdleConnection(DispatcherFixture.at(0), fixture.settings.idleTimeout);
+        fixture.sendRequest(fixture.newRequest());
+        fixture.answerLastProbe(0);
+        dispatcher.onAttemptEnd(DispatcherFixture.at(6), fixture.attempts.get(0), Outcome.BROKEN, true, null);
+        runner.addIdleConnection(DispatcherFixture.at(10), fixture.settings.idleTimeout);
+        dispatcher.onRequest(
+                DispatcherFixture.at(1000),
+                new Request(fixture.workload, DispatcherFixture.at(1000), fixture.workload.clientTimeout));
+        dispatcher.applyActions(DispatcherFixture.at(1000));
+        dispatcher.onProbeResult(
+                DispatcherFixture.at(1005), runner, true, DispatcherFixture.at(5), DispatcherFixture.queueReport(0));
+        dispatcher.applyActions(DispatcherFixture.at(1005));
+        assertEquals(List.of("probe", "dispatch", "probe", "close", "dispatch"), fixture.actions);
     }
 
     /** As seen at tamebridge-main: handshakes were slow everywhere, and most of the fleet was set aside for it. */
     @Test
-    void noRunnerIsAtFaultWhileConnectionsFailWithMany() {
-        scene.with(9);
-        for (Runner r : List.copyOf(scene.dispatcher.runners)) {
+    void runnersAreNotEjectedWhileConnectionsFailEverywhere() {
+        fixture.createWithRunners(9);
+        for (Runner runner : List.copyOf(fixture.dispatcher.runners)) {
             for (int i = 0; i < 2; i++) {
-                Assignment a = scene.sentTo(r);
-                scene.dispatcher.ended(Scene.at(9), a.last(), Outcome.NOT_CONNECTED, false, null);
+                Request request = fixture.newRequestSentTo(runner);
+                fixture.dispatcher.onAttemptEnd(
+                        DispatcherFixture.at(9), request.lastAttempt(), Outcome.NOT_CONNECTED, false, null);
             }
         }
-        assertTrue(scene.dispatcher.runners.stream()
-                        .filter(r -> r.trickle == null && !r.isSilent(Scene.at(10)))
+        assertTrue(fixture.dispatcher.runners.stream()
+                        .filter(runner ->
+                                runner.trialInterval == null && !runner.isUnresponsive(DispatcherFixture.at(10)))
                         .count()
                 > 4);
     }
 
     @Test
-    void inALastingOverloadLateWorkIsShedByThePartThatItWouldNotEarn() {
-        scene.workload.lateImportance = 0.3;
-        Dispatcher dispatcher = scene.with(2);
+    void inALastingOverloadLateWorkIsShedByTheShareOfLostValue() {
+        fixture.workload.lateImportance = 0.3;
+        Dispatcher dispatcher = fixture.createWithRunners(2);
         dispatcher.waitPerLoad = 1;
-        Assignment a = scene.assignment();
-        for (double luck : new double[] {0.2, 0.4}) {
-            a.luck = luck;
-            dispatcher.probing.lambdaSeen = 0.9;
-            assertFalse(dispatcher.late(Scene.at(0), a, dispatcher.runners.get(0), 9));
-            dispatcher.probing.lambdaSeen = 0.99;
-            assertEquals(luck > 0.3, dispatcher.late(Scene.at(0), a, dispatcher.runners.get(0), 9));
+        Request request = fixture.newRequest();
+        for (double draw : new double[] {0.2, 0.4}) {
+            request.randomDraw = draw;
+            dispatcher.probing.observedLambda = 0.9;
+            assertFalse(dispatcher.isLate(DispatcherFixture.at(0), request, dispatcher.runners.get(0), 9));
+            dispatcher.probing.observedLambda = 0.99;
+            assertEquals(draw > 0.3, dispatcher.isLate(DispatcherFixture.at(0), request, dispatcher.runners.get(0), 9));
         }
     }
 
     @Test
-    void freeWorkYieldsToBoundWorkThatEarnsMoreAndAKeyIsSoughtAtItsHomes() {
-        Workload bound = new Workload();
-        bound.importance = 3;
-        bound.kinds.add("any");
-        scene.orders.workloads.add(bound);
-        scene.orders.importanceByWork = true;
-        scene.with(9);
+    void unrestrictedWorkYieldsToValuableRestrictedWorkAndKeysGoToTheirHomes() {
+        Workload restricted = new Workload();
+        restricted.importance = 3;
+        restricted.machineTypes.add("any");
+        fixture.settings.workloads.add(restricted);
+        fixture.settings.importanceByWork = true;
+        fixture.createWithRunners(9);
         Runner other = new Runner();
         Runner home = new Runner();
         for (home.hash = 1; !Keys.isHome(7, home.hash, 0.01); home.hash++) {
             assertFalse(Keys.isHome(7, home.hash, 0));
         }
-        scene.dispatcher.listed(
-                Scene.at(1),
+        fixture.dispatcher.onRunnerList(
+                DispatcherFixture.at(1),
                 List.of(
-                        new Sighting(other, "other", "here", 1, Runner.Mode.READY, 0, null),
-                        new Sighting(home, "any", "here", 1, Runner.Mode.READY, 0, null)),
+                        new RunnerListEntry(other, "other", "here", 1, Runner.Mode.READY, 0, null),
+                        new RunnerListEntry(home, "any", "here", 1, Runner.Mode.READY, 0, null)),
                 false,
                 false);
-        scene.arrives(scene.assignment());
-        assertSame(other, scene.probes.get(0));
-        bound.importance = 0.5;
-        Assignment a = scene.assignment();
-        a.key = 7;
-        scene.arrives(a);
-        assertTrue(Keys.isHome(7, scene.probes.get(1).hash, 0.6));
+        fixture.sendRequest(fixture.newRequest());
+        assertSame(other, fixture.probes.get(0));
+        restricted.importance = 0.5;
+        Request request = fixture.newRequest();
+        request.affinityKey = 7;
+        fixture.sendRequest(request);
+        assertTrue(Keys.isHome(7, fixture.probes.get(1).hash, 0.6));
     }
 
-    private static LoadReport report(double inFlight, double free) {
+    private static LoadReport inFlightReport(double inFlight, double free) {
         return new LoadReport(Double.NaN, inFlight, free, Double.NaN, Double.NaN);
     }
 }
--- a/daemon/src/main/java/saltdale/Main.java
+++ b/daemon/src/main/java/saltdale/Main.java
@@ -1,8 +1,8 @@
 package saltdale;
 
 import java.io.IOException;
-import saltdale.orders.MalformedInput;
 import saltdale.program.Serve;
+import saltdale.settings.MalformedInputException;
 import saltdale.sim.SimHost;
 
 /** The command line: one subcommand for each way in which the decisions are served. */
@@ -33,7 +33,7 @@
         try {
             new SimHost(System.in, System.out).run();
             return 0;
-        } catch (MalformedInput e) {
+        } catch (MalformedInputException e) {
             System.err.println("saltdale: " + e.getMessage());
         } catch (IOException e) {
             System.err.println("saltdale: standard input or output failed: " + e.getMessage());
--- a/daemon/src/main/java/saltdale/program/Posting.java
+++ b/daemon/src/main/java/saltdale/program/Posting.java
@@ -9,13 +9,13 @@
 import java.nio.file.Path;
 import java.time.Duration;
 import java.util.Map;
-import saltdale.model.Relief;
-import saltdale.model.Spans;
-import saltdale.model.StandingOrders;
-import saltdale.orders.Fields;
-import saltdale.orders.MalformedInput;
-import saltdale.orders.OrdersReader;
+import saltdale.model.DispatcherSettings;
+import saltdale.model.Durations;
+import saltdale.model.OverloadSettings;
 import saltdale.protocol.HostList;
+import saltdale.settings.JsonFields;
+import saltdale.settings.MalformedInputException;
+import saltdale.settings.SettingsReader;
 import saltdale.transport.Address;
 
 /** Where a dispatcher is posted, and what it is told there: from its environment and EDGE_CONFIG. */
@@ -28,71 +28,71 @@
     final InetSocketAddress discovery;
     final long seed;
     final int sockets;
-    final StandingOrders orders;
+    final DispatcherSettings orders;
     /** The settings of another shape, to be watched beside these; null where there are none. */
-    final StandingOrders preview;
+    final DispatcherSettings preview;
 
     final Duration idleClose;
     /** Null where no list was known. */
     final HostList known;
 
-    private Posting(Map<String, String> environment, Fields config, HostList known) {
+    private Posting(Map<String, String> environment, JsonFields config, HostList known) {
         this.name = required(environment, "EDGE_NAME");
         this.listen = address(environment, "EDGE_LISTEN");
         // The file may have been replaced since the start, the environment can't be.
-        String moved = config.text("discovery", null);
+        String moved = config.string("discovery", null);
         this.discovery =
                 moved == null ? address(environment, "EDGE_DISCOVERY") : address(moved, "EDGE_CONFIG: discovery");
-        String bits = config.text("seed", "");
+        String bits = config.string("seed", "");
         if (!bits.matches("[0-9a-fA-F]{1,16}")) {
-            throw config.wrong("seed", "a hexadecimal number of 64 bits");
+            throw config.invalid("seed", "a hexadecimal number of 64 bits");
         }
         this.seed = Long.parseUnsignedLong(bits, 16);
-        this.sockets = config.object("limits").whole("sockets", 1024);
-        Fields settings = config.object("settings");
-        this.orders = OrdersReader.read(settings);
+        this.sockets = config.object("limits").integer("sockets", 1024);
+        JsonFields settings = config.object("settings");
+        this.orders = SettingsReader.read(settings);
         if (orders.workloads.isEmpty()) {
-            throw settings.wrong("Workloads", "a list of workloads");
+            throw settings.invalid("Workloads", "a list of workloads");
         }
-        Fields limits = settings.object("Limits");
-        if (orders.connectTime.isZero()) {
-            throw limits.wrong("DialTimeout", "a span over 0");
+        JsonFields limits = settings.object("Limits");
+        if (orders.connectTimeout.isZero()) {
+            throw limits.invalid("DialTimeout", "a span over 0");
         }
-        this.idleClose = orders.idleClose;
-        orders.relief = config.has("overload") ? relief(config.object("overload")) : null;
-        orders.round = Spans.most(orders.round, TIMERS);
+        this.idleClose = orders.idleTimeout;
+        orders.overload = config.has("overload") ? relief(config.object("overload")) : null;
+        orders.roundInterval = Durations.max(orders.roundInterval, TIMERS);
         this.preview = config.has("preview") ? preview(settings, config.object("preview")) : null;
         this.known = known;
     }
 
     /** How an overload is met, where the file has a table for it, be it an empty one. */
-    private static Relief relief(Fields table) {
-        Relief usual = Relief.USUAL;
-        table.only("low", "high", "borne", "missed", "step", "known");
-        Relief relief = new Relief(
-                table.least("low", usual.low(), 0),
-                table.least("high", usual.high(), 0),
-                table.least("borne", usual.borne(), 0),
-                table.least("missed", usual.missed(), 0),
-                table.span("step", usual.step()),
-                (int) table.least("known", usual.known(), 1));
-        if (relief.high() <= relief.low()) {
-            throw table.wrong("high", "over low");
-        } else if (relief.borne() == 0 || relief.borne() > 1) {
-            throw table.wrong("borne", "over 0 and at most 1");
-        } else if (relief.step().compareTo(TIMERS) < 0) {
-            throw table.wrong("step", "a span in microseconds of at least 1000");
+    private static OverloadSettings relief(JsonFields table) {
+        OverloadSettings usual = OverloadSettings.DEFAULTS;
+        table.rejectUnknownKeys("low", "high", "borne", "missed", "step", "known");
+        OverloadSettings relief = new OverloadSettings(
+                table.numberAtLeast("low", usual.lowWaitShare(), 0),
+                table.numberAtLeast("high", usual.highWaitShare(), 0),
+                table.numberAtLeast("borne", usual.slackShare(), 0),
+                table.numberAtLeast("missed", usual.tolerableMissShare(), 0),
+                table.duration("step", usual.minChangeInterval()),
+                (int) table.numberAtLeast("known", usual.minCompletions(), 1));
+        if (relief.highWaitShare() <= relief.lowWaitShare()) {
+            throw table.invalid("high", "over low");
+        } else if (relief.slackShare() == 0 || relief.slackShare() > 1) {
+            throw table.invalid("borne", "over 0 and at most 1");
+        } else if (relief.minChangeInterval().compareTo(TIMERS) < 0) {
+            throw table.invalid("step", "a span in microseconds of at least 1000");
         }
         return relief;
     }
 
-    private static StandingOrders preview(Fields settings, Fields preview) {
+    private static DispatcherSettings preview(JsonFields settings, JsonFields preview) {
         for (String key : new String[] {"Workloads", "Projects", "MachineTypes"}) {
             if (preview.has(key)) {
-                throw preview.wrong(key, "to be set here: it is the same in both");
+                throw preview.invalid(key, "to be set here: it is the same in both");
             }
         }
-        return OrdersReader.read(settings.with(preview));
+        return SettingsReader.read(settings.mergedWith(preview));
     }
 
     static Posting read(Map<String, String> environment) {
@@ -103,26 +103,26 @@
         try {
             root = mapper.readTree(Files.readAllBytes(Path.of(file)));
             if (root == null || !root.isObject()) {
-                throw new MalformedInput("EDGE_CONFIG is no JSON object: " + file);
+                throw new MalformedInputException("EDGE_CONFIG is no JSON object: " + file);
             }
             if (root.hasNonNull("known")) {
                 known = HostList.read(mapper.writeValueAsBytes(root.get("known")));
                 if (known == null) {
-                    throw new MalformedInput("EDGE_CONFIG: known is not a list of runners");
+                    throw new MalformedInputException("EDGE_CONFIG: known is not a list of runners");
                 }
             }
         } catch (JsonProcessingException e) {
-            throw new MalformedInput("EDGE_CONFIG is no JSON: " + file);
+            throw new MalformedInputException("EDGE_CONFIG is no JSON: " + file);
         } catch (IOException e) {
-            throw new MalformedInput("EDGE_CONFIG can't be read: " + file);
+            throw new MalformedInputException("EDGE_CONFIG can't be read: " + file);
         }
-        return new Posting(environment, new Fields("EDGE_CONFIG", root), known);
+        return new Posting(environment, new JsonFields("EDGE_CONFIG", root), known);
     }
 
     private static String required(Map<String, String> environment, String variable) {
         String value = environment.get(variable);
         if (value == null || value.isEmpty()) {
-            throw new MalformedInput(variable + " is not set");
+            throw new MalformedInputException(variable + " is not set");
         }
         return value;
     }
@@ -134,7 +134,7 @@
     private static InetSocketAddress address(String text, String name) {
         InetSocketAddress address = Address.parse(text);
         if (address == null) {
-            throw new MalformedInput(name + " is not a numeric address and port");
+            throw new MalformedInputException(name + " is not a numeric address and port");
         }
         return address;
     }
--- a/daemon/src/main/java/saltdale/program/Serve.java
+++ b/daemon/src/main/java/saltdale/program/Serve.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.logging.Logger;
-import saltdale.orders.MalformedInput;
 import saltdale.routing.Router;
+import saltdale.settings.MalformedInputException;
 import saltdale.transport.Listener;
 import saltdale.transport.Loop;
 import saltdale.transport.Sockets;
@@ -25,7 +25,7 @@
         Posting posting;
         try {
             posting = Posting.read(environment);
-        } catch (MalformedInput e) {
+        } catch (MalformedInputException e) {
             errors.println("saltdale: " + e.getMessage());
             return 2;
         }
@@ -79,7 +79,7 @@
                 sockets.most(forConnections(next));
                 router.discoveryAt(next.discovery);
             });
-        } catch (MalformedInput e) {
+        } catch (MalformedInputException e) {
             LOG.warning(() -> "the configuration stays as it was: " + e.getMessage());
         }
     }
--- a/daemon/src/main/java/saltdale/routing/Ending.java
+++ b/daemon/src/main/java/saltdale/routing/Ending.java
@@ -2,8 +2,8 @@
 
 import java.time.Duration;
 import java.util.Collection;
-import saltdale.model.Spans;
-import saltdale.model.StandingOrders;
+import saltdale.model.DispatcherSettings;
+import saltdale.model.Durations;
 import saltdale.serving.Visit;
 import saltdale.transport.Loop;
 import saltdale.transport.Sockets;
@@ -21,13 +21,13 @@
 
     private final Loop loop;
     private final Sockets sockets;
-    private final StandingOrders orders;
+    private final DispatcherSettings orders;
     private boolean begun;
     private boolean quiet; // no new connections come
     private boolean answering;
     private Runnable listening = () -> {}; // ends it; done once
 
-    Ending(Loop loop, Sockets sockets, StandingOrders orders) {
+    Ending(Loop loop, Sockets sockets, DispatcherSettings orders) {
         this.loop = loop;
         this.sockets = sockets;
         this.orders = orders;
@@ -36,8 +36,8 @@
     /** Begins it: by the time that the orders now name, all must have been answered. */
     void begin() {
         begun = true;
-        Duration left = Spans.least(orders.longestPatience(), LONGEST).plus(SERVED);
-        orders.endsAt = loop.now().plus(left);
+        Duration left = Durations.min(orders.maxClientTimeout(), LONGEST).plus(SERVED);
+        orders.shutdownAt = loop.now().plus(left);
         loop.after(NEW_ONES_COME, () -> quiet = true);
         loop.after(left, () -> {
             answering = true;
--- a/daemon/src/main/java/saltdale/routing/Fleet.java
+++ b/daemon/src/main/java/saltdale/routing/Fleet.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.function.Function;
 import saltdale.model.Runner;
-import saltdale.model.Sighting;
+import saltdale.model.RunnerListEntry;
 import saltdale.protocol.HostList;
 import saltdale.transport.Address;
 import saltdale.transport.Pool;
@@ -40,8 +40,8 @@
     }
 
     /** Takes over what discovery says; entries without a usable address are passed over. */
-    List<Sighting> sightings(Duration now, HostList list) {
-        List<Sighting> sightings = new ArrayList<>();
+    List<RunnerListEntry> sightings(Duration now, HostList list) {
+        List<RunnerListEntry> sightings = new ArrayList<>();
         Set<Target> seen = new HashSet<>();
         for (HostList.Host each : list.hosts) {
             Target target = targets.get(each.host());
@@ -65,8 +65,8 @@
                 case REMOVED -> Runner.Mode.GONE;
             };
             Duration startedAt = each.bornMillis() == 0 ? null : Duration.ofMillis(each.bornMillis() - startMillis);
-            sightings.add(
-                    new Sighting(target.runner, each.kind(), each.site(), each.share(), mode, each.block(), startedAt));
+            sightings.add(new RunnerListEntry(
+                    target.runner, each.kind(), each.site(), each.share(), mode, each.block(), startedAt));
         }
         for (Target target : targets.values()) {
             if (list.whole && !seen.contains(target) && target.goneAt == null) {
@@ -81,7 +81,7 @@
         targets.values().removeIf(target -> {
             boolean over = target.goneAt != null
                     && target.runner.mode == Runner.Mode.GONE
-                    && target.runner.out.isEmpty()
+                    && target.runner.inFlight.isEmpty()
                     && now.compareTo(target.goneAt.plus(memory)) > 0;
             if (over) {
                 target.pool.closeIdle();
--- a/daemon/src/main/java/saltdale/routing/Held.java
+++ b/daemon/src/main/java/saltdale/routing/Held.java
@@ -2,8 +2,8 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import saltdale.model.Assignment;
-import saltdale.model.Dispatch;
+import saltdale.model.Attempt;
+import saltdale.model.Request;
 import saltdale.protocol.Head;
 import saltdale.serving.Visit;
 import saltdale.transport.Timer;
@@ -11,7 +11,7 @@
 /** An assignment that is held, with the bytes that came and the client that waits. */
 final class Held {
     final String id;
-    final Assignment assignment;
+    final Request assignment;
     final Head head;
     final byte[] body;
     final List<Sending> sendings = new ArrayList<>(2);
@@ -20,7 +20,7 @@
 
     Timer patience;
 
-    Held(String id, Assignment assignment, Head head, byte[] body, Visit client) {
+    Held(String id, Request assignment, Head head, byte[] body, Visit client) {
         this.id = id;
         this.assignment = assignment;
         this.head = head;
@@ -39,7 +39,7 @@
     }
 
     /** How this dispatch is on its way. */
-    Sending of(Dispatch dispatch) {
-        return sendings.get(assignment.dispatches.indexOf(dispatch));
+    Sending of(Attempt dispatch) {
+        return sendings.get(assignment.attempts.indexOf(dispatch));
     }
 }
--- a/daemon/src/main/java/saltdale/routing/Intake.java
+++ b/daemon/src/main/java/saltdale/routing/Intake.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.function.Predicate;
 import java.util.regex.Pattern;
-import saltdale.model.Assignment;
-import saltdale.model.Spans;
-import saltdale.model.StandingOrders;
+import saltdale.model.DispatcherSettings;
+import saltdale.model.Durations;
+import saltdale.model.Request;
 import saltdale.model.Workload;
 import saltdale.protocol.Head;
 import saltdale.protocol.Load;
@@ -33,7 +33,7 @@
 
     private final Map<String, Workload> workloads = new HashMap<>();
 
-    Intake(StandingOrders orders) {
+    Intake(DispatcherSettings orders) {
         for (Workload workload : orders.workloads) {
             workloads.put(workload.name, workload);
         }
@@ -51,7 +51,7 @@
         } else if (!matches(head.single("Request-Timeout-Ms"), PATIENCE)) {
             return Refusal.malformed("Request-Timeout-Ms");
         } else if (!matches(head.single(RECEIPT), KEY)
-                && (workload.repeat == Workload.Repeat.RECEIPTED || head.header(RECEIPT) != null)) {
+                && (workload.repeatSafety == Workload.RepeatSafety.RECEIPTED || head.header(RECEIPT) != null)) {
             return Refusal.malformed(RECEIPT);
         } else if (held.test(id(head))) {
             return new Refusal(409, "", "this Request-Id is held already");
@@ -64,17 +64,17 @@
     }
 
     /** The assignment that a request with nothing wrong with it hands in; it came at this time, at the earliest. */
-    Assignment assignment(Head head, Duration came) {
+    Request assignment(Head head, Duration came) {
         Workload workload = workload(head);
         // Guards against a patience beyond all measure: where the workload has one, no client waits longer.
-        Duration most = workload.patience.isZero() ? Duration.ofDays(1) : workload.patience;
-        Assignment a = new Assignment(
+        Duration most = workload.clientTimeout.isZero() ? Duration.ofDays(1) : workload.clientTimeout;
+        Request a = new Request(
                 workload,
                 came,
-                Spans.least(Duration.ofMillis(Long.parseLong(head.header("Request-Timeout-Ms"))), most));
-        a.repeated = "1".equals(head.header("Client-Retry"));
+                Durations.min(Duration.ofMillis(Long.parseLong(head.header("Request-Timeout-Ms"))), most));
+        a.markedAsRetry = "1".equals(head.header("Client-Retry"));
         String hint = head.header("Work-Hint"); // microseconds, where clients know
-        a.hint = matches(hint, HINT) ? Spans.least(Duration.ofNanos(1000 * Long.parseLong(hint)), most) : null;
+        a.runTimeHint = matches(hint, HINT) ? Durations.min(Duration.ofNanos(1000 * Long.parseLong(hint)), most) : null;
         Map<String, Double> figures = Load.pairs(head.header("Request-Info"));
         if (figures != null) {
             double slots = figures.getOrDefault("slots", 1.0);
--- a/daemon/src/main/java/saltdale/routing/Router.java
+++ b/daemon/src/main/java/saltdale/routing/Router.java
@@ -13,28 +13,28 @@
 import java.util.logging.Logger;
 import saltdale.decision.Dispatcher;
 import saltdale.decision.Preview;
-import saltdale.model.Assignment;
-import saltdale.model.Dispatch;
-import saltdale.model.Door;
+import saltdale.model.Attempt;
+import saltdale.model.DispatcherActions;
+import saltdale.model.DispatcherSettings;
+import saltdale.model.Durations;
 import saltdale.model.LoadReport;
 import saltdale.model.Outcome;
+import saltdale.model.Request;
 import saltdale.model.Runner;
-import saltdale.model.Spans;
-import saltdale.model.StandingOrders;
-import saltdale.orders.Reports;
-import saltdale.overload.Levels;
+import saltdale.overload.AdmissionControl;
 import saltdale.protocol.Head;
 import saltdale.protocol.HostList;
 import saltdale.protocol.HttpParser;
 import saltdale.protocol.News;
 import saltdale.serving.Visit;
+import saltdale.settings.LoadReportColumns;
 import saltdale.transport.Connection;
 import saltdale.transport.Loop;
 import saltdale.transport.Pool;
 import saltdale.transport.Sockets;
 
 /** Stands between the decisions and the sockets: ids become objects, events calls, and actions messages. */
-public final class Router implements Door, Visit.Host {
+public final class Router implements DispatcherActions, Visit.Host {
     private static final Logger LOG = Logger.getLogger(Router.class.getName());
     private static final double IDLE_PART = 0.8; // of the idle time after which a runner closes a connection
     private static final byte[] NOTHING = new byte[0];
@@ -43,7 +43,7 @@
 
     private final Loop loop;
     private final Sockets sockets;
-    private final StandingOrders orders;
+    private final DispatcherSettings orders;
     private final Intake intake;
     private final Ending ending;
     private final Counters counters = new Counters();
@@ -51,7 +51,7 @@
     private final Discovery discovery;
     private final Dispatcher dispatcher;
     private final Map<String, Held> heldById = new HashMap<>();
-    private final Map<Assignment, Held> held = new HashMap<>();
+    private final Map<Request, Held> held = new HashMap<>();
     private final Set<Visit> clients = new HashSet<>();
     private final List<Runnable> acts = new ArrayList<>();
     private boolean eventful;
@@ -61,7 +61,7 @@
     public Router(
             Loop loop,
             Sockets sockets,
-            StandingOrders orders,
+            DispatcherSettings orders,
             Duration idleClose,
             InetSocketAddress lists,
             long startMillis,
@@ -71,11 +71,11 @@
         this.orders = orders;
         this.intake = new Intake(orders);
         this.ending = new Ending(loop, sockets, orders);
-        Duration idleLimit = Spans.ofSecs(Spans.secs(idleClose) * IDLE_PART);
+        Duration idleLimit = Durations.ofSeconds(Durations.seconds(idleClose) * IDLE_PART);
         fleet = new Fleet(
-                to -> new Pool(loop, sockets, to, orders.connectTime, idleLimit),
+                to -> new Pool(loop, sockets, to, orders.connectTimeout, idleLimit),
                 startMillis,
-                Spans.most(orders.warmWithin, orders.longestPatience()));
+                Durations.max(orders.warmUpTime, orders.maxClientTimeout()));
         discovery = new Discovery(
                 loop,
                 sockets,
@@ -83,7 +83,7 @@
                 counters,
                 chance.split(),
                 list -> listed(list, false),
-                orders.mustSubscribe ? this::listFailed : null);
+                orders.subscribes ? this::listFailed : null);
         dispatcher = new Dispatcher(orders, this, chance);
     }
 
@@ -94,12 +94,12 @@
 
     /** Begins with the list as it was last known; null where there is none. */
     public void begin(HostList known) {
-        dispatcher.began(loop.now());
+        dispatcher.onStart(loop.now());
         if (known != null) {
             discovery.knows(known.seq);
             listed(known, true);
         }
-        if (!orders.mustSubscribe) {
+        if (!orders.subscribes) {
             discovery.follow();
         }
         eventful();
@@ -126,7 +126,7 @@
 
     /** How long a runner may take to answer what it answers at once. */
     Duration answerLimit() {
-        return orders.connectTime;
+        return orders.connectTimeout;
     }
 
     @Override
@@ -154,17 +154,17 @@
     }
 
     public String counted() {
-        Levels levels = dispatcher.levels();
+        AdmissionControl levels = dispatcher.admissionControl();
         return counters.lines(heldById.size(), sockets.open(), loop.exceptions())
                 + (levels == null
                         ? ""
-                        : "overload_level " + levels.level() + "\noverload_level_changes " + levels.changes()
-                                + "\noverload_turned_away " + levels.turnedAway() + "\n")
+                        : "overload_level " + levels.level() + "\noverload_level_changes " + levels.changeCount()
+                                + "\noverload_turned_away " + levels.rejectedCount() + "\n")
                 + (preview == null ? "" : preview.lines());
     }
 
     /** Counts from now on where these settings would have decided otherwise; what is decided stays as it is. */
-    public void preview(StandingOrders other) {
+    public void preview(DispatcherSettings other) {
         preview = new Preview(dispatcher, other);
     }
 
@@ -179,7 +179,7 @@
         if (eventful) {
             eventful = false;
             try {
-                dispatcher.settle(loop.now());
+                dispatcher.applyActions(loop.now());
                 tellLevel();
             } finally {
                 List<Runnable> wished = List.copyOf(acts);
@@ -195,10 +195,10 @@
 
     /** Each change of the level stands in the log with its reason; the terms bound how often that can be. */
     private void tellLevel() {
-        Levels levels = dispatcher.levels();
-        if (levels != null && levels.changes() != levelChanges) {
-            levelChanges = levels.changes();
-            LOG.info(() -> "overload: " + levels.reason());
+        AdmissionControl levels = dispatcher.admissionControl();
+        if (levels != null && levels.changeCount() != levelChanges) {
+            levelChanges = levels.changeCount();
+            LOG.info(() -> "overload: " + levels.lastChange());
         }
     }
 
@@ -248,14 +248,14 @@
             client.answer(503, "", NOTHING);
             return;
         }
-        Assignment a = intake.assignment(head, loop.now().minus(loop.stood()));
+        Request a = intake.assignment(head, loop.now().minus(loop.stood()));
         Held taken = new Held(Intake.id(head), a, head, body, client);
         heldById.put(taken.id, taken);
         held.put(a, taken);
         client.held = taken;
         counters.taken++;
         taken.patience = loop.after(a.deadline.minus(loop.now()), () -> outOfTime(taken));
-        dispatcher.arrived(loop.now(), a);
+        dispatcher.onRequest(loop.now(), a);
         eventful();
     }
 
@@ -291,7 +291,7 @@
     }
 
     private void forgetIfOver(Held done) {
-        if (done.assignment.isOver() && done.client == null && held.remove(done.assignment) != null) {
+        if (done.assignment.isFinished() && done.client == null && held.remove(done.assignment) != null) {
             heldById.remove(done.id);
             done.patience.cancel();
         }
@@ -304,7 +304,7 @@
         if (!ending.hasBegun()) {
             LOG.info(() -> "told to end; " + heldById.size() + " assignments held");
             ending.begin();
-            held.keySet().forEach(a -> dispatcher.woken(loop.now(), a));
+            held.keySet().forEach(a -> dispatcher.onTimer(loop.now(), a));
             eventful();
         }
     }
@@ -331,10 +331,10 @@
         switch (news.state) {
             case STARTED -> {
                 if (sending.dispatch.startedAt == null) { // a runner tells again what we did not seem to hear
-                    dispatcher.started(loop.now(), sending.dispatch);
+                    dispatcher.onStarted(loop.now(), sending.dispatch);
                 }
             }
-            case RUNNING -> dispatcher.progressed(loop.now(), sending.dispatch);
+            case RUNNING -> dispatcher.onProgress(loop.now(), sending.dispatch);
             case FAILED -> sending.end(Outcome.ERROR, report);
             case RETURNED -> sending.end(Outcome.TURNED_AWAY, report);
             case LOST -> sending.end(Outcome.BROKEN, report);
@@ -351,7 +351,7 @@
         Held of = sending.held();
         counters.ended(outcome);
         boolean served = outcome == Outcome.FULFILLED && !of.assignment.closed;
-        dispatcher.ended(loop.now(), sending.dispatch, outcome, of.assignment.closed || served, report);
+        dispatcher.onAttemptEnd(loop.now(), sending.dispatch, outcome, of.assignment.closed || served, report);
         eventful();
         if (served) {
             counters.fulfilled++;
@@ -363,13 +363,13 @@
 
     /** The report of these values; null where there are none. */
     static LoadReport report(Map<String, Double> values) {
-        return values == null ? null : Reports.of(name -> values.getOrDefault(name, Double.NaN));
+        return values == null ? null : LoadReportColumns.toLoadReport(name -> values.getOrDefault(name, Double.NaN));
     }
 
     // ---- From discovery.
 
     private void listed(HostList list, boolean cached) {
-        dispatcher.listed(loop.now(), fleet.sightings(loop.now(), list), list.whole, cached);
+        dispatcher.onRunnerList(loop.now(), fleet.sightings(loop.now(), list), list.whole, cached);
         eventful();
     }
 
@@ -379,21 +379,21 @@
     }
 
     private void listFailed() {
-        dispatcher.listFailed(loop.now());
+        dispatcher.onRunnerListFailure(loop.now());
         eventful();
     }
 
     // ---- The door: what is wished is noted, and carried out when the dispatcher has settled.
 
     @Override
-    public void dispatch(Dispatch dispatch, Duration timeOut) {
-        Held of = held.get(dispatch.assignment);
+    public void dispatch(Attempt dispatch, Duration timeOut) {
+        Held of = held.get(dispatch.request);
         Sending sending = new Sending(this, of, dispatch, fleet.of(dispatch.runner));
         of.sendings.add(sending);
         counters.dispatches++;
         acts.add(() -> {
             // By the clock, not the turn's time: guards against a process that was stopped in the midst of a turn.
-            long left = dispatch.assignment.deadline.minus(loop.clock()).toMillis();
+            long left = dispatch.request.deadline.minus(loop.clock()).toMillis();
             if (left > 0) {
                 sending.begin(left, timeOut);
             } else {
@@ -403,24 +403,24 @@
     }
 
     @Override
-    public void cancel(Dispatch dispatch) {
-        Sending sending = held.get(dispatch.assignment).of(dispatch);
+    public void cancel(Attempt dispatch) {
+        Sending sending = held.get(dispatch.request).of(dispatch);
         counters.cancels++;
         acts.add(() -> sending.stop(Outcome.CANCELLED));
     }
 
     @Override
-    public void shed(Assignment assignment, Duration pause) {
+    public void shed(Request assignment, Duration pause) {
         Held of = held.get(assignment);
         counters.shed++;
         String advice = pause == null || pause.isZero()
                 ? ""
-                : String.format(Locale.ROOT, "Retry-After: %.3f\r\n", Spans.secs(pause));
+                : String.format(Locale.ROOT, "Retry-After: %.3f\r\n", Durations.seconds(pause));
         acts.add(() -> answer(of, 503, advice, NOTHING));
     }
 
     @Override
-    public void giveUp(Assignment assignment) {
+    public void giveUp(Request assignment) {
         Held of = held.get(assignment);
         counters.givenUp++;
         acts.add(() -> answer(of, 502, "", NOTHING));
@@ -435,14 +435,14 @@
 
     void probed(Target target, Map<String, Double> values, Duration took) {
         counters.probesUnanswered += values == null ? 1 : 0;
-        dispatcher.probed(loop.now(), target.runner, values != null, took, report(values));
+        dispatcher.onProbeResult(loop.now(), target.runner, values != null, took, report(values));
         eventful();
     }
 
     @Override
-    public void wake(Duration after, Object what) {
+    public void setTimer(Duration after, Object what) {
         loop.after(after, () -> {
-            dispatcher.woken(loop.now(), what);
+            dispatcher.onTimer(loop.now(), what);
             eventful();
         });
     }
@@ -453,7 +453,7 @@
     }
 
     @Override
-    public void readList() {
+    public void requestRunnerList() {
         acts.add(() -> discovery.read(came -> {
             if (!came) {
                 listFailed();
@@ -462,7 +462,7 @@
     }
 
     @Override
-    public void closeIdle(Runner runner) {
+    public void closeIdleConnections(Runner runner) {
         acts.add(() -> {
             Target target = fleet.of(runner);
             if (target != null) {
@@ -472,12 +472,12 @@
     }
 
     @Override
-    public void tell(int number, String message) {
+    public void sendToPeer(int number, String message) {
         // The protocol on sockets carries no messages between dispatchers.
     }
 
     @Override
-    public void report(String line) {
+    public void log(String line) {
         LOG.info(line);
     }
 }
--- a/daemon/src/main/java/saltdale/routing/Sending.java
+++ b/daemon/src/main/java/saltdale/routing/Sending.java
@@ -1,7 +1,7 @@
 package saltdale.routing;
 
 import java.time.Duration;
-import saltdale.model.Dispatch;
+import saltdale.model.Attempt;
 import saltdale.model.LoadReport;
 import saltdale.model.Outcome;
 import saltdale.protocol.Head;
@@ -15,7 +15,7 @@
 final class Sending implements Call.Back {
     private final Router router;
     private final Held held;
-    final Dispatch dispatch;
+    final Attempt dispatch;
     final Target target;
     private Call call;
     private Reach reach = Reach.UNSENT;
@@ -25,7 +25,7 @@
     /** The body for the client, where the runner has made one. */
     byte[] result;
 
-    Sending(Router router, Held held, Dispatch dispatch, Target target) {
+    Sending(Router router, Held held, Attempt dispatch, Target target) {
         this.router = router;
         this.held = held;
         this.dispatch = dispatch;
