--- a/daemon/src/main/java/saltdale/sim/Instance.java
+++ b/daemon/src/main/java/saltdale/sim/Instance.java
@@ -12,23 +12,23 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import saltdale.decision.Dispatcher;
-import saltdale.model.Assignment;
-import saltdale.model.Dispatch;
-import saltdale.model.Door;
+import saltdale.model.Attempt;
+import saltdale.model.DispatcherActions;
+import saltdale.model.DispatcherSettings;
 import saltdale.model.Keys;
 import saltdale.model.LoadReport;
 import saltdale.model.Outcome;
+import saltdale.model.Request;
 import saltdale.model.Runner;
-import saltdale.model.Sighting;
-import saltdale.model.StandingOrders;
+import saltdale.model.RunnerListEntry;
 import saltdale.model.Tenant;
 import saltdale.model.Workload;
-import saltdale.orders.Fields;
-import saltdale.orders.OrdersReader;
-import saltdale.orders.Reports;
+import saltdale.settings.JsonFields;
+import saltdale.settings.LoadReportColumns;
+import saltdale.settings.SettingsReader;
 
 /** One dispatcher on the wire: turns its events into calls, ids into objects, and its actions into messages. */
-final class Instance implements Door {
+final class Instance implements DispatcherActions {
     static final Set<String> EVENTS = Set.of(
             "PowerOn",
             "Update",
@@ -61,19 +61,19 @@
     private final List<String> columns = new ArrayList<>();
     private final Map<String, Runner> runners = new HashMap<>();
     private final Map<Runner, String> addresses = new HashMap<>();
-    private final Map<String, Assignment> assignments = new HashMap<>();
-    private final Map<Assignment, String> ids = new HashMap<>();
+    private final Map<String, Request> assignments = new HashMap<>();
+    private final Map<Request, String> ids = new HashMap<>();
     private final Map<Long, Object> timers = new HashMap<>();
     private long nextTimer;
     private final Dispatcher dispatcher;
     private JsonGenerator reply;
     private Duration now;
 
-    Instance(long who, long clock, Fields powerOn) {
+    Instance(long who, long clock, JsonFields powerOn) {
         this.who = who;
         this.origin = clock;
-        Fields options = powerOn.object(3, "Options");
-        StandingOrders orders = OrdersReader.read(options);
+        JsonFields options = powerOn.object(3, "Options");
+        DispatcherSettings orders = SettingsReader.read(options);
         for (Workload workload : orders.workloads) {
             workloads.put(workload.name, workload);
         }
@@ -83,205 +83,205 @@
         for (JsonNode column : options.object("LoadReport").array("Columns")) {
             columns.add(column.asText());
         }
-        dispatcher = new Dispatcher(orders, this, new SplittableRandom(powerOn.bits(2, "Nonce64")));
+        dispatcher = new Dispatcher(orders, this, new SplittableRandom(powerOn.low64Bits(2, "Nonce64")));
     }
 
     /** Sets the clock and the reply of the batch being answered. */
     void at(long clock, JsonGenerator batchReply) {
-        now = Fields.micros(clock - origin);
+        now = JsonFields.micros(clock - origin);
         reply = batchReply;
     }
 
     void settle() {
-        dispatcher.settle(now);
+        dispatcher.applyActions(now);
     }
 
-    void handle(String name, Fields event) {
+    void handle(String name, JsonFields event) {
         switch (name) {
-            case "PowerOn" -> dispatcher.began(now);
+            case "PowerOn" -> dispatcher.onStart(now);
             case "Update" -> update(event);
             case "NewRequest" -> arrived(event);
             case "AttemptEnd" -> ended(event);
             case "HintUpdate" -> heard(event);
             case "Streaming" -> {
-                Dispatch dispatch = dispatchOf(event);
+                Attempt dispatch = dispatchOf(event);
                 if (dispatch != null) {
-                    dispatcher.streaming(now, dispatch);
+                    dispatcher.onStreaming(now, dispatch);
                 }
             }
             case "CheckResult" -> {
                 Outcome outcome = outcome(event, 3);
-                dispatcher.probed(
+                dispatcher.onProbeResult(
                         now,
                         runner(event, 2),
                         outcome == Outcome.FULFILLED,
-                        Fields.micros(event.whole(4, "DelaySeen", 0)),
+                        JsonFields.micros(event.integer(4, "DelaySeen", 0)),
                         report(event, 5));
             }
             case "TimedOutClient" -> {
-                Assignment assignment = assignments.get(event.text(2, "Tid"));
+                Request assignment = assignments.get(event.string(2, "Tid"));
                 if (assignment != null) {
                     dispatcher.close(assignment);
                     forgetIfOver(assignment);
                 }
             }
             case "Ring" -> {
-                Object what = timers.remove(event.whole(2, "Token"));
+                Object what = timers.remove(event.integer(2, "Token"));
                 if (what != null) {
-                    dispatcher.woken(now, what);
+                    dispatcher.onTimer(now, what);
                 }
             }
             case "Peer" -> {
-                event.whole(2, "Author");
-                event.text(3, "Bytes", ""); // messages between dispatchers carry nothing yet
+                event.integer(2, "Author");
+                event.string(3, "Bytes", ""); // messages between dispatchers carry nothing yet
             }
             default -> throw new IllegalStateException(name);
         }
     }
 
-    private void update(Fields event) {
-        int how = (int) event.whole(2, "How");
+    private void update(JsonFields event) {
+        int how = (int) event.integer(2, "How");
         if (how < 0 || how > 3) {
-            throw event.wrong("How", "one of 0 to 3");
+            throw event.invalid("How", "one of 0 to 3");
         }
         if (how == 3) {
-            dispatcher.listFailed(now);
+            dispatcher.onRunnerListFailure(now);
             return;
         }
-        List<Sighting> sightings = new ArrayList<>();
+        List<RunnerListEntry> sightings = new ArrayList<>();
         JsonNode records = event.array(4, "Records");
         if (records != null) {
             for (JsonNode record : records) {
                 if (!record.isArray()) {
-                    throw event.wrong("Records", "an array of arrays");
+                    throw event.invalid("Records", "an array of arrays");
                 }
-                sightings.add(sighting(new Fields("Update.Records", record)));
+                sightings.add(sighting(new JsonFields("Update.Records", record)));
             }
         }
-        dispatcher.listed(now, sightings, how != 0, how == 2);
+        dispatcher.onRunnerList(now, sightings, how != 0, how == 2);
     }
 
-    private Sighting sighting(Fields entry) {
-        String address = entry.text(4, "Runner");
+    private RunnerListEntry sighting(JsonFields entry) {
+        String address = entry.string(4, "Runner");
         Runner runner = runners.get(address);
         if (runner == null) {
             runner = new Runner();
-            runner.hash = Keys.of(address);
+            runner.hash = Keys.hash(address);
             runners.put(address, runner);
             addresses.put(runner, address);
         }
-        Runner.Mode mode = switch ((int) entry.whole(3, "Mode")) {
+        Runner.Mode mode = switch ((int) entry.integer(3, "Mode")) {
             case 0 -> Runner.Mode.DRAINING;
             case 2 -> Runner.Mode.READY;
             case 3 -> Runner.Mode.GONE;
-            default -> throw entry.wrong("Mode", "one of 0, 2 and 3");
+            default -> throw entry.invalid("Mode", "one of 0, 2 and 3");
         };
-        long startedAt = entry.whole(6, "StartedAt", 0);
-        return new Sighting(
+        long startedAt = entry.integer(6, "StartedAt", 0);
+        return new RunnerListEntry(
                 runner,
-                entry.text(0, "ClassOfHost", ""),
-                entry.text(1, "Zone", ""),
+                entry.string(0, "ClassOfHost", ""),
+                entry.string(1, "Zone", ""),
                 entry.number(2, "PowerHint", 1),
                 mode,
-                (int) entry.whole(5, "Pod", 0),
-                startedAt == 0 ? null : Fields.micros(startedAt - origin));
+                (int) entry.integer(5, "Pod", 0),
+                startedAt == 0 ? null : JsonFields.micros(startedAt - origin));
     }
 
-    private void arrived(Fields event) {
-        String id = event.text(2, "Tid");
-        Workload workload = workloads.get(event.text(3, "TierClass"));
+    private void arrived(JsonFields event) {
+        String id = event.string(2, "Tid");
+        Workload workload = workloads.get(event.string(3, "TierClass"));
         if (workload == null) {
-            throw event.wrong("TierClass", "a workload of the settings");
+            throw event.invalid("TierClass", "a workload of the settings");
         }
-        Assignment assignment = new Assignment(workload, now, Fields.micros(event.whole(6, "TimeBudget")));
+        Request assignment = new Request(workload, now, JsonFields.micros(event.integer(6, "TimeBudget")));
         JsonNode billing = event.raw(4);
         assignment.tenant = billing != null && billing.isTextual() ? tenants.get(billing.textValue()) : null;
-        long flags = event.whole(10, "Opts", 0);
-        long hint = event.whole(7, "WeightHint", 0);
-        assignment.hint = (flags & HINT_VALID) != 0 && hint > 0 ? Fields.micros(hint) : null;
+        long flags = event.integer(10, "Opts", 0);
+        long hint = event.integer(7, "WeightHint", 0);
+        assignment.runTimeHint = (flags & HINT_VALID) != 0 && hint > 0 ? JsonFields.micros(hint) : null;
         assignment.slots = event.number(8, "Slots", 1);
         assignment.memory = event.number(9, "Mem", 0);
         JsonNode key = event.raw(5);
-        assignment.key = key != null && key.isTextual() ? Keys.of(key.textValue()) : 0;
-        assignment.repeated = (flags & REPEATED) != 0;
+        assignment.affinityKey = key != null && key.isTextual() ? Keys.hash(key.textValue()) : 0;
+        assignment.markedAsRetry = (flags & REPEATED) != 0;
         assignments.put(id, assignment);
         ids.put(assignment, id);
-        dispatcher.arrived(now, assignment);
+        dispatcher.onRequest(now, assignment);
     }
 
-    private void ended(Fields event) {
-        Dispatch dispatch = dispatchOf(event);
+    private void ended(JsonFields event) {
+        Attempt dispatch = dispatchOf(event);
         if (dispatch == null) {
             return;
         }
         Outcome outcome = outcome(event, 5);
-        dispatcher.ended(now, dispatch, outcome, event.flag(7, "Terminal"), report(event, 9));
-        forgetIfOver(dispatch.assignment);
+        dispatcher.onAttemptEnd(now, dispatch, outcome, event.bool(7, "Terminal"), report(event, 9));
+        forgetIfOver(dispatch.request);
     }
 
-    private void heard(Fields event) {
-        Dispatch dispatch = dispatchOf(event);
+    private void heard(JsonFields event) {
+        Attempt dispatch = dispatchOf(event);
         if (dispatch == null) {
             return;
         }
-        long sort = event.whole(5, "Sort");
+        long sort = event.integer(5, "Sort");
         if (sort == 1) {
-            dispatcher.started(now, dispatch);
+            dispatcher.onStarted(now, dispatch);
         } else if (sort == 2) {
-            dispatcher.progressed(now, dispatch);
+            dispatcher.onProgress(now, dispatch);
         }
     }
 
-    private Dispatch dispatchOf(Fields event) {
-        Assignment assignment = assignments.get(event.text(2, "Tid"));
-        int number = (int) event.whole(3, "SendNo");
+    private Attempt dispatchOf(JsonFields event) {
+        Request assignment = assignments.get(event.string(2, "Tid"));
+        int number = (int) event.integer(3, "SendNo");
         if (assignment == null) {
             return null;
         }
-        if (number < 0 || number >= assignment.dispatches.size()) {
-            throw event.wrong("SendNo", "the number of a dispatch that was made");
+        if (number < 0 || number >= assignment.attempts.size()) {
+            throw event.invalid("SendNo", "the number of a dispatch that was made");
         }
-        return assignment.dispatches.get(number);
+        return assignment.attempts.get(number);
     }
 
-    private Runner runner(Fields event, int i) {
-        Runner runner = runners.get(event.text(i, "Runner"));
+    private Runner runner(JsonFields event, int i) {
+        Runner runner = runners.get(event.string(i, "Runner"));
         if (runner == null) {
-            throw event.wrong("Runner", "a runner of any list");
+            throw event.invalid("Runner", "a runner of any list");
         }
         return runner;
     }
 
-    private static Outcome outcome(Fields event, int i) {
-        long status = event.whole(i, "Status");
+    private static Outcome outcome(JsonFields event, int i) {
+        long status = event.integer(i, "Status");
         if (status < 0 || status >= OUTCOMES.length) {
-            throw event.wrong("Status", "one of 0 to 7");
+            throw event.invalid("Status", "one of 0 to 7");
         }
         return OUTCOMES[(int) status];
     }
 
-    private LoadReport report(Fields event, int i) {
+    private LoadReport report(JsonFields event, int i) {
         JsonNode row = event.array(i, "HealthInfo");
         if (row == null) {
             return null;
         }
-        return Reports.of(column -> value(event, row, column));
+        return LoadReportColumns.toLoadReport(column -> value(event, row, column));
     }
 
-    private double value(Fields event, JsonNode row, String column) {
+    private double value(JsonFields event, JsonNode row, String column) {
         int i = columns.indexOf(column);
         JsonNode value = i < 0 ? null : row.get(i);
         if (value == null || value.isNull()) {
             return Double.NaN;
         }
         if (!value.isNumber()) {
-            throw event.wrong("HealthInfo." + column, "a number");
+            throw event.invalid("HealthInfo." + column, "a number");
         }
         return value.doubleValue();
     }
 
-    private void forgetIfOver(Assignment assignment) {
-        if (!assignment.isOver()) {
+    private void forgetIfOver(Request assignment) {
+        if (!assignment.isFinished()) {
             return;
         }
         String id = ids.remove(assignment);
@@ -314,24 +314,24 @@
     }
 
     @Override
-    public void dispatch(Dispatch dispatch, Duration timeOut) {
+    public void dispatch(Attempt dispatch, Duration timeOut) {
         write("CallOut", to -> {
-            to.writeString(ids.get(dispatch.assignment));
+            to.writeString(ids.get(dispatch.request));
             to.writeString(addresses.get(dispatch.runner));
             to.writeNumber(micros(timeOut));
         });
     }
 
     @Override
-    public void cancel(Dispatch dispatch) {
+    public void cancel(Attempt dispatch) {
         write("AbortAttempt", to -> {
-            to.writeString(ids.get(dispatch.assignment));
-            to.writeNumber(dispatch.assignment.dispatches.indexOf(dispatch));
+            to.writeString(ids.get(dispatch.request));
+            to.writeNumber(dispatch.request.attempts.indexOf(dispatch));
         });
     }
 
     @Override
-    public void shed(Assignment assignment, Duration pause) {
+    public void shed(Request assignment, Duration pause) {
         write("Reject", to -> {
             to.writeString(ids.get(assignment));
             to.writeNumber(micros(pause));
@@ -340,7 +340,7 @@
     }
 
     @Override
-    public void giveUp(Assignment assignment) {
+    public void giveUp(Request assignment) {
         write("Abort", to -> to.writeString(ids.get(assignment)));
         forgetIfOver(assignment);
     }
@@ -351,7 +351,7 @@
     }
 
     @Override
-    public void wake(Duration after, Object what) {
+    public void setTimer(Duration after, Object what) {
         long token = nextTimer++;
         timers.put(token, what);
         write("Remind", to -> {
@@ -366,17 +366,17 @@
     }
 
     @Override
-    public void readList() {
+    public void requestRunnerList() {
         write("ReadList", to -> {});
     }
 
     @Override
-    public void closeIdle(Runner runner) {
+    public void closeIdleConnections(Runner runner) {
         write("ShutIdle", to -> to.writeString(addresses.get(runner)));
     }
 
     @Override
-    public void tell(int dispatcher, String message) {
+    public void sendToPeer(int dispatcher, String message) {
         write("Notify", to -> {
             to.writeNumber(dispatcher);
             to.writeString(message);
@@ -384,7 +384,7 @@
     }
 
     @Override
-    public void report(String line) {
+    public void log(String line) {
         write("Emit", to -> to.writeString(line));
     }
 }
--- a/daemon/src/main/java/saltdale/sim/SimHost.java
+++ b/daemon/src/main/java/saltdale/sim/SimHost.java
@@ -16,8 +16,8 @@
 import java.util.LinkedHashSet;
 import java.util.Map;
 import java.util.Set;
-import saltdale.orders.Fields;
-import saltdale.orders.MalformedInput;
+import saltdale.settings.JsonFields;
+import saltdale.settings.MalformedInputException;
 
 /**
  * Hosts many dispatchers on the simulator's wire (lichen-4646): one batch a line on the input, one reply a
@@ -50,12 +50,12 @@
         try {
             batch = mapper.readTree(line);
         } catch (JsonProcessingException e) {
-            throw new MalformedInput("a line is no JSON value: " + e.getOriginalMessage());
+            throw new MalformedInputException("a line is no JSON value: " + e.getOriginalMessage());
         }
         JsonNode now = batch.get("Now");
         JsonNode events = batch.get("in");
         if (now == null || !now.isIntegralNumber() || events == null || !events.isArray()) {
-            throw new MalformedInput("a line is no batch: it needs a whole number Now and an array in");
+            throw new MalformedInputException("a line is no batch: it needs a whole number Now and an array in");
         }
         buffer.reset(); // a reply goes out whole or, after malformed input, not at all
         try (JsonGenerator reply = factory.createGenerator(buffer)) {
@@ -78,14 +78,14 @@
 
     private void handle(JsonNode event, long now, JsonGenerator reply, Set<Instance> touched) throws IOException {
         if (!event.isArray() || event.isEmpty() || !event.get(0).isTextual()) {
-            throw new MalformedInput("an event is no array that begins with its name");
+            throw new MalformedInputException("an event is no array that begins with its name");
         }
         String name = event.get(0).textValue();
-        Fields fields = new Fields(name, event);
+        JsonFields fields = new JsonFields(name, event);
         if (!Instance.EVENTS.contains(name)) {
-            throw new MalformedInput(name + ": no event has this name");
+            throw new MalformedInputException(name + ": no event has this name");
         }
-        long who = fields.whole(1, "Who");
+        long who = fields.integer(1, "Who");
         Instance instance = instances.get(who);
         if (name.equals("PowerOn")) {
             if (instance != null) {
@@ -94,7 +94,7 @@
             instance = new Instance(who, now, fields);
             instances.put(who, instance);
         } else if (instance == null) {
-            throw new MalformedInput(name + ": Who names an instance that is not running: " + who);
+            throw new MalformedInputException(name + ": Who names an instance that is not running: " + who);
         } else if (name.equals("PowerOff")) {
             instances.remove(who);
             touched.remove(instance);
--- a/daemon/src/test/java/saltdale/program/PostingTest.java
+++ b/daemon/src/test/java/saltdale/program/PostingTest.java
@@ -20,8 +20,8 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import saltdale.model.Relief;
-import saltdale.model.StandingOrders;
+import saltdale.model.DispatcherSettings;
+import saltdale.model.OverloadSettings;
 import sun.misc.Signal;
 
 class PostingTest {
@@ -65,15 +65,15 @@
 
     @Test
     void overloadsAreMetByLevelsOnlyWhereTheFileHasATableForThem() throws IOException {
-        assertNull(Posting.read(with(CONFIG)).orders.relief);
+        assertNull(Posting.read(with(CONFIG)).orders.overload);
         String on = CONFIG.replace("\"settings\"", "\"overload\":{%s},\"settings\"");
-        assertEquals(Relief.USUAL, Posting.read(with(on.formatted(""))).orders.relief);
+        assertEquals(OverloadSettings.DEFAULTS, Posting.read(with(on.formatted(""))).orders.overload);
         assertEquals(
                 Duration.ofMillis(250),
                 Posting.read(with(on.formatted("\"step\":250000")))
                         .orders
-                        .relief
-                        .step());
+                        .overload
+                        .minChangeInterval());
         assertEquals(
                 "EDGE_CONFIG.overload: hihg is not a key that is known here; known: low, high, borne, missed, step, known",
                 complaint(with(on.formatted("\"hihg\":1"))).strip().replaceFirst("^saltdale: ", ""));
@@ -85,8 +85,8 @@
     @Test
     void aPreviewIsItsSettingsLaidOverTheOthers() throws IOException {
         Posting posting = Posting.read(with(previewing("{\"Weights\":\"live\",\"Limits\":{\"Probes\":true}}")));
-        assertTrue(posting.preview.liveWeights && posting.preview.probes && !posting.orders.liveWeights);
-        assertEquals(posting.orders.connectTime, posting.preview.connectTime);
+        assertTrue(posting.preview.loadBasedWeights && posting.preview.mayProbe && !posting.orders.loadBasedWeights);
+        assertEquals(posting.orders.connectTimeout, posting.preview.connectTimeout);
         for (String wrong : new String[] {
             "\"Weights\":\"heavy\"",
             "\"Weights\":3",
@@ -110,10 +110,10 @@
                 + "\"Contract\":{\"LateShedding\":true},\"Workloads\"";
         String bound = CONFIG.replace("\"Workloads\"", settings)
                 .replace("\"pure\"", "\"pure\",\"ZonesOpen\":[\"a\"],\"ServedOn\":[\"big\"]");
-        StandingOrders orders = Posting.read(with(bound)).orders;
+        DispatcherSettings orders = Posting.read(with(bound)).orders;
         assertEquals(Set.of("a"), orders.workloads.get(0).zones);
-        assertEquals(Set.of("big"), orders.workloads.get(0).kinds);
-        assertTrue(orders.fullProvesNothing);
+        assertEquals(Set.of("big"), orders.workloads.get(0).machineTypes);
+        assertTrue(orders.lateRejections);
         for (String[] wrong : new String[][] {
             {"[\"a\"],", "[\"c\"],", "ZonesOpen"},
             {"[\"a\"],", "\"a\",", "ZonesOpen"},
@@ -123,10 +123,10 @@
         }) {
             assertTrue(complaint(with(bound.replace(wrong[0], wrong[1]))).contains(wrong[2]), wrong[1]);
         }
-        StandingOrders without = Posting.read(with(CONFIG)).orders;
+        DispatcherSettings without = Posting.read(with(CONFIG)).orders;
         assertTrue(without.workloads.get(0).zones.isEmpty()
-                && without.workloads.get(0).kinds.isEmpty()
-                && !without.fullProvesNothing);
+                && without.workloads.get(0).machineTypes.isEmpty()
+                && !without.lateRejections);
     }
 
     private static String previewing(String settings) {
--- a/daemon/src/test/java/saltdale/routing/FleetTest.java
+++ b/daemon/src/test/java/saltdale/routing/FleetTest.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import saltdale.model.Runner;
-import saltdale.model.Sighting;
+import saltdale.model.RunnerListEntry;
 import saltdale.protocol.HostList;
 import saltdale.transport.Pool;
 
@@ -33,12 +33,12 @@
 
     @Test
     void aRunnerKeepsItsRecordWhenItsAddressChanges() {
-        Sighting first = fleet.sightings(START, list(true, host("s-1", "10.0.0.1:1", "up", 0)))
+        RunnerListEntry first = fleet.sightings(START, list(true, host("s-1", "10.0.0.1:1", "up", 0)))
                 .get(0);
         Pool pool = fleet.of(first.runner()).pool;
         fleet.sightings(START, list(false, host("s-1", "10.0.0.1:1", "draining", 0)));
         assertSame(pool, fleet.named("s-1").pool);
-        Sighting moved = fleet.sightings(START, list(false, host("s-1", "10.0.0.2:1", "up", 0)))
+        RunnerListEntry moved = fleet.sightings(START, list(false, host("s-1", "10.0.0.2:1", "up", 0)))
                 .get(0);
         assertSame(first.runner(), moved.runner());
         assertNotSame(pool, fleet.named("s-1").pool);
@@ -46,10 +46,10 @@
 
     @Test
     void birthsAreUnixTimeAndBecomeSpansSinceTheStart() {
-        Sighting old = fleet.sightings(START, list(true, host("s-1", "10.0.0.1:1", "up", 0)))
+        RunnerListEntry old = fleet.sightings(START, list(true, host("s-1", "10.0.0.1:1", "up", 0)))
                 .get(0);
         assertNull(old.startedAt());
-        Sighting born = fleet.sightings(START, list(false, host("s-1", "10.0.0.1:1", "up", 999_000)))
+        RunnerListEntry born = fleet.sightings(START, list(false, host("s-1", "10.0.0.1:1", "up", 999_000)))
                 .get(0);
         assertEquals(Duration.ofSeconds(-1), born.startedAt());
     }
@@ -57,7 +57,7 @@
     @Test
     void removedRunnersAreToldOfAndForgottenAfterAWhile() {
         fleet.sightings(START, list(true, host("s-1", "10.0.0.1:1", "up", 0)));
-        List<Sighting> removed = fleet.sightings(START, list(false, host("s-1", "10.0.0.1:1", "removed", 0)));
+        List<RunnerListEntry> removed = fleet.sightings(START, list(false, host("s-1", "10.0.0.1:1", "removed", 0)));
         assertEquals(Runner.Mode.GONE, removed.get(0).mode());
         fleet.sightings(Duration.ofSeconds(10), list(false, ""));
         assertSame(removed.get(0).runner(), fleet.named("s-1").runner);
--- a/daemon/src/test/java/saltdale/routing/RouterTest.java
+++ b/daemon/src/test/java/saltdale/routing/RouterTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
+import saltdale.model.DispatcherSettings;
 import saltdale.model.Outcome;
-import saltdale.model.StandingOrders;
 import saltdale.model.Workload;
 import saltdale.protocol.HostList;
 import saltdale.transport.Listener;
@@ -36,7 +36,7 @@
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     private static final String NO_ANSWER = "(none)";
 
-    private final StandingOrders orders = new StandingOrders();
+    private final DispatcherSettings orders = new DispatcherSettings();
     private final Workload workload = new Workload();
     private final List<AutoCloseable> open = new ArrayList<>();
     private int mostSockets = 100;
@@ -98,12 +98,12 @@
     @BeforeEach
     void start() throws IOException {
         workload.name = "w";
-        workload.promised = Duration.ofSeconds(10);
-        workload.patience = Duration.ofSeconds(60);
+        workload.targetLatency = Duration.ofSeconds(10);
+        workload.clientTimeout = Duration.ofSeconds(60);
         orders.workloads.add(workload);
-        orders.probes = false;
-        orders.mostDispatches = 1;
-        orders.connectTime = Duration.ofMillis(500);
+        orders.mayProbe = false;
+        orders.maxAttempts = 1;
+        orders.connectTimeout = Duration.ofMillis(500);
         runner = server();
         discovery = server();
         loop = new Loop();
@@ -238,7 +238,7 @@
         assertTrue(client.hears("\r\n\r\nmade").startsWith("HTTP/1.1 200"));
         assertTrue(router.counted().contains("assignments_held 0"), router.counted());
         assertFalse(router.counted().contains("preview_"), router.counted());
-        router.preview(new StandingOrders());
+        router.preview(new DispatcherSettings());
         client().says("GET /counters HTTP/1.1\r\n\r\n").hears("preview_shed_differs 0");
         client.says(job("b"));
         assertTrue(dispatched.hears("\r\n\r\nbody").contains("Request-Id: b"), "the connection is used again");
@@ -246,29 +246,29 @@
 
     @Test
     void theFiguresOfARequestReachTheDecisions() throws IOException {
-        workload.stretch = 1; // what is hinted to run beyond its promised time would be shed at once
+        workload.latencyStretch = 1; // what is hinted to run beyond its promised time would be shed at once
         begin();
         client().says(post("/w/k", "a", "Work-Hint: 1500\r\n", "body"));
         accepts(runner);
-        assertEquals(Duration.ofNanos(1_500_000), router.held("a").assignment.hint);
+        assertEquals(Duration.ofNanos(1_500_000), router.held("a").assignment.runTimeHint);
         client().says(post("/w/k", "b", "Request-Info: slots=2,memory=3,new=x\r\nClient-Retry: 1\r\n", "body"));
         until(() -> router.held("b") != null);
         client().says(post("/w/k", "c", "Request-Info: slots=NaN,memory=-1\r\nWork-Hint: 999999999999\r\n", "body"));
         until(() -> router.held("c") != null);
         assertEquals(1, router.held("c").assignment.slots);
         assertEquals(0, router.held("c").assignment.memory);
-        assertEquals(workload.patience, router.held("c").assignment.hint);
+        assertEquals(workload.clientTimeout, router.held("c").assignment.runTimeHint);
         client().says(post("/w/k", "d", "", "body").replace("50000", "999999999"));
         until(() -> router.held("d") != null);
-        assertEquals(workload.patience, router.held("d").assignment.patience());
+        assertEquals(workload.clientTimeout, router.held("d").assignment.clientTimeout());
         assertEquals(2, router.held("b").assignment.slots);
         assertEquals(3, router.held("b").assignment.memory);
-        assertTrue(router.held("b").assignment.repeated);
+        assertTrue(router.held("b").assignment.markedAsRetry);
     }
 
     @Test
     void aJobIsProbedForWhereThatIsAllowed() throws IOException {
-        orders.probes = true;
+        orders.mayProbe = true;
         begin();
         client().says(job("a"));
         Peer probed = accepts(runner);
@@ -287,7 +287,7 @@
 
     @Test
     void outcomesFollowTheTable() throws IOException {
-        workload.repeat = Workload.Repeat.EFFECTFUL; // shed where it never ran, given up where it may have
+        workload.repeatSafety = Workload.RepeatSafety.EFFECTFUL; // shed where it never ran, given up where it may have
         String accepted = ACCEPTED.replace("Content", "Connection: close\r\nContent");
         begin();
         assertEquals("200", answered(accepted, "done"));
@@ -298,7 +298,7 @@
 
     @Test
     void answersOtherThanTakenFollowTheTable() throws IOException {
-        workload.repeat = Workload.Repeat.EFFECTFUL;
+        workload.repeatSafety = Workload.RepeatSafety.EFFECTFUL;
         String end = "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
         begin();
         assertEquals("502", answered("HTTP/1.1 500 Error" + end, null));
@@ -312,7 +312,7 @@
 
     @Test
     void aRefusedConnectionMeansNeverRun() throws IOException {
-        workload.repeat = Workload.Repeat.EFFECTFUL;
+        workload.repeatSafety = Workload.RepeatSafety.EFFECTFUL;
         begin();
         runner.close();
         assertTrue(client().says(job("a")).hears("\r\n\r\n").startsWith("HTTP/1.1 503"));
@@ -423,7 +423,7 @@
     @Test
     void theConnectionOfAJobIsKeptForTakingItBack() throws IOException {
         begin();
-        orders.mostDispatches = 2;
+        orders.maxAttempts = 2;
         client().says(job("a"));
         Peer first = dispatched();
         first.says(ACCEPTED);
@@ -461,7 +461,7 @@
 
     @Test
     void badRequestsDoNotReachTheDecisions() throws IOException {
-        workload.repeat = Workload.Repeat.RECEIPTED;
+        workload.repeatSafety = Workload.RepeatSafety.RECEIPTED;
         begin();
         String[][] cases = {
             {"nonsense\r\n\r\n", "400"},
@@ -572,7 +572,7 @@
 
     @Test
     void toldToEndItAnswersWhatIsHeldAndStops() throws IOException {
-        workload.patience = Duration.ofMillis(300); // the longest that a client comes with
+        workload.clientTimeout = Duration.ofMillis(300); // the longest that a client comes with
         begin();
         Peer client = client().says(job("a"));
         Peer idle = client().says("GET /up HTTP/1.1\r\n\r\n");
--- a/daemon/src/test/java/saltdale/sim/SimHostTest.java
+++ b/daemon/src/test/java/saltdale/sim/SimHostTest.java
@@ -9,7 +9,7 @@
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
-import saltdale.orders.MalformedInput;
+import saltdale.settings.MalformedInputException;
 
 class SimHostTest {
     private static final String START = """
@@ -28,7 +28,7 @@
     }
 
     private static String complaint(String input) {
-        return assertThrows(MalformedInput.class, () -> run(input)).getMessage();
+        return assertThrows(MalformedInputException.class, () -> run(input)).getMessage();
     }
 
     @Test
@@ -71,7 +71,7 @@
     void malformedInputGetsNoReply() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         byte[] input = "{\"Now\":9,\"in\":[[\"Ring\",4,1]]}\n".getBytes(StandardCharsets.UTF_8);
-        assertThrows(MalformedInput.class, () -> new SimHost(new ByteArrayInputStream(input), out).run());
+        assertThrows(MalformedInputException.class, () -> new SimHost(new ByteArrayInputStream(input), out).run());
         assertEquals(0, out.size());
     }
 }
--- a/proxy/src/main/java/saltdale/proxy/SlotAllocator.java
+++ b/proxy/src/main/java/saltdale/proxy/SlotAllocator.java
@@ -233,7 +233,7 @@
                 slots.rest = 0;
                 double seconds = ranNanos / 1e9;
                 run = run == 0 ? seconds : 0.95 * run + 0.05 * Math.min(seconds, 4 * run);
-                probes.ended(seconds);
+                probes.recordRunTime(seconds);
             }
             case TURNED_AWAY -> slots.rests(now, 30_000_000L, 500_000_000L); // another's work still holds its slots
             case NOT_CONNECTED -> slots.rests(now, 50_000_000L, 1_000_000_000L);
@@ -337,7 +337,7 @@
             probed++;
             boolean idle = slots.mayTake(now);
             double load = load(slots, ready);
-            probes.sawProbe(idle, load, 0);
+            probes.recordProbe(idle, load, 0);
             if (idle) {
                 return slots;
             }
--- a/rig/src/main/java/saltdale/rig/experiment/DispatcherProcesses.java
+++ b/rig/src/main/java/saltdale/rig/experiment/DispatcherProcesses.java
@@ -19,7 +19,7 @@
 import java.util.stream.IntStream;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
-import saltdale.model.StandingOrders;
+import saltdale.model.DispatcherSettings;
 import saltdale.model.Workload;
 import saltdale.rig.judge.Witness;
 import saltdale.rig.plan.Day;
@@ -349,45 +349,46 @@
 
     /** What a dispatcher of this day is told, in the words of the platform. */
     public static String configuration(Day day, int i) throws IOException {
-        StandingOrders o = day.orders(i);
+        DispatcherSettings o = day.orders(i);
         ObjectNode root = JSON.createObjectNode();
         root.put("name", "d" + i).put("seed", Long.toHexString(day.seed * 1000 + i + 1));
         root.putObject("limits").put("sockets", 4096).put("memory_mb", 192).put("cores", 1.0);
-        if (o.relief != null) {
+        if (o.overload != null) {
             root.putObject("overload")
-                    .put("low", o.relief.low())
-                    .put("high", o.relief.high())
-                    .put("borne", o.relief.borne())
-                    .put("missed", o.relief.missed())
-                    .put("step", us(o.relief.step()))
-                    .put("known", o.relief.known());
+                    .put("low", o.overload.lowWaitShare())
+                    .put("high", o.overload.highWaitShare())
+                    .put("borne", o.overload.slackShare())
+                    .put("missed", o.overload.tolerableMissShare())
+                    .put("step", us(o.overload.minChangeInterval()))
+                    .put("known", o.overload.minCompletions());
         }
         ObjectNode settings = root.putObject("settings");
         settings.put("Index", i)
-                .put("NInstances", o.dispatchers)
+                .put("NInstances", o.dispatcherCount)
                 .put("Locality", o.zone)
-                .put("Round", us(o.round))
-                .put("MembershipMode", o.mustSubscribe ? "ask" : "push");
+                .put("Round", us(o.roundInterval))
+                .put("MembershipMode", o.subscribes ? "ask" : "push");
         settings.putObject("Limits")
-                .put("Probes", o.probes)
-                .put("MayCancel", o.cancels)
-                .put("ParallelTries", o.parallel)
-                .put("RetryAfter", o.pauses)
-                .put("MostDispatches", o.mostDispatches)
-                .put("MaxRetryAfter", us(o.longestPause))
-                .put("DialTimeout", us(o.connectTime))
+                .put("Probes", o.mayProbe)
+                .put("MayCancel", o.mayCancel)
+                .put("ParallelTries", o.parallelAttempts)
+                .put("RetryAfter", o.sendsRetryAfter)
+                .put("MostDispatches", o.maxAttempts)
+                .put("MaxRetryAfter", us(o.maxRetryAfter))
+                .put("DialTimeout", us(o.connectTimeout))
                 .put("IdleClose", us(day.idleClose));
         settings.putObject("Contract")
-                .put("ColdFrom", o.coldFrom)
-                .put("WarmWithin", us(o.warmWithin))
-                .put("TipMultiple", o.tipMultiple)
-                .put("Fall", us(o.fall))
+                .put("ColdFrom", o.coldCapacity)
+                .put("WarmWithin", us(o.warmUpTime))
+                .put("TipMultiple", o.coldLimitMultiple)
+                .put("Fall", us(o.coldLimitWindow))
                 .put("DrainGrace", us(day.drainGrace))
-                .put("LateShedding", o.fullProvesNothing);
-        settings.putObject("Callers").put("MarksRetry", o.repeatsMarked);
+                .put("LateShedding", o.lateRejections);
+        settings.putObject("Callers").put("MarksRetry", o.retriesMarked);
         settings.putObject("Tariffs").put("CrossZone", o.crossZonePrice);
-        ObjectNode family =
-                settings.putObject("FamilyInfo").put("TellsStart", o.tellsStart).put("Progress", us(o.progressEvery));
+        ObjectNode family = settings.putObject("FamilyInfo")
+                .put("TellsStart", o.reportsStart)
+                .put("Progress", us(o.progressInterval));
         settings.putObject("LoadReport")
                 .put("How", "piggyback")
                 .putArray("Columns")
@@ -402,22 +403,22 @@
         for (Workload w : o.workloads) {
             ObjectNode row = workloads.addObject();
             w.zones.forEach(row.withArray("/ZonesOpen")::add);
-            w.kinds.forEach(row.withArray("/ServedOn")::add);
+            w.machineTypes.forEach(row.withArray("/ServedOn")::add);
             row.put("Name", w.name)
-                    .put("PromisedTime", us(w.promised))
-                    .put("Patience", us(w.patience))
+                    .put("PromisedTime", us(w.targetLatency))
+                    .put("Patience", us(w.clientTimeout))
                     .put("Importance", w.importance)
-                    .put("AimStretch", w.stretch)
+                    .put("AimStretch", w.latencyStretch)
                     .put("TardyImportance", w.lateImportance)
-                    .put("Window", us(w.window))
+                    .put("Window", us(w.dedupWindow))
                     .put(
                             "Repeat",
-                            switch (w.repeat) {
+                            switch (w.repeatSafety) {
                                 case PURE -> "pure";
                                 case RECEIPTED -> "token";
                                 case EFFECTFUL -> "side_effect";
                             })
-                    .put("DedupScope", w.group.name().toLowerCase());
+                    .put("DedupScope", w.dedupScope.name().toLowerCase());
         }
         return JSON.writerWithDefaultPrettyPrinter().writeValueAsString(root);
     }
--- a/rig/src/main/java/saltdale/rig/experiment/Experiment.java
+++ b/rig/src/main/java/saltdale/rig/experiment/Experiment.java
@@ -114,7 +114,7 @@
 
     private Outcome simulated(Day day, Version version, Point point, int repeat) {
         if (!version.levels()) {
-            day.orders.relief = null;
+            day.orders.overload = null;
         }
         Simulation.Minds minds = version.choice() == null
                 ? null
--- a/rig/src/main/java/saltdale/rig/experiment/Run.java
+++ b/rig/src/main/java/saltdale/rig/experiment/Run.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.concurrent.atomic.AtomicReference;
-import saltdale.model.Spans;
+import saltdale.model.Durations;
 import saltdale.rig.fleet.TroubleSchedule;
 import saltdale.rig.judge.Judge;
 import saltdale.rig.judge.Notes;
@@ -136,7 +136,7 @@
                 boolean died = !dispatchers.crashed().isEmpty();
                 Files.writeString(folder.resolve("counters.txt"), dispatchers.get(0, "/counters"));
                 Thread.sleep(300); // for what is still on its way to the stand-ins
-                Duration late = Spans.most(runners.mostLate(), clients.mostLate());
+                Duration late = Durations.max(runners.mostLate(), clients.mostLate());
                 Judge judge = new Judge(Terms.of(day, SLACK.plus(late)), Duration.ofSeconds(5));
                 clients.inside(generator::hangUp);
                 notes.tell(judge);
--- a/rig/src/main/java/saltdale/rig/fleet/Receipts.java
+++ b/rig/src/main/java/saltdale/rig/fleet/Receipts.java
@@ -14,7 +14,7 @@
     /** The memories that one runner shares: with all, with those of its zone, with those of its cell. */
     public record Shared(Receipts all, Receipts zone, Receipts cell) {
         Receipts of(Workload workload) {
-            return switch (workload.group) {
+            return switch (workload.dedupScope) {
                 case ALL -> all;
                 case ZONE -> zone;
                 case CELL -> cell;
--- a/rig/src/main/java/saltdale/rig/fleet/RunnerModel.java
+++ b/rig/src/main/java/saltdale/rig/fleet/RunnerModel.java
@@ -223,7 +223,7 @@
                     : now + make.progressEvery().toNanos();
             if (next.receipt != null
                     && receipts != null
-                    && !receipts.of(next.workload).isNew(next.receipt, next.workload.window, now)) {
+                    && !receipts.of(next.workload).isNew(next.receipt, next.workload.dedupWindow, now)) {
                 next.repeat = true;
                 next.left = Math.min(next.left, QUICK_ERROR / 1e9);
             }
--- a/rig/src/main/java/saltdale/rig/judge/Judge.java
+++ b/rig/src/main/java/saltdale/rig/judge/Judge.java
@@ -169,7 +169,7 @@
         if (how == Final.FULFILLED && !about.results.contains(result)) {
             breach(Breach.Kind.ANSWER_NOBODY_MADE, at, id, "no runner made this result for it");
         } else if (how == Final.SHED && !mayShed(about)) {
-            breach(Breach.Kind.SHED_AFTER_RUN, at, id, about.workload.repeat + " and may have run");
+            breach(Breach.Kind.SHED_AFTER_RUN, at, id, about.workload.repeatSafety + " and may have run");
         } else if (how == Final.GIVEN_UP) {
             heldBack(at, about);
         }
@@ -178,16 +178,16 @@
     /** Rule 2: a shed reply says that trying again is harmless. */
     private static boolean mayShed(Case about) {
         Workload w = about.workload;
-        return w.repeat == Workload.Repeat.PURE
+        return w.repeatSafety == Workload.RepeatSafety.PURE
                 || !about.mayHaveRun()
-                || w.repeat == Workload.Repeat.RECEIPTED && w.group == Workload.Group.ALL;
+                || w.repeatSafety == Workload.RepeatSafety.RECEIPTED && w.dedupScope == Workload.DedupScope.ALL;
     }
 
     /**
      * What has been given up is answered at once: here nothing more could follow since its dispatch ended.
      */
     private void heldBack(Duration at, Case about) {
-        if (about.workload.repeat != Workload.Repeat.EFFECTFUL || !about.mayHaveRun()) {
+        if (about.workload.repeatSafety != Workload.RepeatSafety.EFFECTFUL || !about.mayHaveRun()) {
             return;
         }
         Duration over = Duration.ZERO;
@@ -310,7 +310,7 @@
         }
         Workload w = about.workload;
         if (!w.zones.isEmpty() && !w.zones.contains(terms.zones()[runner])
-                || !w.kinds.isEmpty() && !w.kinds.contains(terms.kinds()[runner])) {
+                || !w.machineTypes.isEmpty() && !w.machineTypes.contains(terms.kinds()[runner])) {
             breach(
                     Breach.Kind.MISPLACED,
                     at,
@@ -346,10 +346,10 @@
                         about.id,
                         "dispatched to runner " + runner + " while one is out at " + earlier.runner);
             }
-            if (earlier.unstarted || w.repeat == Workload.Repeat.PURE) {
+            if (earlier.unstarted || w.repeatSafety == Workload.RepeatSafety.PURE) {
                 continue;
             }
-            if (w.repeat == Workload.Repeat.EFFECTFUL) {
+            if (w.repeatSafety == Workload.RepeatSafety.EFFECTFUL) {
                 breach(Breach.Kind.REPEATED_EFFECTFUL, at, about.id, "it may have run at runner " + earlier.runner);
             } else if (!sameGroup(w, earlier.runner, runner)) {
                 breach(
@@ -358,14 +358,14 @@
                         about.id,
                         "it may have run at runner " + earlier.runner + ", whose receipts runner " + runner
                                 + " does not know");
-            } else if (!late && at.compareTo(earlier.at.plus(w.window).plus(terms.slack())) > 0) {
+            } else if (!late && at.compareTo(earlier.at.plus(w.dedupWindow).plus(terms.slack())) > 0) {
                 breach(Breach.Kind.AFTER_WINDOW, at, about.id, "its receipt was forgotten by then");
             }
         }
     }
 
     private boolean sameGroup(Workload w, int one, int other) {
-        return switch (w.group) {
+        return switch (w.dedupScope) {
             case ALL -> true;
             case ZONE -> terms.zones()[one].equals(terms.zones()[other]);
             case CELL -> terms.cells()[one] == terms.cells()[other];
@@ -442,7 +442,7 @@
             return;
         }
         about.results.add(result);
-        if (++about.effects > 1 && about.workload.repeat != Workload.Repeat.PURE) {
+        if (++about.effects > 1 && about.workload.repeatSafety != Workload.RepeatSafety.PURE) {
             breach(Breach.Kind.EFFECT_TWICE, at, id, "runner " + runner + " ran it, and another had");
         }
     }
--- a/rig/src/main/java/saltdale/rig/load/Generator.java
+++ b/rig/src/main/java/saltdale/rig/load/Generator.java
@@ -194,7 +194,7 @@
             current.send(false);
             if (tries == 1 && persistence.leaves()) {
                 Try first = current;
-                loopThread.loop.after(ask.job().workload().patience.dividedBy(2), () -> {
+                loopThread.loop.after(ask.job().workload().clientTimeout.dividedBy(2), () -> {
                     if (current == first && !finished) {
                         witness.left(origin.now(), first.id);
                         first.drop();
@@ -252,11 +252,11 @@
                         id,
                         customer.ask.job().workload(),
                         dispatcher,
-                        customer.ask.job().workload().patience);
+                        customer.ask.job().workload().clientTimeout);
             }
             connection.beginMessage();
             reused = connection.isReused();
-            Duration patience = ask.job().workload().patience;
+            Duration patience = ask.job().workload().clientTimeout;
             connection.send(ByteBuffer.wrap(("POST /" + ask.job().name() + "/" + ask.number()
                             + " HTTP/1.1\r\nHost: "
                             + LoopbackAddresses.text(addresses[dispatcher]) + "\r\nRequest-Id: " + id
--- a/rig/src/main/java/saltdale/rig/load/Persistence.java
+++ b/rig/src/main/java/saltdale/rig/load/Persistence.java
@@ -58,9 +58,9 @@
     /** A shed one did not run; else only what drops repeats anywhere may be asked for again. */
     private boolean mayRepeat(Workload workload, Final how, Duration now, Duration firstAt) {
         return how == Final.SHED
-                || workload.repeat == Workload.Repeat.PURE
-                || workload.repeat == Workload.Repeat.RECEIPTED
-                        && workload.group == Workload.Group.ALL
-                        && now.compareTo(firstAt.plus(workload.window)) < 0;
+                || workload.repeatSafety == Workload.RepeatSafety.PURE
+                || workload.repeatSafety == Workload.RepeatSafety.RECEIPTED
+                        && workload.dedupScope == Workload.DedupScope.ALL
+                        && now.compareTo(firstAt.plus(workload.dedupWindow)) < 0;
     }
 }
--- a/rig/src/main/java/saltdale/rig/load/Tally.java
+++ b/rig/src/main/java/saltdale/rig/load/Tally.java
@@ -78,7 +78,7 @@
     /** When an answer to this ask is worth something no more, since its intended time. */
     public static Duration promised(Ask ask) {
         Workload w = ask.job().workload();
-        return w.promised.plusNanos((long) (w.stretch * ask.size() * 1e9));
+        return w.targetLatency.plusNanos((long) (w.latencyStretch * ask.size() * 1e9));
     }
 
     /**
--- a/rig/src/main/java/saltdale/rig/plan/Day.java
+++ b/rig/src/main/java/saltdale/rig/plan/Day.java
@@ -5,8 +5,8 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
-import saltdale.model.Relief;
-import saltdale.model.StandingOrders;
+import saltdale.model.DispatcherSettings;
+import saltdale.model.OverloadSettings;
 import saltdale.model.Workload;
 
 /** One day to be played: the dispatchers, what they are told, the fleet, the load and the troubles. */
@@ -16,7 +16,7 @@
     public final Duration length;
     public final Duration warmUp;
     public final int dispatchers;
-    public final StandingOrders orders;
+    public final DispatcherSettings orders;
     public final Duration drainGrace;
     public final Duration answerGrace;
     public final Duration idleClose;
@@ -71,35 +71,35 @@
         probeCost = net.span("probe_cost", Duration.ofNanos(300_000));
 
         Sheet told = sheet.part("orders");
-        orders = new StandingOrders();
-        orders.dispatchers = dispatchers;
-        orders.round = told.span("round", Duration.ofMillis(1));
-        orders.mustSubscribe = told.flag("must_subscribe", false);
-        mustSubscribe = orders.mustSubscribe;
-        orders.probes = told.flag("probes", true);
-        orders.cancels = told.flag("cancels", true);
-        orders.parallel = told.flag("parallel", false);
-        orders.pauses = told.flag("pauses", true);
-        orders.longestPause = told.span("longest_pause", Duration.ofSeconds(1));
-        orders.mostDispatches = told.whole("most_dispatches", 4, 1, 1000);
-        orders.connectTime = told.span("connect_time", Duration.ofMillis(250));
-        if (orders.connectTime.isZero()) {
+        orders = new DispatcherSettings();
+        orders.dispatcherCount = dispatchers;
+        orders.roundInterval = told.span("round", Duration.ofMillis(1));
+        orders.subscribes = told.flag("must_subscribe", false);
+        mustSubscribe = orders.subscribes;
+        orders.mayProbe = told.flag("probes", true);
+        orders.mayCancel = told.flag("cancels", true);
+        orders.parallelAttempts = told.flag("parallel", false);
+        orders.sendsRetryAfter = told.flag("pauses", true);
+        orders.maxRetryAfter = told.span("longest_pause", Duration.ofSeconds(1));
+        orders.maxAttempts = told.whole("most_dispatches", 4, 1, 1000);
+        orders.connectTimeout = told.span("connect_time", Duration.ofMillis(250));
+        if (orders.connectTimeout.isZero()) {
             throw told.wrong("connect_time", "a span over 0");
         }
-        orders.tellsStart = told.flag("tells_start", true);
-        orders.progressEvery = makes.stream()
+        orders.reportsStart = told.flag("tells_start", true);
+        orders.progressInterval = makes.stream()
                 .map(Make::progressEvery)
                 .filter(p -> !p.isZero())
                 .max(Duration::compareTo)
                 .orElse(Duration.ZERO);
-        orders.coldFrom = makes.stream().mapToDouble(Make::coldFrom).min().orElse(1);
-        orders.warmWithin =
+        orders.coldCapacity = makes.stream().mapToDouble(Make::coldFrom).min().orElse(1);
+        orders.warmUpTime =
                 makes.stream().map(Make::warmWithin).max(Duration::compareTo).orElse(Duration.ZERO);
-        orders.tipMultiple = told.number("tip_multiple", 2.5, 1, 1000);
-        orders.fall = told.span("fall", Duration.ofSeconds(2));
-        orders.fullProvesNothing = told.flag("full_proves_nothing", false);
+        orders.coldLimitMultiple = told.number("tip_multiple", 2.5, 1, 1000);
+        orders.coldLimitWindow = told.span("fall", Duration.ofSeconds(2));
+        orders.lateRejections = told.flag("full_proves_nothing", false);
         orders.crossZonePrice = told.number("cross_zone_price", 0, 0, 10);
-        orders.relief = sheet.has("overload") ? relief(sheet.part("overload")) : null;
+        orders.overload = sheet.has("overload") ? relief(sheet.part("overload")) : null;
         drainGrace = told.span("drain_grace", Duration.ofMillis(500));
         answerGrace = told.span("answer_grace", Duration.ofMillis(50));
         idleClose = told.span("idle_close", Duration.ofSeconds(30));
@@ -113,12 +113,12 @@
         jobs.forEach(job -> orders.workloads.add(job.workload()));
 
         Traffic read = Traffic.read(sheet.part("load"));
-        orders.repeatsMarked = read.marks();
+        orders.retriesMarked = read.marks();
         traffic = read.utilisation() == 0 ? read : read.at(read.utilisation() * capacity() / meanSize());
         SplittableRandom chance = new SplittableRandom(seed * 31 + 7);
         for (Sheet row : sheet.rows("trouble")) {
             Trouble next = Trouble.read(row, runners, dispatchers, zones, chance);
-            if (next.kind() == Trouble.Kind.LATE_SHED && !orders.fullProvesNothing) {
+            if (next.kind() == Trouble.Kind.LATE_SHED && !orders.lateRejections) {
                 throw row.wrong("kind", "possible: orders.full_proves_nothing is not true");
             }
             for (Trouble other : troubles) {
@@ -153,45 +153,45 @@
     }
 
     /** What one dispatcher is told: the same as all, but for its number and its zone. */
-    public StandingOrders orders(int dispatcher) {
-        StandingOrders one = new StandingOrders();
+    public DispatcherSettings orders(int dispatcher) {
+        DispatcherSettings one = new DispatcherSettings();
         one.workloads.addAll(orders.workloads);
-        one.index = dispatcher;
-        one.dispatchers = orders.dispatchers;
+        one.dispatcherIndex = dispatcher;
+        one.dispatcherCount = orders.dispatcherCount;
         one.zone = zone(dispatcher);
-        one.round = orders.round;
-        one.mustSubscribe = orders.mustSubscribe;
-        one.probes = orders.probes;
-        one.cancels = orders.cancels;
-        one.parallel = orders.parallel;
-        one.pauses = orders.pauses;
-        one.longestPause = orders.longestPause;
-        one.mostDispatches = orders.mostDispatches;
-        one.connectTime = orders.connectTime;
-        one.tellsStart = orders.tellsStart;
-        one.progressEvery = orders.progressEvery;
-        one.coldFrom = orders.coldFrom;
-        one.warmWithin = orders.warmWithin;
-        one.tipMultiple = orders.tipMultiple;
-        one.fall = orders.fall;
-        one.fullProvesNothing = orders.fullProvesNothing;
+        one.roundInterval = orders.roundInterval;
+        one.subscribes = orders.subscribes;
+        one.mayProbe = orders.mayProbe;
+        one.mayCancel = orders.mayCancel;
+        one.parallelAttempts = orders.parallelAttempts;
+        one.sendsRetryAfter = orders.sendsRetryAfter;
+        one.maxRetryAfter = orders.maxRetryAfter;
+        one.maxAttempts = orders.maxAttempts;
+        one.connectTimeout = orders.connectTimeout;
+        one.reportsStart = orders.reportsStart;
+        one.progressInterval = orders.progressInterval;
+        one.coldCapacity = orders.coldCapacity;
+        one.warmUpTime = orders.warmUpTime;
+        one.coldLimitMultiple = orders.coldLimitMultiple;
+        one.coldLimitWindow = orders.coldLimitWindow;
+        one.lateRejections = orders.lateRejections;
         one.crossZonePrice = orders.crossZonePrice;
-        one.relief = orders.relief;
-        one.repeatsMarked = orders.repeatsMarked;
+        one.overload = orders.overload;
+        one.retriesMarked = orders.retriesMarked;
         return one;
     }
 
     /** As the daemon reads its own table of this name. */
-    private static Relief relief(Sheet sheet) {
-        Relief usual = Relief.USUAL;
-        Relief relief = new Relief(
-                sheet.number("low", usual.low(), 0, 10),
-                sheet.number("high", usual.high(), 0, 10),
-                sheet.number("borne", usual.borne(), 0.01, 1),
-                sheet.number("missed", usual.missed(), 0, 1),
-                sheet.span("step", usual.step()),
-                sheet.whole("known", usual.known(), 1, 1_000_000));
-        if (relief.high() <= relief.low()) {
+    private static OverloadSettings relief(Sheet sheet) {
+        OverloadSettings usual = OverloadSettings.DEFAULTS;
+        OverloadSettings relief = new OverloadSettings(
+                sheet.number("low", usual.lowWaitShare(), 0, 10),
+                sheet.number("high", usual.highWaitShare(), 0, 10),
+                sheet.number("borne", usual.slackShare(), 0.01, 1),
+                sheet.number("missed", usual.tolerableMissShare(), 0, 1),
+                sheet.span("step", usual.minChangeInterval()),
+                sheet.whole("known", usual.minCompletions(), 1, 1_000_000));
+        if (relief.highWaitShare() <= relief.lowWaitShare()) {
             throw sheet.wrong("high", "over low");
         }
         return relief;
@@ -203,15 +203,15 @@
         if (!w.name.matches("[A-Za-z0-9._~-]+")) {
             throw row.wrong("name", "a name of letters, figures and . _ ~ -");
         }
-        w.promised = row.span("promised", Duration.ofMillis(400));
-        w.stretch = row.number("stretch", 2, 0, 1000);
-        w.patience = row.span("patience", Duration.ofSeconds(3));
+        w.targetLatency = row.span("promised", Duration.ofMillis(400));
+        w.latencyStretch = row.number("stretch", 2, 0, 1000);
+        w.clientTimeout = row.span("patience", Duration.ofSeconds(3));
         w.importance = row.number("importance", 1, 0, 1e9);
-        w.repeat = row.word("repeat", Workload.Repeat.PURE);
-        w.group = row.word("group", Workload.Group.ALL);
-        w.window = row.span("window", Duration.ofSeconds(5));
+        w.repeatSafety = row.word("repeat", Workload.RepeatSafety.PURE);
+        w.dedupScope = row.word("group", Workload.DedupScope.ALL);
+        w.dedupWindow = row.span("window", Duration.ofSeconds(5));
         w.zones.addAll(among(row, "zones", zones));
-        w.kinds.addAll(among(row, "kinds", makes.stream().map(Make::name).toList()));
+        w.machineTypes.addAll(among(row, "kinds", makes.stream().map(Make::name).toList()));
         return new Job(w, row.number("share", 1, 0.000001, 1e9), Size.read(row.part("size")));
     }
 
@@ -251,9 +251,9 @@
      */
     public Duration longestStay() {
         int tries = traffic.retries() + 1;
-        Duration each = orders.longestPatience()
+        Duration each = orders.maxClientTimeout()
                 .plus(answerGrace)
-                .plus(traffic.honoursPause() ? orders.longestPause : Duration.ZERO);
+                .plus(traffic.honoursPause() ? orders.maxRetryAfter : Duration.ZERO);
         return each.multipliedBy(tries).plus(traffic.firstWait().multipliedBy(1L << Math.min(20, tries)));
     }
 
--- a/rig/src/main/java/saltdale/rig/plan/Size.java
+++ b/rig/src/main/java/saltdale/rig/plan/Size.java
@@ -6,7 +6,7 @@
 import org.apache.commons.math3.distribution.LogNormalDistribution;
 import org.apache.commons.math3.distribution.ParetoDistribution;
 import org.apache.commons.math3.distribution.RealDistribution;
-import saltdale.model.Spans;
+import saltdale.model.Durations;
 
 /** How sizes are spread: the running time of an assignment on one free core of speed 1, in seconds. */
 public final class Size {
@@ -25,7 +25,7 @@
     /** {@code cv}: standard deviation over mean, of lognormal and Pareto. */
     public Size(Kind kind, Duration mean, double cv) {
         this.kind = kind;
-        this.mean = Spans.secs(mean);
+        this.mean = Durations.seconds(mean);
         double square = Math.log(1 + cv * cv);
         double tail = 1 + Math.sqrt(1 + 1 / (cv * cv)); // gives this cv
         spread = switch (kind) {
--- a/rig/src/main/java/saltdale/rig/simulate/BaselineDispatcher.java
+++ b/rig/src/main/java/saltdale/rig/simulate/BaselineDispatcher.java
@@ -8,14 +8,14 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import saltdale.model.Assignment;
-import saltdale.model.Dispatch;
-import saltdale.model.Door;
+import saltdale.model.Attempt;
+import saltdale.model.DispatcherActions;
+import saltdale.model.DispatcherSettings;
 import saltdale.model.LoadReport;
 import saltdale.model.Outcome;
+import saltdale.model.Request;
 import saltdale.model.Runner;
-import saltdale.model.Sighting;
-import saltdale.model.StandingOrders;
+import saltdale.model.RunnerListEntry;
 import saltdale.model.Workload;
 
 /**
@@ -56,8 +56,8 @@
 
     private static final int HELD = 4; // for each runner, over all dispatchers: the fixed limit
 
-    private final StandingOrders orders;
-    private final Door door;
+    private final DispatcherSettings orders;
+    private final DispatcherActions door;
     private final SplittableRandom chance;
     private final Choice choice;
     private final Slip slip;
@@ -67,7 +67,8 @@
     private final List<Runnable> wishes = new ArrayList<>();
     private int turn;
 
-    public BaselineDispatcher(StandingOrders orders, Door door, SplittableRandom chance, Choice choice, Slip slip) {
+    public BaselineDispatcher(
+            DispatcherSettings orders, DispatcherActions door, SplittableRandom chance, Choice choice, Slip slip) {
         this.orders = orders;
         this.door = door;
         this.chance = chance;
@@ -81,9 +82,9 @@
     }
 
     @Override
-    public void listed(Duration now, List<Sighting> sightings, boolean whole, boolean cached) {
-        for (Sighting s : sightings) {
-            s.runner().sighted(s, s.runner().of);
+    public void listed(Duration now, List<RunnerListEntry> sightings, boolean whole, boolean cached) {
+        for (RunnerListEntry s : sightings) {
+            s.runner().update(s, s.runner().typeStats);
             boolean stays = s.mode() == Runner.Mode.READY
                     || s.mode() == Runner.Mode.DRAINING && slip == Slip.IGNORES_DRAIN
                     || s.mode() == Runner.Mode.GONE && slip == Slip.IGNORES_GONE;
@@ -93,28 +94,29 @@
                 runners.remove(s.runner());
             }
             if (s.startedAt() != null) {
-                coldUntil.put(s.runner(), s.startedAt().plus(orders.warmWithin));
+                coldUntil.put(s.runner(), s.startedAt().plus(orders.warmUpTime));
             }
         }
     }
 
     @Override
-    public void arrived(Duration now, Assignment a) {
-        wishes.add(() -> door.wake(a.deadline.minus(now).minusMillis(slip == Slip.ANSWERS_LATE ? -400 : 5), a));
+    public void arrived(Duration now, Request a) {
+        wishes.add(() -> door.setTimer(a.deadline.minus(now).minusMillis(slip == Slip.ANSWERS_LATE ? -400 : 5), a));
         if (slip == Slip.FORGETS && chance.nextInt(20) == 0) {
             return;
         }
         go(now, a);
         // given up while it is out, then sent again
-        if (slip == Slip.SENDS_AFTER_END && !a.dispatches.isEmpty()) {
-            wishes.add(() -> door.wake(Duration.ofMillis(5), a.last()));
+        if (slip == Slip.SENDS_AFTER_END && !a.attempts.isEmpty()) {
+            wishes.add(() -> door.setTimer(Duration.ofMillis(5), a.lastAttempt()));
         }
     }
 
-    private void go(Duration now, Assignment a) {
+    private void go(Duration now, Request a) {
         boolean over = choice == Choice.FIXED_LIMIT
-                && a.dispatches.isEmpty()
-                && runners.stream().mapToInt(r -> r.out.size()).sum() * orders.dispatchers >= HELD * runners.size();
+                && a.attempts.isEmpty()
+                && runners.stream().mapToInt(r -> r.inFlight.size()).sum() * orders.dispatcherCount
+                        >= HELD * runners.size();
         Runner runner = over ? null : choose(now, a);
         if (runner == null) {
             answer(a);
@@ -129,17 +131,17 @@
         }
     }
 
-    private void send(Duration now, Assignment a, Runner runner) {
-        Dispatch d = new Dispatch(a, runner, now, 1, runner.out.size());
-        a.dispatches.add(d);
-        runner.out.add(d);
+    private void send(Duration now, Request a, Runner runner) {
+        Attempt d = new Attempt(a, runner, now, 1, runner.inFlight.size());
+        a.attempts.add(d);
+        runner.inFlight.add(d);
         wishes.add(() -> door.dispatch(d, null));
     }
 
-    private Runner choose(Duration now, Assignment a) {
+    private Runner choose(Duration now, Request a) {
         List<Runner> fit = new ArrayList<>();
         for (Runner r : runners) {
-            if (mayGo(a, r) && !cold(now, r) && !a.sentTo(r)) {
+            if (mayGo(a, r) && !cold(now, r) && !a.wasSentTo(r)) {
                 fit.add(r);
             }
         }
@@ -170,7 +172,7 @@
     }
 
     private double load(Runner r) {
-        return choice == Choice.SEES_LATE ? Math.max(((Sight) door).held(r), r.out.size()) : r.out.size();
+        return choice == Choice.SEES_LATE ? Math.max(((Sight) door).held(r), r.inFlight.size()) : r.inFlight.size();
     }
 
     /** Sends to a cold runner are spread so thin that all dispatchers together stay far under its budget. */
@@ -178,7 +180,7 @@
         if (now.compareTo(coldUntil.getOrDefault(r, Duration.ZERO)) >= 0) {
             return false;
         }
-        Duration gap = orders.fall.multipliedBy(orders.dispatchers);
+        Duration gap = orders.coldLimitWindow.multipliedBy(orders.dispatcherCount);
         Duration last = lastCold.get(r);
         if (last != null && now.compareTo(last.plus(gap)) < 0) {
             return true;
@@ -187,29 +189,29 @@
         return false;
     }
 
-    private boolean mayGo(Assignment a, Runner r) {
+    private boolean mayGo(Request a, Runner r) {
         Workload w = a.workload;
         if (slip != Slip.MISPLACES && !w.mayRunOn(r)) {
             return false;
-        } else if (w.repeat == Workload.Repeat.PURE || !a.mayHaveRun()) {
+        } else if (w.repeatSafety == Workload.RepeatSafety.PURE || !a.mayHaveRun()) {
             return true;
-        } else if (w.repeat == Workload.Repeat.EFFECTFUL) {
+        } else if (w.repeatSafety == Workload.RepeatSafety.EFFECTFUL) {
             return slip == Slip.REPEATS_EFFECTFUL;
         }
         return slip == Slip.LEAVES_GROUP
                 || slip == Slip.OUTLASTS_WINDOW
-                || a.dispatches.stream().allMatch(d -> w.sameGroup(d.runner, r));
+                || a.attempts.stream().allMatch(d -> w.sharesDedupScope(d.runner, r));
     }
 
-    private boolean mayShed(Assignment a) {
+    private boolean mayShed(Request a) {
         Workload w = a.workload;
         return slip == Slip.SHEDS_WHAT_RAN
-                || w.repeat == Workload.Repeat.PURE
+                || w.repeatSafety == Workload.RepeatSafety.PURE
                 || !a.mayHaveRun()
-                || w.repeat == Workload.Repeat.RECEIPTED && w.group == Workload.Group.ALL;
+                || w.repeatSafety == Workload.RepeatSafety.RECEIPTED && w.dedupScope == Workload.DedupScope.ALL;
     }
 
-    private void answer(Assignment a) {
+    private void answer(Request a) {
         if (a.closed) {
             return;
         }
@@ -223,32 +225,32 @@
     }
 
     @Override
-    public void started(Duration now, Dispatch d) {
+    public void started(Duration now, Attempt d) {
         d.startedAt = now;
     }
 
     @Override
-    public void progressed(Duration now, Dispatch d) {
-        d.heardAt = now;
+    public void progressed(Duration now, Attempt d) {
+        d.lastProgressAt = now;
     }
 
     @Override
-    public void ended(Duration now, Dispatch d, Outcome outcome, boolean over, LoadReport report) {
-        Assignment a = d.assignment;
+    public void ended(Duration now, Attempt d, Outcome outcome, boolean over, LoadReport report) {
+        Request a = d.request;
         d.outcome = outcome;
-        d.unproven = outcome == Outcome.TURNED_AWAY && orders.fullProvesNothing && slip != Slip.TRUSTS_FULL;
-        d.runner.out.remove(d);
+        d.ambiguousRejection = outcome == Outcome.TURNED_AWAY && orders.lateRejections && slip != Slip.TRUSTS_FULL;
+        d.runner.inFlight.remove(d);
         if (over) {
             a.closed = true;
         } else if (slip == Slip.ANSWERS_LATE && now.compareTo(a.deadline) >= 0) {
             return;
-        } else if (!a.closed && a.pending() == null) {
-            boolean again = a.dispatches.size() < orders.mostDispatches;
-            boolean canFollow = again && runners.stream().anyMatch(r -> mayGo(a, r) && !a.sentTo(r));
+        } else if (!a.closed && a.pendingAttempt() == null) {
+            boolean again = a.attempts.size() < orders.maxAttempts;
+            boolean canFollow = again && runners.stream().anyMatch(r -> mayGo(a, r) && !a.wasSentTo(r));
             if (slip == Slip.HOLDS_BACK && !canFollow) {
                 return; // until its patience is nearly over
             } else if (slip == Slip.OUTLASTS_WINDOW && a.mayHaveRun()) {
-                wishes.add(() -> door.wake(a.workload.window.plusMillis(100), d));
+                wishes.add(() -> door.setTimer(a.workload.dedupWindow.plusMillis(100), d));
             } else if (canFollow) {
                 go(now, a);
             } else {
@@ -263,13 +265,13 @@
     }
 
     @Override
-    public void close(Assignment a) {
+    public void close(Request a) {
         a.closed = true;
         callOff(a);
     }
 
-    private void callOff(Assignment a) {
-        for (Dispatch d : a.dispatches) {
+    private void callOff(Request a) {
+        for (Attempt d : a.attempts) {
             if (d.outcome == null) {
                 wishes.add(() -> door.cancel(d));
             }
@@ -278,21 +280,21 @@
 
     @Override
     public void woken(Duration now, Object what) {
-        if (what instanceof Assignment a && !a.closed) {
-            if (slip == Slip.FORGETS && a.dispatches.isEmpty()) {
+        if (what instanceof Request a && !a.closed) {
+            if (slip == Slip.FORGETS && a.attempts.isEmpty()) {
                 return;
             }
             callOff(a);
             answer(a);
-        } else if (what instanceof Dispatch d && slip == Slip.SENDS_AFTER_END) {
-            if (d.outcome == null && !d.assignment.closed) {
-                answer(d.assignment);
-                wishes.add(() -> door.wake(Duration.ofMillis(20), d));
+        } else if (what instanceof Attempt d && slip == Slip.SENDS_AFTER_END) {
+            if (d.outcome == null && !d.request.closed) {
+                answer(d.request);
+                wishes.add(() -> door.setTimer(Duration.ofMillis(20), d));
             } else if (d.outcome == null) {
-                go(now, d.assignment);
+                go(now, d.request);
             }
-        } else if (what instanceof Dispatch d && !d.assignment.closed) {
-            go(now, d.assignment);
+        } else if (what instanceof Attempt d && !d.request.closed) {
+            go(now, d.request);
         }
     }
 
--- a/rig/src/main/java/saltdale/rig/simulate/Fleet.java
+++ b/rig/src/main/java/saltdale/rig/simulate/Fleet.java
@@ -48,8 +48,8 @@
                     new RunnerModel(
                             day.make(i),
                             receipts.get(i),
-                            day.orders.tipMultiple,
-                            day.orders.fall,
+                            day.orders.coldLimitMultiple,
+                            day.orders.coldLimitWindow,
                             day.meanSize(),
                             chance.split(),
                             new News(i))));
@@ -179,7 +179,7 @@
 
         @Override
         public void started(Duration at, Work work) {
-            if (sim.day.orders.tellsStart) {
+            if (sim.day.orders.reportsStart) {
                 ((Node.Flight) work.mark).started();
             }
         }
--- a/rig/src/main/java/saltdale/rig/simulate/ModuleDispatcher.java
+++ b/rig/src/main/java/saltdale/rig/simulate/ModuleDispatcher.java
@@ -4,20 +4,20 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import saltdale.decision.Dispatcher;
-import saltdale.model.Assignment;
-import saltdale.model.Dispatch;
-import saltdale.model.Door;
+import saltdale.model.Attempt;
+import saltdale.model.DispatcherActions;
+import saltdale.model.DispatcherSettings;
 import saltdale.model.LoadReport;
 import saltdale.model.Outcome;
+import saltdale.model.Request;
 import saltdale.model.Runner;
-import saltdale.model.Sighting;
-import saltdale.model.StandingOrders;
+import saltdale.model.RunnerListEntry;
 
 /** The decision module itself. */
 public class ModuleDispatcher implements SimulatedDispatcher {
     private final Dispatcher module;
 
-    public ModuleDispatcher(StandingOrders orders, Door door, SplittableRandom chance) {
+    public ModuleDispatcher(DispatcherSettings orders, DispatcherActions door, SplittableRandom chance) {
         module = new Dispatcher(orders, door, chance);
     }
 
@@ -27,51 +27,51 @@
 
     @Override
     public void began(Duration now) {
-        module.began(now);
+        module.onStart(now);
     }
 
     @Override
-    public void listed(Duration now, List<Sighting> sightings, boolean whole, boolean cached) {
-        module.listed(now, sightings, whole, cached);
+    public void listed(Duration now, List<RunnerListEntry> sightings, boolean whole, boolean cached) {
+        module.onRunnerList(now, sightings, whole, cached);
     }
 
     @Override
-    public void arrived(Duration now, Assignment a) {
-        module.arrived(now, a);
+    public void arrived(Duration now, Request a) {
+        module.onRequest(now, a);
     }
 
     @Override
-    public void started(Duration now, Dispatch d) {
-        module.started(now, d);
+    public void started(Duration now, Attempt d) {
+        module.onStarted(now, d);
     }
 
     @Override
-    public void progressed(Duration now, Dispatch d) {
-        module.progressed(now, d);
+    public void progressed(Duration now, Attempt d) {
+        module.onProgress(now, d);
     }
 
     @Override
-    public void ended(Duration now, Dispatch d, Outcome outcome, boolean over, LoadReport report) {
-        module.ended(now, d, outcome, over, report);
+    public void ended(Duration now, Attempt d, Outcome outcome, boolean over, LoadReport report) {
+        module.onAttemptEnd(now, d, outcome, over, report);
     }
 
     @Override
     public void probed(Duration now, Runner r, boolean answered, Duration took, LoadReport report) {
-        module.probed(now, r, answered, took, report);
+        module.onProbeResult(now, r, answered, took, report);
     }
 
     @Override
-    public void close(Assignment a) {
+    public void close(Request a) {
         module.close(a);
     }
 
     @Override
     public void woken(Duration now, Object what) {
-        module.woken(now, what);
+        module.onTimer(now, what);
     }
 
     @Override
     public void settle(Duration now) {
-        module.settle(now);
+        module.applyActions(now);
     }
 }
--- a/rig/src/main/java/saltdale/rig/simulate/Node.java
+++ b/rig/src/main/java/saltdale/rig/simulate/Node.java
@@ -10,25 +10,25 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.SplittableRandom;
-import saltdale.model.Assignment;
-import saltdale.model.Dispatch;
-import saltdale.model.Door;
+import saltdale.model.Attempt;
+import saltdale.model.DispatcherActions;
+import saltdale.model.DispatcherSettings;
 import saltdale.model.LoadReport;
 import saltdale.model.Outcome;
+import saltdale.model.Request;
 import saltdale.model.Runner;
-import saltdale.model.Sighting;
-import saltdale.model.StandingOrders;
+import saltdale.model.RunnerListEntry;
 import saltdale.model.Workload;
 import saltdale.rig.fleet.RunnerModel;
 import saltdale.rig.fleet.Work;
 import saltdale.rig.judge.Witness.Health;
 
 /** One simulated dispatcher: the Door of what decides, with the timeline and the network behind it. */
-final class Node implements Door, Sight {
+final class Node implements DispatcherActions, Sight {
     private final Simulation sim;
     final int number;
     private final SplittableRandom chance;
-    private final StandingOrders orders;
+    private final DispatcherSettings orders;
     private SimulatedDispatcher mind;
     /** Counts its lives: what was set for an earlier one is not for this one. */
     private int life;
@@ -36,17 +36,17 @@
     private boolean settling;
     private final List<Runner> runners = new ArrayList<>();
     private final Map<Runner, Integer> numbers = new IdentityHashMap<>();
-    private final Map<Assignment, Held> held = new LinkedHashMap<>(); // in order: a kill answers all of them
+    private final Map<Request, Held> held = new LinkedHashMap<>(); // in order: a kill answers all of them
     private final Map<String, Held> byId = new HashMap<>();
     private final Set<Integer> connected = new HashSet<>();
 
     private static final class Held {
         final Simulation.Try of;
-        final Assignment assignment;
-        final Map<Dispatch, Flight> flights = new IdentityHashMap<>(2);
+        final Request assignment;
+        final Map<Attempt, Flight> flights = new IdentityHashMap<>(2);
         boolean answered;
 
-        Held(Simulation.Try of, Assignment assignment) {
+        Held(Simulation.Try of, Request assignment) {
             this.of = of;
             this.assignment = assignment;
         }
@@ -130,7 +130,7 @@
         if (mind == null) {
             return;
         }
-        List<Sighting> all = new ArrayList<>();
+        List<RunnerListEntry> all = new ArrayList<>();
         for (int i = 0; i < runners.size(); i++) {
             all.add(sighting(i));
         }
@@ -145,7 +145,7 @@
         }
     }
 
-    private Sighting sighting(int runner) {
+    private RunnerListEntry sighting(int runner) {
         Health health = sim.health(runner);
         sim.judge.told(now(), number, runner, health, sim.fleet.bornAt(runner));
         Runner.Mode mode = switch (health) {
@@ -153,7 +153,7 @@
             case DRAINING -> Runner.Mode.DRAINING;
             case GONE -> Runner.Mode.GONE;
         };
-        return new Sighting(
+        return new RunnerListEntry(
                 runners.get(runner),
                 sim.fleet.make(runner).name(),
                 sim.day.zone(runner),
@@ -166,8 +166,8 @@
     // ---- Clients.
 
     void take(Simulation.Try request) {
-        Assignment a = new Assignment(request.ask().job().workload(), now(), request.patience());
-        a.repeated = request.number > 1;
+        Request a = new Request(request.ask().job().workload(), now(), request.patience());
+        a.markedAsRetry = request.number > 1;
         Held taken = new Held(request, a);
         held.put(a, taken);
         byId.put(request.id, taken);
@@ -218,7 +218,7 @@
     }
 
     private void forgetIfOver(Held done) {
-        if (done.answered && done.assignment.isOver() && held.remove(done.assignment) != null) {
+        if (done.answered && done.assignment.isFinished() && held.remove(done.assignment) != null) {
             byId.remove(done.of.id);
         }
     }
@@ -243,14 +243,14 @@
 
     final class Flight {
         private final Held of;
-        private final Dispatch dispatch;
+        private final Attempt dispatch;
         private final int runner;
         private final int mine = life;
         private Duration arrivesAt;
         private Duration lastWord = Duration.ZERO;
         private boolean calledOff;
 
-        private Flight(Held of, Dispatch dispatch, int runner) {
+        private Flight(Held of, Attempt dispatch, int runner) {
             this.of = of;
             this.dispatch = dispatch;
             this.runner = runner;
@@ -276,7 +276,7 @@
             if (!linked()) {
                 connected.remove(runner);
                 if (fresh) {
-                    after(orders.connectTime, () -> ended(of, this, Outcome.NOT_CONNECTED, null, null));
+                    after(orders.connectTimeout, () -> ended(of, this, Outcome.NOT_CONNECTED, null, null));
                 }
                 return; // on an open connection nothing is heard: it times out
             }
@@ -288,7 +288,7 @@
             Workload workload = of.assignment.workload;
             Work work = new Work(
                     id,
-                    workload.repeat == Workload.Repeat.RECEIPTED ? of.of.receipt() : null,
+                    workload.repeatSafety == Workload.RepeatSafety.RECEIPTED ? of.of.receipt() : null,
                     workload,
                     of.of.ask().size(),
                     number);
@@ -368,7 +368,7 @@
             sim.time.at(at.compareTo(arrivesAt) > 0 ? at : arrivesAt, () -> {
                 if (!linked() || !sim.fleet.isUp(runner)) {
                     if (ends) {
-                        after(orders.connectTime, () -> ended(of, this, Outcome.CANCELLED, null, null));
+                        after(orders.connectTimeout, () -> ended(of, this, Outcome.CANCELLED, null, null));
                     }
                     return;
                 }
@@ -396,8 +396,8 @@
     // ---- The door.
 
     @Override
-    public void dispatch(Dispatch dispatch, Duration timeOut) {
-        Held of = held.get(dispatch.assignment);
+    public void dispatch(Attempt dispatch, Duration timeOut) {
+        Held of = held.get(dispatch.request);
         if (of == null) {
             // over already, and forgotten; what decides is at fault, and the judge has seen the answer
             return;
@@ -416,24 +416,24 @@
     }
 
     @Override
-    public void cancel(Dispatch dispatch) {
-        Held of = held.get(dispatch.assignment);
+    public void cancel(Attempt dispatch) {
+        Held of = held.get(dispatch.request);
         if (of != null) {
             of.flights.get(dispatch).callOff(true);
         }
     }
 
     @Override
-    public void shed(Assignment assignment, Duration pause) {
+    public void shed(Request assignment, Duration pause) {
         finalWord(assignment, Simulation.Outcome.SHED, pause);
     }
 
     @Override
-    public void giveUp(Assignment assignment) {
+    public void giveUp(Request assignment) {
         finalWord(assignment, Simulation.Outcome.GIVEN_UP, null);
     }
 
-    private void finalWord(Assignment assignment, Simulation.Outcome how, Duration pause) {
+    private void finalWord(Request assignment, Simulation.Outcome how, Duration pause) {
         Held of = held.get(assignment);
         if (of != null) {
             answer(of, how, pause, null);
@@ -448,7 +448,7 @@
         Duration there = sim.hop(sim.zoneOf(number), sim.zoneOf(asked));
         after(there, () -> {
             if (sim.fleet.isSilent(asked) || !sim.reachable(sim.zoneOf(number), sim.zoneOf(asked))) {
-                after(orders.connectTime.multipliedBy(2), () -> probed(runner, false, sentAt, null));
+                after(orders.connectTimeout.multipliedBy(2), () -> probed(runner, false, sentAt, null));
                 return;
             }
             boolean up = sim.fleet.isUp(asked);
@@ -463,10 +463,10 @@
     }
 
     @Override
-    public void wake(Duration after, Object what) {
+    public void setTimer(Duration after, Object what) {
         // A wake comes a round later at the soonest: where time stands still in a turn, one at once could go
         // on for ever.
-        after(after.compareTo(orders.round) > 0 ? after : orders.round, () -> {
+        after(after.compareTo(orders.roundInterval) > 0 ? after : orders.roundInterval, () -> {
             mind.woken(now(), what);
             eventful();
         });
@@ -480,22 +480,22 @@
     }
 
     @Override
-    public void readList() {
+    public void requestRunnerList() {
         after(sim.hop(0, 0), this::listWhole);
     }
 
     @Override
-    public void closeIdle(Runner runner) {
+    public void closeIdleConnections(Runner runner) {
         connected.remove(numbers.get(runner));
     }
 
     @Override
-    public void tell(int dispatcher, String message) {
+    public void sendToPeer(int dispatcher, String message) {
         // Dispatchers share nothing here.
     }
 
     @Override
-    public void report(String line) {
+    public void log(String line) {
         // Nobody reads it in simulated time.
     }
 }
--- a/rig/src/main/java/saltdale/rig/simulate/OverloadProof.java
+++ b/rig/src/main/java/saltdale/rig/simulate/OverloadProof.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
-import saltdale.model.Assignment;
-import saltdale.model.Dispatch;
-import saltdale.model.Door;
-import saltdale.model.Relief;
+import saltdale.model.Attempt;
+import saltdale.model.DispatcherActions;
+import saltdale.model.DispatcherSettings;
+import saltdale.model.OverloadSettings;
+import saltdale.model.Request;
 import saltdale.model.Runner;
-import saltdale.model.StandingOrders;
 import saltdale.model.Workload;
 import saltdale.rig.judge.Breach;
 import saltdale.rig.load.Arrivals;
@@ -182,16 +182,17 @@
     }
 
     private static SimulatedDispatcher mind(
-            Slip slip, StandingOrders orders, Door door, SplittableRandom chance, Seen seen) {
-        StandingOrders told = orders;
+            Slip slip, DispatcherSettings orders, DispatcherActions door, SplittableRandom chance, Seen seen) {
+        DispatcherSettings told = orders;
         switch (slip) {
             case SHEDS_THE_DEAREST_FIRST -> told.workloads.get(0).importance = 0.01;
-            case NO_HYSTERESIS -> told.relief = new Relief(0.3, 0.5, 0.5, 0, Duration.ofNanos(1), 8);
-            case SERVES_THE_HOPELESS_FIRST -> told.relief = new Relief(8, 9, 9, 0.05, Duration.ofMillis(100), 8);
+            case NO_HYSTERESIS -> told.overload = new OverloadSettings(0.3, 0.5, 0.5, 0, Duration.ofNanos(1), 8);
+            case SERVES_THE_HOPELESS_FIRST ->
+                told.overload = new OverloadSettings(8, 9, 9, 0.05, Duration.ofMillis(100), 8);
             default -> {}
         }
         seen.slip = slip;
-        Door watched = new Watched(door, seen);
+        DispatcherActions watched = new Watched(door, seen);
         if (slip == Slip.REPEATS_UNBOUNDED) {
             return new BaselineDispatcher(
                     told, watched, chance, BaselineDispatcher.Choice.LEAST_OUT, BaselineDispatcher.Slip.NONE);
@@ -208,7 +209,7 @@
         private long second;
         private long before;
 
-        Counted(StandingOrders orders, Door door, SplittableRandom chance, Seen seen) {
+        Counted(DispatcherSettings orders, DispatcherActions door, SplittableRandom chance, Seen seen) {
             super(orders, door, chance);
             this.seen = seen;
         }
@@ -216,7 +217,7 @@
         @Override
         public void settle(Duration now) {
             super.settle(now);
-            long changes = module().levels().changes();
+            long changes = module().admissionControl().changeCount();
             if (now.toSeconds() > second) {
                 second = now.toSeconds();
                 before = changes;
@@ -245,18 +246,18 @@
     }
 
     /** A door that counts what goes through, and spoils it where the slip says so. */
-    private record Watched(Door door, Seen seen) implements Door {
+    private record Watched(DispatcherActions door, Seen seen) implements DispatcherActions {
         @Override
-        public void dispatch(Dispatch dispatch, Duration timeOut) {
+        public void dispatch(Attempt dispatch, Duration timeOut) {
             seen.dispatches++;
-            seen.first += dispatch.assignment.dispatches.indexOf(dispatch) == 0 ? 1 : 0;
+            seen.first += dispatch.request.attempts.indexOf(dispatch) == 0 ? 1 : 0;
             door.dispatch(dispatch, timeOut);
         }
 
         @Override
-        public void shed(Assignment assignment, Duration pause) {
+        public void shed(Request assignment, Duration pause) {
             Duration told = seen.slip == Slip.PAUSE_WITHOUT_SPREAD ? Duration.ofSeconds(1) : pause;
-            if (told != null && assignment.workload.repeat == Workload.Repeat.PURE) {
+            if (told != null && assignment.workload.repeatSafety == Workload.RepeatSafety.PURE) {
                 double seconds = told.toNanos() / 1e9;
                 seen.pauses++;
                 seen.sum += seconds;
@@ -266,12 +267,12 @@
         }
 
         @Override
-        public void cancel(Dispatch dispatch) {
+        public void cancel(Attempt dispatch) {
             door.cancel(dispatch);
         }
 
         @Override
-        public void giveUp(Assignment assignment) {
+        public void giveUp(Request assignment) {
             door.giveUp(assignment);
         }
 
@@ -281,8 +282,8 @@
         }
 
         @Override
-        public void wake(Duration after, Object what) {
-            door.wake(after, what);
+        public void setTimer(Duration after, Object what) {
+            door.setTimer(after, what);
         }
 
         @Override
@@ -291,23 +292,23 @@
         }
 
         @Override
-        public void readList() {
-            door.readList();
+        public void requestRunnerList() {
+            door.requestRunnerList();
         }
 
         @Override
-        public void closeIdle(Runner runner) {
-            door.closeIdle(runner);
+        public void closeIdleConnections(Runner runner) {
+            door.closeIdleConnections(runner);
         }
 
         @Override
-        public void tell(int dispatcher, String message) {
-            door.tell(dispatcher, message);
+        public void sendToPeer(int dispatcher, String message) {
+            door.sendToPeer(dispatcher, message);
         }
 
         @Override
-        public void report(String line) {
-            door.report(line);
+        public void log(String line) {
+            door.log(line);
         }
     }
 }
--- a/rig/src/main/java/saltdale/rig/simulate/Simulation.java
+++ b/rig/src/main/java/saltdale/rig/simulate/Simulation.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import saltdale.model.Door;
-import saltdale.model.StandingOrders;
+import saltdale.model.DispatcherActions;
+import saltdale.model.DispatcherSettings;
 import saltdale.rig.fleet.TroubleSchedule;
 import saltdale.rig.judge.Judge;
 import saltdale.rig.judge.Terms;
@@ -27,7 +27,7 @@
 public final class Simulation {
     /** Makes what decides for a dispatcher. */
     public interface Minds {
-        SimulatedDispatcher of(StandingOrders orders, Door door, SplittableRandom chance);
+        SimulatedDispatcher of(DispatcherSettings orders, DispatcherActions door, SplittableRandom chance);
     }
 
     private static final Duration FRONT_NOTICES = Duration.ofSeconds(1);
@@ -313,7 +313,7 @@
         }
 
         Duration patience() {
-            return customer.ask.job().workload().patience;
+            return customer.ask.job().workload().clientTimeout;
         }
     }
 }
--- a/rig/src/main/java/saltdale/rig/standin/Served.java
+++ b/rig/src/main/java/saltdale/rig/standin/Served.java
@@ -56,9 +56,9 @@
             fleet.witness.over(fleet.origin.now(), id, runner.number);
             runner.schedule();
             say(answer(204, "", ""));
-        } else if (path.equals("/alive") && fleet.day.orders.probes) {
+        } else if (path.equals("/alive") && fleet.day.orders.mayProbe) {
             say(answer(200, "", ""));
-        } else if (path.equals("/metrics/load") && fleet.day.orders.probes) {
+        } else if (path.equals("/metrics/load") && fleet.day.orders.mayProbe) {
             say(answer(200, "Content-Type: application/json\r\n", load(report())));
         } else {
             say(answer(404, "", ""));
@@ -85,7 +85,7 @@
         Duration now = fleet.origin.now();
         Work work = new Work(
                 id,
-                workload.repeat == Workload.Repeat.PURE ? null : head.single("Idempotency-Key"),
+                workload.repeatSafety == Workload.RepeatSafety.PURE ? null : head.single("Idempotency-Key"),
                 workload,
                 Long.parseLong(size) / 1e6,
                 endpoint.dispatcher);
--- a/rig/src/main/java/saltdale/rig/standin/StandInRunner.java
+++ b/rig/src/main/java/saltdale/rig/standin/StandInRunner.java
@@ -36,8 +36,8 @@
         model = new RunnerModel(
                 fleet.day.make(number),
                 receipts,
-                fleet.day.orders.tipMultiple,
-                fleet.day.orders.fall,
+                fleet.day.orders.coldLimitMultiple,
+                fleet.day.orders.coldLimitWindow,
                 fleet.day.meanSize(),
                 chance,
                 this);
@@ -138,7 +138,7 @@
 
     @Override
     public void started(Duration at, Work work) {
-        if (fleet.day.orders.tellsStart) {
+        if (fleet.day.orders.reportsStart) {
             telling(work).add("started", -1, null);
         }
     }
--- a/rig/src/test/java/saltdale/rig/fleet/RunnerModelTest.java
+++ b/rig/src/test/java/saltdale/rig/fleet/RunnerModelTest.java
@@ -210,7 +210,7 @@
 
     @Test
     void aReceiptDropsARepeatWithinItsWindowOnly() {
-        workload.window = Duration.ofSeconds(2);
+        workload.dedupWindow = Duration.ofSeconds(2);
         RunnerModel runner = runner(Make.plain(1, 4));
         Work first = new Work("a", "r", workload, 1, 0);
         Work repeat = new Work("b", "r", workload, 1, 0);
@@ -226,15 +226,15 @@
 
     @Test
     void aReceiptIsKnownWithinItsWorkloadsGroupOnly() {
-        workload.window = Duration.ofSeconds(2);
-        workload.group = Workload.Group.CELL;
+        workload.dedupWindow = Duration.ofSeconds(2);
+        workload.dedupScope = Workload.DedupScope.CELL;
         Work first = new Work("a", "r", workload, 0.1, 0);
         Work elsewhere = new Work("a", "r", workload, 0.1, 0);
         runner(Make.plain(1, 4)).offer(ms(0), first);
         receipts = new Receipts.Shared(all, new Receipts(), new Receipts());
         runner(Make.plain(1, 4)).offer(ms(200), elsewhere);
         assertFalse(elsewhere.isRepeat());
-        workload.group = Workload.Group.ALL;
+        workload.dedupScope = Workload.DedupScope.ALL;
         runner(Make.plain(1, 4)).offer(ms(0), new Work("b", "s", workload, 0.1, 0));
         receipts = new Receipts.Shared(all, new Receipts(), new Receipts());
         Work again = new Work("b", "s", workload, 0.1, 0);
--- a/rig/src/test/java/saltdale/rig/load/LoadTest.java
+++ b/rig/src/test/java/saltdale/rig/load/LoadTest.java
@@ -25,8 +25,8 @@
 
     LoadTest() {
         workload.name = "w";
-        workload.promised = ms(100);
-        workload.patience = ms(1000);
+        workload.targetLatency = ms(100);
+        workload.clientTimeout = ms(1000);
     }
 
     private static Duration ms(long millis) {
@@ -110,11 +110,11 @@
         assertTrue(second.compareTo(ms(50)) >= 0 && second.compareTo(ms(100)) <= 0, second.toString());
         assertNull(persistence.next(workload, 3, Final.SHED, null, ms(0), ms(0)));
         assertEquals(ms(700), persistence.next(workload, 1, Final.SHED, ms(700), ms(0), ms(0)));
-        workload.repeat = Workload.Repeat.EFFECTFUL;
+        workload.repeatSafety = Workload.RepeatSafety.EFFECTFUL;
         assertNull(persistence.next(workload, 1, Final.GIVEN_UP, null, ms(0), ms(0)));
         assertNotNull(persistence.next(workload, 1, Final.SHED, null, ms(0), ms(0)));
-        workload.repeat = Workload.Repeat.RECEIPTED;
-        workload.window = ms(500);
+        workload.repeatSafety = Workload.RepeatSafety.RECEIPTED;
+        workload.dedupWindow = ms(500);
         assertNotNull(persistence.next(workload, 1, Final.GIVEN_UP, null, ms(400), ms(0)));
         assertNull(persistence.next(workload, 1, Final.GIVEN_UP, null, ms(600), ms(0)));
     }
--- a/rig/src/test/java/saltdale/rig/plan/SheetTest.java
+++ b/rig/src/test/java/saltdale/rig/plan/SheetTest.java
@@ -81,7 +81,7 @@
         assertEquals(9, new Day(sheet.with("load.rate", 9)).traffic.rate());
         assertEquals(
                 Duration.ofMillis(70),
-                new Day(sheet.with("workload.0.patience", "70ms")).jobs.get(0).workload().patience);
+                new Day(sheet.with("workload.0.patience", "70ms")).jobs.get(0).workload().clientTimeout);
         assertThrows(Misread.class, () -> sheet.with("workload.7.patience", "70ms"));
     }
 
--- a/tools/src/main/java/saltdale/tools/Load.java
+++ b/tools/src/main/java/saltdale/tools/Load.java
@@ -47,7 +47,7 @@
             loopThread.inside(
                     () -> generator.begin(Run.asks(day, file.toAbsolutePath().getParent(), start)));
             Duration last =
-                    start.plus(day.length).plus(day.orders.longestPatience()).plusSeconds(5);
+                    start.plus(day.length).plus(day.orders.maxClientTimeout()).plusSeconds(5);
             while (origin.now().compareTo(last) < 0 && !generator.isOver()) {
                 Thread.sleep(50);
             }
--- a/tools/src/test/java/saltdale/tools/LayersTest.java
+++ b/tools/src/test/java/saltdale/tools/LayersTest.java
@@ -17,8 +17,8 @@
             .consideringOnlyDependenciesInLayers()
             .layer("model")
             .definedBy("saltdale.model")
-            .layer("orders")
-            .definedBy("saltdale.orders")
+            .layer("settings")
+            .definedBy("saltdale.settings")
             .layer("overload")
             .definedBy("saltdale.overload")
             .layer("probing")
@@ -89,7 +89,7 @@
             .mayOnlyBeAccessedByLayers("decision", "proxy")
             .whereLayer("probing")
             .mayNotAccessAnyLayer()
-            .whereLayer("orders")
+            .whereLayer("settings")
             .mayOnlyBeAccessedByLayers("routing", "program", "sim", "main");
 
     @ArchTest
