--- a/core/src/main/java/saltdale/decision/ColdBudget.java
+++ b/core/src/main/java/saltdale/decision/ColdBudget.java
@@ -7,11 +7,11 @@
 import java.util.SplittableRandom;
 import saltdale.model.*;
 
-// Rule 4. What a warm runner does for us stands for our part of its capacity: if each dispatcher keeps
-// within multiple x cold share of that in every window, all of them together keep the rule.
+// Rule 4. The work that a warm runner completes for this dispatcher is its share of a runner's capacity: if
+// each dispatcher stays within limit multiple x cold capacity of that in every window, all together do.
 record ColdBudget(DispatcherSettings settings, FleetSurvey fleet, Collection<WorkloadStats> stats, Duration timeConstant,
                   SplittableRandom random) {
-    private static final double SAFETY_FACTOR = 0.6;  // the part of a cold runner's guessed budget that is used
+    private static final double SAFETY_FACTOR = 0.6;  // used part of a cold runner's estimated budget
 
     boolean allows(Duration now, Runner runner, double work, double draw) {
         if (settings.warmth(now, runner) >= 1) {
@@ -19,15 +19,15 @@
         }
         fleet.update(now);
         double remaining = remaining(now, runner), budget = budget(now, runner);
-        // Guards against idle cold runners where our part is under one job: then it is sent by chance, so
-        // that we keep to our part on average; among work small enough for one job to keep within all parts.
+        // Where the share is less than one job, cold runners would stay idle: a job is then sent at random, so
+        // that the average matches the share; only jobs that fit into the budget of all dispatchers together.
         double totalBudget = budget * settings.dispatcherCount;
         double searchedRate = stats.stream().filter(seen -> seen.runTimeOrDefault() <= totalBudget)
                 .mapToDouble(seen -> seen.searchedWork.valueAt(now, timeConstant)).sum() / seconds(timeConstant);
         boolean drawn = remaining == budget && work <= totalBudget
                 && draw * searchedRate < budget / seconds(settings.coldLimitWindow) * fleet.readyCount;
         return work <= remaining || drawn || fleet.warmWorkRate == 0 && runner.inFlight.isEmpty()
-                && random.nextInt(settings.dispatcherCount) == 0;  // nothing to go by yet: one of us all
+                && random.nextInt(settings.dispatcherCount) == 0;  // no data yet: one dispatcher of all
     }
 
     double remaining(Duration now, Runner runner) {
--- a/core/src/main/java/saltdale/decision/Dispatcher.java
+++ b/core/src/main/java/saltdale/decision/Dispatcher.java
@@ -1,5 +1,5 @@
-// All decisions of one dispatcher. An adapter builds it with the standing orders, a Door and chance, calls a
-// method for each event, from began to woken, and settle after a round's last one: only settle acts.
+// All decisions of one dispatcher. An adapter creates it, calls an event method for each event (onStart to
+// onTimer), and applyActions after the last event of a round: only that method calls DispatcherActions.
 package saltdale.decision;
 
 import static saltdale.model.Durations.*;
@@ -12,44 +12,44 @@
 import saltdale.overload.*;
 import saltdale.probing.ProbeLoop;
 
-/** One dispatcher of jobs: probes runners for each job, stops at the first idle one, and weighs further attempts. */
+/** Probes runners for each request, sends it to the first idle one found, and decides on further attempts. */
 public final class Dispatcher {
-    static final double SATURATION = 0.95;  // busy share above which the busy and unsteady are needed too
-    static final double MAX_BUSY_TO_MOVE = 0.5;  // busy share up to which work that waits is moved
-    static final double PRIOR_RUNS = 4;  // so many runs at the usual pace are believed before any is seen
-    static final double MAX_FAILURE_SHARE = 0.3;  // a runner failing more than this share of late is set aside
-    static final double HOMES_PER_KEY = 3;  // runners that are home to a key, and so many times its share of all
-    static final double RETRY_VALUE = 0.5;  // what a marked repeat earns beside a first try: its time is short
-    static final double MAX_ZONE_DOUBT = 0.7;  // the most that a runner is passed over for the silence of its zone
-
-    DispatcherSettings settings;  // replaced for the length of a question by a preview alone
+    static final double SATURATION = 0.95;  // busy share above which busy and unstable runners are needed too
+    static final double MAX_BUSY_TO_MOVE = 0.5;  // busy share up to which waiting work is moved to another runner
+    static final double PRIOR_RUNS = 4;  // weight of the prior, in runs at the usual speed
+    static final double MAX_FAILURE_SHARE = 0.3;  // a runner that lately failed more than this is ejected
+    static final double HOMES_PER_KEY = 3;  // home runners of a key, and multiple of the key's share of all runners
+    static final double RETRY_VALUE = 0.5;  // value relative to a first try: a retry has little time left
+    static final double MAX_ZONE_DOUBT = 0.7;  // highest probability of avoiding a runner whose zone is unresponsive
+
+    DispatcherSettings settings;  // a Preview replaces it for the duration of a query
     Preview preview = Preview.NONE;
     private final DispatcherActions actions;
     private final SplittableRandom random;
     final List<Runner> runners = new ArrayList<>();
     private final Map<Workload, WorkloadStats> stats = new HashMap<>();
-    private final RunTimeRatio runTimeRatio = new RunTimeRatio(16, null);  // of all runners; within it those of each kind
+    private final RunTimeRatio runTimeRatio = new RunTimeRatio(16, null);  // of all runners; the parent of each machine type's
     private final Map<String, MachineTypeStats> machineTypes = new HashMap<>();
     private final Set<Request> changed = new LinkedHashSet<>();
     final ProbeLoop probing = new ProbeLoop();
-    double waitPerLoad;  // smoothed: the wait that a load of 1 brings
-    private double meanRunTime, meanValue, arrivalCount;  // of all that arrived
-    double unreportedJobs;  // jobs that likely reached a runner since the report that it answers with
-    private final Map<String, Double> zoneSilence = new HashMap<>();  // by zone, how much of late went unanswered
-    final Histogram retries = Histogram.ofBooleans(32);  // whether recent further dispatches succeeded
-    double unrestrictedLambda;  // λ' of the runners where no bound work may run
+    double waitPerLoad;  // seconds of wait per unit of load, smoothed
+    private double meanRunTime, meanValue, arrivalCount;  // of all requests received
+    double unreportedJobs;  // likely arrivals at a runner since the state it reports
+    private final Map<String, Double> zoneSilence = new HashMap<>();  // by zone: smoothed share of unanswered contacts
+    final Histogram retries = Histogram.ofBooleans(32);  // success of recent retries
+    double unrestrictedLambda;  // λ' of runners that accept no restricted workload
     private final Keys keys = new Keys();
-    private final Workload[] restricted;  // those that may not run everywhere
+    private final Workload[] restricted;  // workloads that not every runner accepts
     private static final Workload[] NO_WORKLOADS = {};
-    private Duration droppedIdleTime, droppedAt;  // after which rest a connection was found dropped, and when
-    final Histogram connects = Histogram.ofBooleans(32);  // whether recent new connections came up
+    private Duration droppedIdleTime, droppedAt;  // idle time of a connection found dropped, and when
+    final Histogram connects = Histogram.ofBooleans(32);  // success of recent connection attempts
     private final FleetSurvey fleet;
     private final ColdBudget coldBudget;
     private final boolean nonePure;
-    private Duration subscribeAt, subscribeDelay;  // when to ask for the list (null while subscribed), and again
-    private final AdmissionControl admission;  // null where overloads are not met by them
-    private final RetryBudget retryBudget = new RetryBudget();  // of further dispatches, likewise
-    private final Duration backoffUnit, timeConstant;  // the unit of setting aside; how long what was measured counts
+    private Duration subscribeAt, subscribeDelay;  // next subscription request (null while subscribed); retry delay
+    private final AdmissionControl admission;  // null without overload settings
+    private final RetryBudget retryBudget = new RetryBudget();  // used with overload settings only
+    private final Duration backoffUnit, timeConstant;  // unit of back-off delays; decay of measurements
 
     public Dispatcher(DispatcherSettings settings, DispatcherActions actions, SplittableRandom random) {
         this.settings = settings;
@@ -67,16 +67,18 @@
         subscribeDelay = settings.subscribeWithin.dividedBy(20);
     }
 
+    /** The dispatcher starts: subscribes to the runner list if it must. */
     public void onStart(Duration now) {
         subscribeAt = settings.subscribes ? now : null;
     }
 
+    /** A runner list has arrived: complete or a change, from the service or a cache. */
     public void onRunnerList(Duration now, List<RunnerListEntry> entries, boolean complete, boolean cached) {
         Set<Runner> listed = new LinkedHashSet<>();
         for (RunnerListEntry entry : entries) {
             listed.add(entry.runner());
             entry.runner().update(entry, machineTypes.computeIfAbsent(entry.machineType(), name -> new MachineTypeStats(new RunTimeRatio(64, runTimeRatio))));
-            // Guards against waiting for work that a process took with it: the one there now has none.
+            // Attempts sent before the runner process restarted are lost: don't wait for them.
             entry.runner().inFlight.stream().filter(attempt -> entry.startedAt() != null
                     && attempt.sentAt.compareTo(entry.startedAt()) < 0).forEach(this::withdraw);
         }
@@ -91,7 +93,7 @@
         }
     }
 
-    /** Learnt of one, held against its zone too: each of us meets a runner seldom, but a lost zone often. */
+    /** Also counts against the zone: a dispatcher contacts one runner rarely, but a lost zone often. */
     private void recordNoResponse(Duration now, Runner runner) {
         runner.recordNoResponse(now, backoffUnit);
         zoneSilence.merge(runner.zone, smooth(0, 1), (old, first) -> smooth(old, 1));
@@ -102,11 +104,13 @@
         changed.add(attempt.request);
     }
 
-    public void onRunnerListFailure(Duration now) {  // jitter, and a gap that doubles, spare the small list service
+    /** The runner list could not be read. */
+    public void onRunnerListFailure(Duration now) {  // jitter and doubling delays protect the small list service
         subscribeAt = now.plus(ofSeconds(seconds(subscribeDelay) * (0.5 + random.nextDouble())));
         subscribeDelay = min(subscribeDelay.multipliedBy(2), settings.subscribeWithin.dividedBy(2));
     }
 
+    /** A client's request has arrived. */
     public void onRequest(Duration now, Request request) {
         WorkloadStats seen = stats.get(request.workload);
         seen.maxClientTimeout = max(seen.maxClientTimeout, request.clientTimeout());
@@ -126,7 +130,7 @@
         }
     }
 
-    // Guards against an overload in which what earns least for its work keeps out all that earns more.
+    // Prevents work of low value per second from displacing more valuable work during an overload.
     private boolean isCrowdedOut(Duration now, Request request) {
         Workload w = request.workload;
         WorkloadStats seen = stats.get(w);
@@ -151,34 +155,36 @@
         }
     }
 
-    /** When what is shed may come back: spread over the time in which it can still be served. */
+    /** The Retry-After for a shed request: spread over the time in which it can still be served. */
     private Duration retryAfter(Request request) {
         return ofSeconds(targetSeconds(request) * request.randomDraw / 4);
     }
 
-    /** How overloads are met; null where that is not asked for. */
+    /** The admission control; null without overload settings. */
     public AdmissionControl admissionControl() {
         return admission;
     }
 
+    /** The runner reports that it has started an attempt. */
     public void onStarted(Duration now, Attempt attempt) {
         recordStart(now, attempt);
         onProgress(now, attempt);
         decide(now, attempt.request);
     }
 
+    /** The runner reports progress on an attempt. */
     public void onProgress(Duration now, Attempt attempt) {
-        if (attempt.startedAt == null) {  // no start is told: it was at most one period ago
+        if (attempt.startedAt == null) {  // no start was reported: at most one progress interval ago
             recordStart(max(attempt.sentAt, now.minus(settings.progressInterval)), attempt);
         }
         attempt.lastProgressAt = now;
         attempt.runner.recordResponse();
     }
 
-    /** The wait that a load of 1 brings: as seen, until then as slots and the mean size tell. */
+    /** Seconds of wait per unit of load: as measured; until then estimated from slots and mean run time. */
     private double waitPerLoad(Runner runner) {
         double estimate = waitPerLoad > 0 || runner.typeStats.slots == 0 ? waitPerLoad : meanRunTime / runner.typeStats.slots;
-        // Guards against a start in an overload: with no wait known nothing is late, and queues fill at once.
+        // For a start during an overload: with no known wait, nothing counts as late and queues fill at once.
         return estimate == 0 && admission != null ? seconds(backoffUnit) / 2 / Math.max(1, runner.typeStats.slots) : estimate;
     }
 
@@ -186,19 +192,21 @@
         attempt.startedAt = at;
         double perLoad = waitPerLoad(attempt.runner), waited = seconds(at.minus(attempt.sentAt));
         if (attempt.runnerLoad == 0 && perLoad > 0 && Double.isNaN(attempt.runner.report.queue())) {
-            // Guards against reports so old that each draws all: what a job waited for where it was found
-            // idle had come unseen. A start known by progress alone is off by half a period.
+            // An outdated report attracts every dispatcher. Work ahead of a job on a runner found idle arrived
+            // after the report. A start known from progress alone is half an interval late on average.
             double ahead = waited - (settings.reportsStart ? 0 : seconds(settings.progressInterval) / 2);
             unreportedJobs += Math.min(1, Math.max(0, ahead / perLoad / 4));
         }
         waitPerLoad = attempt.runnerLoad < 0.5 ? waitPerLoad : smooth(perLoad, waited / attempt.runnerLoad);
     }
 
+    /** The response of this attempt has begun to stream to the client. */
     public void onStreaming(Duration now, Attempt attempt) {
         attempt.request.streamingAttempt = attempt;
         changed.add(attempt.request);
     }
 
+    /** An attempt has ended; {@code finished}: the client has its final response. */
     public void onAttemptEnd(Duration now, Attempt attempt, Outcome outcome, boolean finished, LoadReport report) {
         Request request = attempt.request;
         attempt.outcome = outcome;
@@ -214,9 +222,10 @@
         changed.add(request);
     }
 
+    /** A probe has ended, with a load report where the runner sent one. */
     public void onProbeResult(Duration now, Runner runner, boolean answered, Duration roundTrip, LoadReport report) {
         Request request = runner.probeWaiters.poll();
-        while (request != null && request.probeTarget != runner) {  // it no longer waited
+        while (request != null && request.probeTarget != runner) {  // that request stopped waiting
             request = runner.probeWaiters.poll();
         }
         double load = Double.POSITIVE_INFINITY;
@@ -225,7 +234,7 @@
             recordNoResponse(now, runner);
         } else {
             runner.recordResponse();
-            zoneSilence.remove(runner.zone);  // it is not cut off, whatever holds for others in it
+            zoneSilence.remove(runner.zone);  // the zone is reachable, whatever holds for other runners in it
             runner.report = report == null ? LoadReport.NONE : report;
             runner.typeStats.recordSlots(runner.report);
             runner.contacted = true;
@@ -246,7 +255,7 @@
             if (!request.closed && isIdle && canSend(now, request, runner) && extraLoad <= request.lowestCost()) {
                 choose(now, request, runner, 0);
             } else if (!request.closed) {
-                // Guards against chance sends that gather in a cold queue: those go to an idle runner alone.
+                // Random sends beyond a cold runner's budget go to idle runners only, or they would queue up.
                 boolean overBudget = settings.warmth(now, runner) < 1 && coldBudget.remaining(now, runner) < work(request);
                 request.addProbeResult(runner, overBudget ? Double.POSITIVE_INFINITY : adjustedLoad(now, runner, load, isIdle), extraLoad);
                 search(now, request);
@@ -255,14 +264,16 @@
     }
 
     double adjustedLoad(Duration now, Runner runner, double load, boolean isIdle) {
-        return Math.max(load, isIdle ? 0 : 0.5) * runTimeRatio(now, runner) / runTimeRatio.estimate(PRIOR_RUNS, PRIOR_RUNS);  // slots may be full
+        return Math.max(load, isIdle ? 0 : 0.5) * runTimeRatio(now, runner) / runTimeRatio.estimate(PRIOR_RUNS, PRIOR_RUNS);  // 0.5: all slots may be taken
     }
 
+    /** The request needs no response any more: it was answered or its client has gone. */
     public void close(Request request) {
         request.closed = true;
         changed.add(request);
     }
 
+    /** A timer has fired that was set with this object. */
     public void onTimer(Duration now, Object timerTarget) {
         if (timerTarget instanceof Request request) {
             request.timerAt = null;
@@ -272,7 +283,7 @@
 
     private void decide(Duration now, Request request) {
         Attempt pending = request.pendingAttempt();
-        Duration latestDecision = min(request.deadline, settings.shutdownAt).minus(settings.roundInterval.multipliedBy(4));  // ours
+        Duration latestDecision = min(request.deadline, settings.shutdownAt).minus(settings.roundInterval.multipliedBy(4));  // for a response of our own
         request.plannedCheckAt = null;
         if (request.streamingAttempt != null || request.closed) {
             return;
@@ -294,7 +305,7 @@
                 checkAt(request, limit);
                 return;
             }
-            request.addProbeResult(request.probeTarget, 2 * probing.meanQueue + 1, extraLoad(now, request, request.probeTarget));  // guards against a halt here
+            request.addProbeResult(request.probeTarget, 2 * probing.meanQueue + 1, extraLoad(now, request, request.probeTarget));  // no answer: go on, or the search halts
             recordNoResponse(now, request.probeTarget);
             request.probeTarget = null;
         }
@@ -329,9 +340,9 @@
             choose(now, request, request.probedRunners.get(best), request.probedLoads.get(best));
         } else if (request.workload.repeatSafety != Workload.RepeatSafety.PURE && request.mayHaveRun()
                 && runners.stream().noneMatch(runner -> mayRepeat(now, request, runner))) {
-            respond(request, null);  // guards against holding until its patience ends what nothing may follow
+            respond(request, null);  // no repeat is allowed: don't hold it until the client times out
         } else {
-            request.clearSearch();  // nobody may be sent to just now: hold it, and begin again before long
+            request.clearSearch();  // no runner is eligible now: hold the request and search again soon
             request.randomDraw = random.nextDouble();
             checkAt(request, now.plus(request.workload.targetLatency.dividedBy(4)));
         }
@@ -339,7 +350,7 @@
 
     double load(Runner runner) {
         if (!Double.isNaN(runner.report.queue())) {
-            // Guards against late reports: as many of each other dispatcher's jobs may wait there as of ours.
+            // Reports lag: each other dispatcher may have as many unreported jobs waiting there as this one.
             return Math.max(runner.report.queue(), settings.reportsStart ? runner.notStartedCount() * settings.dispatcherCount : 0);
         }
         double inFlight = runner.report.inFlight(), free = runner.report.freeSlots();
@@ -351,26 +362,26 @@
                 : Math.max(Math.max(inFlight, runner.inFlight.size()) - runner.typeStats.slots, 0));
     }
 
-    /** Idle: nothing queued, and enough free slots for this job where they are reported. */
+    /** Whether nothing is queued and enough slots are free for this job, where free slots are reported. */
     boolean isIdle(Duration now, Runner runner, double slots) {
         if (settings.reportsStart && runner.hasNotStartedSince(now.minus(fewRoundTrips()))) {
-            return false;  // guards against late or untrue reports: the word of a start takes no longer
+            return false;  // the report is late or wrong: a start is reported sooner than that
         }
-        double ownSlots = settings.reportsStart ? runner.notStartedSlots() : 0;  // whether the report has seen it or not
+        double ownSlots = settings.reportsStart ? runner.notStartedSlots() : 0;  // the report may not include them yet
         if (Double.isNaN(runner.report.freeSlots())) {
             return Double.isNaN(runner.report.queue()) ? load(runner) < 0.5 : runner.report.queue() + ownSlots < 0.5;
         }
         return !(runner.report.queue() >= 0.5) && runner.report.freeSlots() - ownSlots - unreportedJobs >= slots - 0.25;
     }
 
-    // A random runner to probe next, new to this assignment: before all in good standing (at first, any will
-    // do), quick enough to run it in time, not likely busy or silent, of our own zone until a crossing counts
-    // less than the least found; last, slower ones are passed over by their pace.
+    // A random runner to probe next, not yet probed for this request. Rank, most significant first: trusted
+    // (required after the first probe), fast enough for the latency target, a home of the key, likely idle and
+    // responsive, extra load (zone, connection) within the lowest cost found, slower runners less often.
     private Runner pickRunner(Duration now, Request request) {
         fleet.update(now);
-        boolean mostEjected = 2 * fleet.ejectedCount > fleet.readyCount;  // then it is not them, and nobody is passed over
+        boolean mostEjected = 2 * fleet.ejectedCount > fleet.readyCount;  // then the cause lies elsewhere: avoid no runner
         stats.get(request.workload).searchedWork.add(now, work(request), timeConstant);
-        // Homes of what it concerns are probed first: where all of us send it, what it needs is likely kept.
+        // Home runners of its key come first: all dispatchers send the key there, so its data is likely cached.
         Workload[] privileged = yieldsTo(request);
         Duration maxIdleTime = maxIdleTime(now);
         double homeShare = request.affinityKey == 0 ? 1 : HOMES_PER_KEY * (1 / fleet.readyCount + keys.share(request.affinityKey));
@@ -379,16 +390,16 @@
         Runner best = null;
         int bestRank = request.probedRunners.isEmpty() && !request.seekingAlternative ? 64 : 32;
         for (int i = 0; i < runners.size() && bestRank > 0; i++) {
-            Collections.swap(runners, i, i + random.nextInt(runners.size() - i));  // draws without lists
+            Collections.swap(runners, i, i + random.nextInt(runners.size() - i));  // draws without allocation
             Runner runner = runners.get(i);
             if (!request.probedRunners.contains(runner) && canSend(now, request, runner)) {
                 boolean trusted = (runner.trialInterval == null || mostEjected || mayTrial(request) && reached(now, runner.nextTrialAt))
                         && !runner.isRejecting(now, request.workload) && !runner.isUnresponsive(now) && !request.wasSentTo(runner);
-                // Guards against asking again what is busy still, unless nearly all are.
+                // Avoids probing runners that are probably still busy, unless nearly all are.
                 boolean unlikely = random.nextDouble() < MAX_ZONE_DOUBT * zoneSilence.getOrDefault(runner.zone, 0.0)
                         || runner.foundBusyAt != null && probing.runTime > 0 && probing.observedLambda <= SATURATION
                         && random.nextDouble() < Math.exp(-seconds(now.minus(runner.foundBusyAt)) / probing.runTime);
-                // Guards against finding out who errs by what may then go to few others: pure work does it.
+                // Only pure work tests for failing runners: after a failure other work may go to few runners.
                 unlikely |= runner.acceptsAny(privileged) || fleet.ejectedCount > 0 && request.workload.repeatSafety != Workload.RepeatSafety.PURE
                         && (runner.failures.count() == 0 || runner.failures.lastBin() > MAX_FAILURE_SHARE);
                 double ratio = runTimeRatio(now, runner), extraLoad = extraLoad(request, runner, target - ratio * runTime, maxIdleTime, now);
@@ -403,20 +414,20 @@
         return best;
     }
 
-    /** Guards against filling the only places of bound work that earns more, while the rest has room. */
+    /** The more valuable restricted workloads whose runners this request avoids while others have room. */
     private Workload[] yieldsTo(Request request) {
         return request.workload.isRestricted() || restricted.length == 0 || unrestrictedLambda >= SATURATION ? NO_WORKLOADS
                 : Stream.of(restricted).filter(w -> valuePerSecond(w) > valuePerSecond(request.workload)).toArray(Workload[]::new);
     }
 
-    /** What a second of its work earns in time. */
+    /** The value of a second of its work when served in time. */
     private double valuePerSecond(Workload w) {
         return w.importance * (settings.importanceByWork ? 1 : 1 / stats.get(w).runTimeOrDefault());
     }
 
-    // The load that a crossing to another zone and a new connection count as: the wait whose risk of being
-    // late costs as much, in the tariffs' own units, so that long work crosses before short work of the same
-    // workload does; and the wait for connections that fail first, by the share that failed of late.
+    // The load equivalent of leaving the zone and of opening a connection: the wait whose risk of lateness
+    // costs as much, in units of the prices, so that of one workload long jobs cross zones before short ones;
+    // plus the wait for connections that fail first, from the share of recent failures.
     double extraLoad(Duration now, Request request, Runner runner) {
         return extraLoad(request, runner, slack(now, request, runner), maxIdleTime(now), now);
     }
@@ -434,14 +445,14 @@
         return (price / valueAtRisk * Math.max(0, slack) + failuresPerSuccess * seconds(settings.connectTimeout)) / perLoad;
     }
 
-    // How long a connection that rests is kept. Guards against ones dropped unseen: what is sent on one
-    // is reset, and may have run. Once that was seen we close earlier, by less as time goes on.
+    // How long an idle connection is kept. An attempt sent on a silently dropped connection is reset and may
+    // have run. Once that was observed, connections are closed earlier; the effect decays over time.
     private Duration maxIdleTime(Duration now) {
         return droppedIdleTime == null ? settings.idleTimeout
                 : min(settings.idleTimeout, ofSeconds(seconds(droppedIdleTime) / DecayingSum.decayFactor(now, droppedAt, timeConstant)));
     }
 
-    /** Guards against trickles that end jobs: failures cost least at first sendings of what may run twice. */
+    /** Whether it may test an ejected runner: a failure costs least on a first attempt that may run twice. */
     private boolean mayTrial(Request request) {
         return request.attempts.isEmpty() && (request.workload.repeatSafety == Workload.RepeatSafety.PURE || nonePure);
     }
@@ -451,7 +462,7 @@
                 && mayRepeat(now, request, runner) && coldBudget.allows(now, runner, work(request), request.randomDraw);
     }
 
-    /** Rule 2: what may have run goes again only where a repeat is harmless. */
+    /** Rule 2: a request that may have run is sent again only where a repeat is harmless. */
     boolean mayRepeat(Duration now, Request request, Runner runner) {
         Workload w = request.workload;
         if (w.repeatSafety == Workload.RepeatSafety.PURE || !request.mayHaveRun()) {
@@ -462,7 +473,7 @@
                 .allMatch(attempt -> w.sharesDedupScope(runner, attempt.runner) && !reached(windowStart, attempt.sentAt));
     }
 
-    /** Rule 2: a shed reply says that trying again is harmless. */
+    /** Rule 2: a shed response tells the client that a retry is harmless. */
     boolean mayShed(Request request) {
         Workload w = request.workload;
         return w.repeatSafety == Workload.RepeatSafety.PURE || !request.mayHaveRun()
@@ -472,9 +483,9 @@
     private void choose(Duration now, Request request, Runner runner, double load) {
         Attempt pending = request.pendingAttempt();
         changed.add(request);
-        if (request.seekingAlternative && pending != null) {  // it waits or is silent, and this runner is idle: move or copy it
+        if (request.seekingAlternative && pending != null) {  // it waits or shows no progress; this runner is idle: move or copy it
             pending.cancelPlanned = pending.startedAt == null || !settings.parallelAttempts;
-        } else if (mayShed(request)) {  // guards against an overload in which all end late
+        } else if (mayShed(request)) {  // so that not all work ends late in an overload
             preview.onLatenessCheck(now, request, runner);
             if (isLate(now, request, runner, load)) {
                 recordCompletion(now, request, true);
@@ -492,15 +503,15 @@
         double slack = slack(now, request, runner);
         double maxWait = admission == null ? slack
                 : admission.maxWaitSeconds(admissionClass(request), slack, settings.retriesMarked && !request.markedAsRetry);
-        // Guards against an overload that lasts, in which all is late: what late work takes earns more in
-        // time, so of it that part is shed which it would not earn.
+        // In a lasting overload all work is late, and capacity earns more on punctual work: late work is shed
+        // with the probability of the value that it would lose.
         double lateImportance = request.workload.lateImportance;
         boolean deadlineApplies = lateImportance == 0 || probing.observedLambda > SATURATION && request.randomDraw >= lateImportance;
         return deadlineApplies && seconds(elapsed(now, request)) + wait > maxWait
-                || seconds(settings.shutdownAt.minus(now)) < wait + runTimeRatio(now, runner) * runTime(request);  // we end before it
+                || seconds(settings.shutdownAt.minus(now)) < wait + runTimeRatio(now, runner) * runTime(request);  // the dispatcher stops first
     }
 
-    /** How long this client has waited over all its tries: what a later try lacks, but not a first one. */
+    /** How long the client has waited over all its tries; for a known first try since its arrival. */
     private Duration elapsed(Duration now, Request request) {
         boolean isFirstTry = settings.retriesMarked && !request.markedAsRetry;
         return now.minus(isFirstTry ? request.arrivedAt : request.deadline.minus(stats.get(request.workload).maxClientTimeout));
@@ -516,17 +527,17 @@
     }
 
     private double targetSeconds(Request request) {
-        // Guards against work for clients who wait less than the promised time, by habit or on one bad day.
+        // No work for clients that time out before the target latency, always or once.
         return Math.min(seconds(request.workload.targetLatency) + request.workload.latencyStretch * runTime(request),
                 seconds(elapsed(request.deadline, request).minus(settings.roundInterval)));
     }
 
-    /** How long runs take there beside what is expected: the fleet's, its kind's in that, its own in that. */
+    /** Actual relative to expected run time: the fleet's ratio, times its machine type's, times its own. */
     double runTimeRatio(Duration now, Runner runner) {
         return runner.runTimeRatio.estimate(PRIOR_RUNS / DecayingSum.decayFactor(now, runner.ratioUpdatedAt, timeConstant), PRIOR_RUNS);
     }
 
-    /** The running time to expect at speed 1: the workload's mean; beside it a rough hint counts half. */
+    /** The expected run time at speed 1: the workload's mean; an inexact hint has half the weight. */
     private double runTime(Request request) {
         double mean = stats.get(request.workload).meanRunTime;
         return request.runTimeHint == null ? mean : Math.sqrt(mean * seconds(request.runTimeHint));
@@ -538,10 +549,10 @@
         changed.add(request);
     }
 
-    /** After a failure: again, rationed once under half of the recent further ones succeeded; or answered. */
+    /** After a failure: retries, limited while under half of recent retries succeed, or responds. */
     private void retryOrRespond(Duration now, Request request) {
         double successRate = (retries.lastBin() + 1) / (retries.count() + 1);
-        boolean moved = request.lastAttempt().outcome == Outcome.CANCELLED;  // that is no failure, and no load more
+        boolean moved = request.lastAttempt().outcome == Outcome.CANCELLED;  // neither a failure nor additional load
         if (request.attempts.size() >= settings.maxAttempts || !moved && !mayRetry(2 * successRate)) {
             respond(request, null);
         } else {
@@ -560,7 +571,7 @@
         double slackLeft = slack(now, request, pending.runner) - seconds(elapsed(now, request));
         if (waiting && settings.reportsStart && request.workload.lateImportance == 0 && mayShed(request)) {
             checkAt(request, now.plus(ofSeconds(Math.max(0, slackLeft))));
-            if (slackLeft <= 0) {  // guards against spending an overload on what is worth nothing any more
+            if (slackLeft <= 0) {  // too late to be of any value: don't spend capacity on it
                 respond(request, null);
                 return;
             }
@@ -582,11 +593,11 @@
             recordHealth(now, pending.runner, true);
         }
         if (pending.runner.hasNotResponded() && request.workload.repeatSafety == Workload.RepeatSafety.PURE) {
-            withdraw(pending);  // guards against waiting for an idle runner while the one it is at says nothing
+            withdraw(pending);  // its runner does not respond: don't wait until an idle one is found
             return;
         }
         request.recheckDelay = now.minus(pending.sentAt);
-        if (probing.observedLambda > MAX_BUSY_TO_MOVE) {  // guards against running twice what goes on where called off
+        if (probing.observedLambda > MAX_BUSY_TO_MOVE) {  // a cancelled attempt may run on: avoid double work
             checkAt(request, now.plus(request.recheckDelay));
             return;
         }
@@ -597,7 +608,7 @@
 
     private void recordResult(Duration now, Attempt attempt) {
         Request request = attempt.request;
-        if (attempt != request.attempts.get(0) && attempt.outcome != Outcome.CANCELLED) {  // to be moved is no failure
+        if (attempt != request.attempts.get(0) && attempt.outcome != Outcome.CANCELLED) {  // a moved attempt is no failure
             retries.add(attempt.outcome == Outcome.FULFILLED);
         }
         if (EnumSet.of(Outcome.FULFILLED, Outcome.ERROR, Outcome.TURNED_AWAY).contains(attempt.outcome)) {
@@ -613,14 +624,14 @@
         }
         switch (attempt.outcome) {
             case FULFILLED -> {
-                // Where its start was not told, the wait that was foreseen for it is taken off.
+                // Where no start was reported, the expected wait is subtracted.
                 boolean startUnknown = attempt.startedAt == null && attempt.runnerLoad >= 0.5;
                 Duration start = startUnknown ? attempt.sentAt.plus(ofSeconds(attempt.runnerLoad * waitPerLoad(attempt.runner)))
                         : attempt.startedAt == null ? attempt.sentAt : attempt.startedAt;
-                double runTime = seconds(max(now.minus(start), settings.roundInterval));  // a start may be told with the end
+                double runTime = seconds(max(now.minus(start), settings.roundInterval));  // a start may be reported together with the end
                 WorkloadStats seen = stats.get(request.workload);
                 if (request.runTimeHint == null) {
-                    seen.addRunTime(seen.sampleCount == 0 ? runTime : Math.min(runTime, 4 * seen.meanRunTime));  // tails mislead means
+                    seen.addRunTime(seen.sampleCount == 0 ? runTime : Math.min(runTime, 4 * seen.meanRunTime));  // caps outliers
                 }
                 probing.recordRunTime(runTime);
                 if (!startUnknown) {
@@ -637,7 +648,7 @@
             case TURNED_AWAY -> attempt.runner.recordRejection(now, attempt, backoffUnit);
             case ERROR, BROKEN, TIMED_OUT -> recordHealth(now, attempt.runner, true);
             case NOT_CONNECTED -> {
-                // Guards against setting aside all while no connection comes up: then it is not that runner.
+                // While connections fail everywhere, this runner is not the cause: don't eject all runners.
                 if (connects.count() - connects.lastBin() <= MAX_FAILURE_SHARE * (connects.count() + PRIOR_RUNS)) {
                     recordHealth(now, attempt.runner, true);
                     recordNoResponse(now, attempt.runner);
@@ -646,7 +657,7 @@
         }
     }
 
-    /** Notes how a dispatch went; a runner that fails often is set aside, with a trickle that doubles. */
+    /** Counts a success or failure; a runner that fails often is ejected, with doubling trial intervals. */
     private void recordHealth(Duration now, Runner runner, boolean failed) {
         runner.failures.add(failed);
         boolean failing = runner.failures.lastBin() >= 2 && runner.failures.lastBin() > MAX_FAILURE_SHARE * runner.failures.count();
@@ -663,13 +674,12 @@
         return request.slots * stats.get(request.workload).runTimeOrDefault();
     }
 
-    // ---- The one place that acts: the difference between what is wanted and what is.
-
+    /** Ends a round of events: compares the planned state with the actual one and acts on the difference. */
     public void applyActions(Duration now) {
         if (subscribeAt != null) {
             if (reached(now, subscribeAt)) {
                 actions.subscribe(true);
-                subscribeAt = now.plus(settings.subscribeWithin.dividedBy(2));  // asked again should no answer come
+                subscribeAt = now.plus(settings.subscribeWithin.dividedBy(2));  // repeated if no answer comes
             }
             actions.setTimer(subscribeAt.minus(now), this);
         }
@@ -699,7 +709,7 @@
         if (request.plannedRunner != null && (settings.parallelAttempts || request.pendingAttempt() == null)) {
             Runner runner = request.plannedRunner;
             request.plannedRunner = null;
-            if (canSend(now, request, runner)) {  // re-checked: list, window or budget may have changed since
+            if (canSend(now, request, runner)) {  // checked again: list, window or budget may have changed
                 dispatch(now, request, runner);
             } else {
                 request.clearSearch();
--- a/core/src/main/java/saltdale/decision/FleetSurvey.java
+++ b/core/src/main/java/saltdale/decision/FleetSurvey.java
@@ -8,17 +8,19 @@
 import saltdale.model.DispatcherSettings;
 import saltdale.model.Runner;
 
-/** What one dispatcher sees of all its runners together, counted at most once for one moment. */
+/** Statistics over all runners of one dispatcher, computed at most once per point in time. */
 final class FleetSurvey {
-    /** Work done by warm runners. */
+    /** Work completed by warm runners, in slot seconds. */
     final DecayingSum warmWorkDone = new DecayingSum();
-    /** How many are ready, and how many of those are set aside. */
+    /** The number of ready runners. */
     double readyCount;
 
+    /** The number of ready runners that are ejected for their failures. */
     double ejectedCount;
-    /** What a warm runner does for us, in seconds of work a second, and what of ours each known one holds. */
+    /** Slot seconds of work that a warm runner completes for this dispatcher per second. */
     double warmWorkRate;
 
+    /** The mean number of this dispatcher's attempts in flight on a runner that it has contacted. */
     double meanInFlight;
 
     private final DispatcherSettings settings;
--- a/core/src/main/java/saltdale/decision/Preview.java
+++ b/core/src/main/java/saltdale/decision/Preview.java
@@ -11,14 +11,14 @@
 import saltdale.model.Runner;
 
 /**
- * Counts where the settings of another shape would have decided otherwise, and changes nothing: the dispatcher's own
- * questions that draw no chance and keep nothing are asked once more under those settings, on the same observed state.
+ * Counts the decisions that would differ under other settings, without any effect on the dispatcher: queries of the
+ * dispatcher that use no random numbers and modify nothing are repeated under those settings on the same state.
  */
 public final class Preview {
-    /** Where nothing is to be watched. */
+    /** A preview that compares nothing. */
     static final Preview NONE = new Preview();
 
-    /** What may be decided otherwise; each is counted beside how often it was compared. */
+    /** The kinds of decisions compared; for each, comparisons and differences are counted. */
     public enum Kind {
         IDLE,
         RUNNER,
@@ -30,7 +30,7 @@
     private final DispatcherSettings otherSettings;
     private final Map<Kind, long[]> counts = new EnumMap<>(Kind.class);
 
-    /** Begins to watch this dispatcher; workloads, tenants and the round are its own in both. */
+    /** Attaches to a dispatcher; its own workloads, tenants and round interval apply under both settings. */
     public Preview(Dispatcher dispatcher, DispatcherSettings otherSettings) {
         this.dispatcher = dispatcher;
         this.otherSettings = otherSettings;
@@ -48,7 +48,7 @@
     private <T> T withSettings(DispatcherSettings settings, Supplier<T> question) {
         DispatcherSettings ownSettings = dispatcher.settings;
         settings.roundInterval = ownSettings.roundInterval;
-        settings.shutdownAt = ownSettings.shutdownAt; // neither is a matter of the shape
+        settings.shutdownAt = ownSettings.shutdownAt; // neither is subject to the comparison
         dispatcher.settings = settings;
         try {
             return question.get();
@@ -72,7 +72,7 @@
         }
     }
 
-    /** One of those probed takes it: which one is asked anew under both, on what is known by now. */
+    /** Compares the best probed runner under both settings, on the current state. */
     void onRunnerChosen(Duration now, Request request) {
         if (otherSettings == null) {
             return;
@@ -120,16 +120,17 @@
                 + dispatcher.extraLoad(now, request, runner);
     }
 
-    /** How often this was decided, and how often otherwise under the other settings. */
+    /** The number of decisions of this kind that were compared. */
     public long compared(Kind kind) {
         return counts.get(kind)[0];
     }
 
+    /** The number of compared decisions that differed under the other settings. */
     public long differing(Kind kind) {
         return counts.get(kind)[1];
     }
 
-    /** One line a counter: its name and its figure. */
+    /** The counters as text, one "name value" pair per line. */
     public String lines() {
         StringJoiner lines = new StringJoiner("\n", "", "\n");
         for (Kind kind : Kind.values()) {
--- a/core/src/main/java/saltdale/decision/WorkloadStats.java
+++ b/core/src/main/java/saltdale/decision/WorkloadStats.java
@@ -4,19 +4,21 @@
 import saltdale.model.DecayingSum;
 import saltdale.overload.AdmissionControl;
 
-/** What one dispatcher has seen of one workload. */
+/** Statistics of one workload at one dispatcher. */
 final class WorkloadStats {
-    /** The mean size in seconds, over how many that were hinted, else have ended. */
+    /** The mean run time in seconds, from hints where there are any, else from completed attempts. */
     double meanRunTime;
 
+    /** The number of run times in the mean. */
     double sampleCount;
-    /** Work that runners were picked for. */
+    /** Work for which a runner was searched, in slot seconds. */
     final DecayingSum searchedWork = new DecayingSum();
-    /** The longest a client has come with: that of a first try. */
+    /** The longest client timeout seen: that of a first try. */
     Duration maxClientTimeout = Duration.ZERO;
-    /** Among the others, where overloads are met by levels: its first tries and its marked repeats. */
+    /** The class of its first tries in admission control; null without overload settings. */
     final AdmissionControl.AdmissionClass firstTries;
 
+    /** The class of its marked retries in admission control; null without overload settings. */
     final AdmissionControl.AdmissionClass retries;
 
     WorkloadStats(AdmissionControl admission) {
@@ -28,7 +30,7 @@
         meanRunTime += (runTimeSeconds - meanRunTime) / Math.min(++sampleCount, 99);
     }
 
-    /** The mean size; a second until one is known. */
+    /** The mean run time in seconds; 1 until one is known. */
     double runTimeOrDefault() {
         return sampleCount == 0 ? 1 : meanRunTime;
     }
--- a/core/src/main/java/saltdale/model/Attempt.java
+++ b/core/src/main/java/saltdale/model/Attempt.java
@@ -2,27 +2,30 @@
 
 import java.time.Duration;
 
-/** One sending of an assignment to a runner. */
+/** One attempt to execute a request: it is sent to one runner. */
 public final class Attempt {
     public final Request request;
     public final Runner runner;
     public final Duration sentAt;
-    /** The work expected of it, in slot seconds. */
+    /** The expected work, in slot seconds. */
     public final double work;
-    /** The load of the runner when it was chosen. */
+    /** The runner's load when it was chosen. */
     public final double runnerLoad;
-    /** Null until the runner says that the work has begun. */
+    /** When the runner started it, as reported or inferred from progress; null until known. */
     public Duration startedAt;
-    /** When the runner was last heard to be working on it. */
+    /** When the runner last reported progress; the time of sending until then. */
     public Duration lastProgressAt;
-    /** For how long the connection that it took had rested; null where one had to be opened. */
+    /** How long its connection had been idle; null if a new one was opened. */
     public Duration connectionIdleTime;
-    /** Null while it is out. */
+    /** Null while it is pending. */
     public Outcome outcome;
-    /** It was turned away where that is no proof: such a runner may have begun it first. */
+    /** True if it was rejected by a runner that may have started it before. */
     public boolean ambiguousRejection;
 
+    /** True once the dispatcher has decided to cancel it. */
     public boolean cancelPlanned;
+
+    /** True once the cancellation has been sent. */
     public boolean cancelSent;
 
     public Attempt(Request request, Runner runner, Duration sentAt, double work, double runnerLoad) {
@@ -34,6 +37,7 @@
         this.lastProgressAt = sentAt;
     }
 
+    /** True unless the outcome proves that it never ran. */
     public boolean mayHaveRun() {
         return outcome == null || ambiguousRejection || !outcome.neverRan();
     }
--- a/core/src/main/java/saltdale/model/DecayingSum.java
+++ b/core/src/main/java/saltdale/model/DecayingSum.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** A sum whose older parts fade, by 1/e for each span of memory. */
+/** A sum that decays exponentially, to 1/e within each time constant. */
 public final class DecayingSum {
     private double sum;
     private Duration updatedAt = Duration.ZERO;
@@ -16,7 +16,7 @@
         return sum * decayFactor(now, updatedAt, timeConstant);
     }
 
-    /** What is left by now of what was then. */
+    /** The remaining fraction of a value from an earlier time. */
     public static double decayFactor(Duration now, Duration then, Duration timeConstant) {
         return Math.exp(-Durations.seconds(now.minus(then)) / Durations.seconds(timeConstant));
     }
--- a/core/src/main/java/saltdale/model/DispatcherSettings.java
+++ b/core/src/main/java/saltdale/model/DispatcherSettings.java
@@ -4,62 +4,79 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a dispatcher is told once, at its start. */
+/** The settings of one dispatcher, fixed at its start. */
 public final class DispatcherSettings {
     public final List<Workload> workloads = new ArrayList<>();
     public final List<Tenant> tenants = new ArrayList<>();
-    /** This dispatcher's number and how many there are. */
+    /** The index of this dispatcher, from 0. */
     public int dispatcherIndex;
 
+    /** The number of dispatchers that share the runners. */
     public int dispatcherCount = 1;
     public String zone = "";
-    /** The least time between two rounds of events. */
+    /** The shortest time between two rounds of events. */
     public Duration roundInterval = Duration.ZERO;
 
-    /** When this dispatcher is to end, with all answered: for ever away until it is told. */
+    /** When this dispatcher stops, with all requests answered; not limited until a shutdown is requested. */
     public Duration shutdownAt = Duration.ofSeconds(Long.MAX_VALUE);
 
-    // The list.
+    // Runner list.
+    /** Whether the dispatcher must subscribe to the runner list itself. */
     public boolean subscribes;
+
+    /** The time limit for a renewed subscription; retries are spaced within it. */
     public Duration subscribeWithin = Duration.ofSeconds(10);
 
-    /** The list's weights fall with load: size over 1 + jobs held for each core. */
+    /** Whether weights in the list fall with load: the maximum weight over 1 + jobs per slot. */
     public boolean loadBasedWeights;
 
-    // What is permitted.
+    // Permissions and limits.
     public boolean mayProbe = true;
     public boolean mayCancel = true;
+    /** Whether a request may have several pending attempts. */
     public boolean parallelAttempts;
+
     public boolean peerMessages;
+    /** Whether shed responses carry a Retry-After. */
     public boolean sendsRetryAfter;
+
     public int maxAttempts = Integer.MAX_VALUE;
     public Duration maxRetryAfter = Duration.ZERO;
     public Duration connectTimeout = Duration.ZERO;
-    /** How long a connection may rest unused. */
+    /** How long a connection may be idle. */
     public Duration idleTimeout = Duration.ofSeconds(30);
 
-    /** Whether clients mark their repeats. */
+    /** Whether clients mark their retries. */
     public boolean retriesMarked;
 
-    // What runners tell.
+    // Reports of runners.
+    /** Whether runners report the start of an attempt. */
     public boolean reportsStart;
+
+    /** The interval of progress reports; zero if there are none. */
     public Duration progressInterval = Duration.ZERO;
 
-    // The rules in figures.
+    // Cold runners and rejections.
+    /** The share of its full capacity that a runner has right after its start. */
     public double coldCapacity = 1;
+
+    /** How long after its start a runner may be cold. */
     public Duration warmUpTime = Duration.ZERO;
+    /** The multiple of a cold runner's capacity that it may be sent within {@link #coldLimitWindow}. */
     public double coldLimitMultiple = 1;
     public Duration coldLimitWindow = Duration.ZERO;
-    /** Whether a runner may turn away what it had begun, so that this proves nothing. */
+    /** Whether a runner may reject an attempt after it has started it, so that a rejection proves nothing. */
     public boolean lateRejections;
 
-    /** How an overload is met by what it turns away first; null where that is left as it is. */
+    /** The settings of the admission control; null for none. */
     public OverloadSettings overload;
 
-    // How service is counted.
+    // Objective.
+    /** Whether importance counts per second of work instead of per request. */
     public boolean importanceByWork;
+
     public double importanceBeyondShare = 1;
-    /** The weight of the whole run's service in the goal, beside which the tariffs stand. */
+    /** The weight of the service in the objective, relative to the prices. */
     public double goalWeight = 1;
 
     public double crossZonePrice;
@@ -67,12 +84,12 @@
     public double probePrice;
     public double wastePrice;
 
-    /** How long a client of any workload waits, at the most. */
+    /** The longest client timeout of all workloads. */
     public Duration maxClientTimeout() {
         return workloads.stream().map(w -> w.clientTimeout).reduce(Duration.ZERO, Durations::max);
     }
 
-    /** The least share of its full capacity that a runner can have by now: 1 once it must be warm. */
+    /** The lowest possible share of its full capacity that a runner has now: 1 once it must be warm. */
     public double warmth(Duration now, Runner runner) {
         if (runner.startedAt == null || Durations.reached(now, runner.startedAt.plus(warmUpTime))) {
             return 1;
--- a/core/src/main/java/saltdale/model/Durations.java
+++ b/core/src/main/java/saltdale/model/Durations.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** Arithmetic on spans of time. */
+/** Arithmetic on durations. */
 public final class Durations {
     private Durations() {}
 
@@ -22,6 +22,7 @@
         return a.compareTo(b) >= 0 ? a : b;
     }
 
+    /** Whether {@code now} is at or after {@code time}. */
     public static boolean reached(Duration now, Duration time) {
         return now.compareTo(time) >= 0;
     }
--- a/core/src/main/java/saltdale/model/Histogram.java
+++ b/core/src/main/java/saltdale/model/Histogram.java
@@ -2,21 +2,27 @@
 
 import java.util.Arrays;
 
-/** Counts in a few bins whose bounds double; halved once it has seen enough, so that old figures fade. */
+/**
+ * Counts values in bins with doubling bounds. All counts are halved whenever their total reaches a limit, so that old
+ * values lose weight.
+ */
 public final class Histogram {
     private final double firstBound;
     private final double[] bins;
     private final double halvingCount;
     private double total;
 
-    /** The first bin holds all below {@code first}; each further one reaches twice as far; the last is open. */
+    /**
+     * The first bin holds values below {@code firstBound}; each further upper bound is twice the previous one; the last
+     * bin is unbounded.
+     */
     public Histogram(double firstBound, int binCount, double halvingCount) {
         this.firstBound = firstBound;
         this.bins = new double[binCount];
         this.halvingCount = halvingCount;
     }
 
-    /** A histogram of yes and no: two bins, for {@link #add(boolean)}. */
+    /** A histogram of booleans with two bins, for {@link #add(boolean)}. */
     public static Histogram ofBooleans(double halvingCount) {
         return new Histogram(1, 2, halvingCount);
     }
@@ -46,11 +52,12 @@
         total = 0;
     }
 
+    /** The count of all bins. */
     public double count() {
         return total;
     }
 
-    /** The count of the last bin: the yes of a histogram of odds. */
+    /** The count of the last bin: of true in a histogram of booleans. */
     public double lastBin() {
         return bins[bins.length - 1];
     }
--- a/core/src/main/java/saltdale/model/Keys.java
+++ b/core/src/main/java/saltdale/model/Keys.java
@@ -1,12 +1,13 @@
 package saltdale.model;
 
-/** How much of late concerned each key, in bounded memory, and which runners are the home of a key. */
+/** Recent share of each affinity key in all requests, in bounded memory, and the home runners of a key. */
 public final class Keys {
-    private static final int BUCKETS = 1024;  // keys that share one count as one
+    private static final int BUCKETS = 1024;  // keys in the same bucket count as one
     private static final int HALVING_COUNT = 8192;
     private final int[] counts = new int[BUCKETS];
     private int total;
 
+    /** Counts a request with this key. */
     public void add(long key) {
         counts[bucket(key)]++;
         if (++total >= HALVING_COUNT) {
@@ -18,12 +19,12 @@
         }
     }
 
-    /** The share that this key has had of late. */
+    /** The recent share of this key. */
     public double share(long key) {
         return total == 0 ? 0 : (double) counts[bucket(key)] / total;
     }
 
-    /** Whether the runner is a home of this key, as this part of all runners is: alike at all of us. */
+    /** Whether the runner is a home of this key, as this share of all runners is; equal at all dispatchers. */
     public static boolean isHome(long key, long runnerHash, double share) {
         return (mix(key ^ mix(runnerHash)) >>> 11) * 0x1.0p-53 < share;
     }
@@ -32,7 +33,7 @@
         return (int) (mix(key) >>> 54);
     }
 
-    /** A hash of a text: FNV-1a, 64 bits; never 0. */
+    /** The 64-bit FNV-1a hash of a text; never 0. */
     public static long hash(String text) {
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < text.length(); i++) {
@@ -41,7 +42,7 @@
         return hash == 0 ? 1 : hash;
     }
 
-    /** The finaliser of MurmurHash3. */
+    /** The finalizer of MurmurHash3. */
     private static long mix(long z) {
         z = (z ^ z >>> 33) * 0xff51afd7ed558ccdL;
         z = (z ^ z >>> 33) * 0xc4ceb9fe1a85ec53L;
--- a/core/src/main/java/saltdale/model/MachineTypeStats.java
+++ b/core/src/main/java/saltdale/model/MachineTypeStats.java
@@ -1,11 +1,12 @@
 package saltdale.model;
 
-/** The machines of one kind: what this dispatcher has learnt of them together. */
+/** Statistics of one machine type at one dispatcher. */
 public final class MachineTypeStats {
+    /** Actual relative to expected run time on these machines. */
     public final RunTimeRatio runTimeRatio;
-    /** The slots of one of them; 0 until a report has told. */
+    /** The number of slots of one machine; 0 until known from a report. */
     public double slots;
-    /** The greatest weight that a list has given one of them: its size when it holds nothing. */
+    /** The highest weight of such a machine in any runner list: its weight without load. */
     public double maxWeight;
 
     public MachineTypeStats(RunTimeRatio runTimeRatio) {
@@ -13,8 +14,8 @@
     }
 
     /**
-     * Free slots and jobs in flight add up to its slots; where only the free ones are told, the most seen are a
-     * bound.
+     * Estimates the slots from a report: the sum of free slots and jobs in flight, or the most free slots seen where a
+     * report carries no jobs in flight.
      */
     public void recordSlots(LoadReport report) {
         if (report.freeSlots() >= 1 && !Double.isNaN(report.inFlight())) {
--- a/core/src/main/java/saltdale/model/Outcome.java
+++ b/core/src/main/java/saltdale/model/Outcome.java
@@ -1,6 +1,6 @@
 package saltdale.model;
 
-/** How a dispatch or a probe ended. */
+/** How an attempt or a probe ended. */
 public enum Outcome {
     FULFILLED,
     ERROR,
@@ -12,8 +12,8 @@
     NEVER_SENT;
 
     /**
-     * True where the outcome proves that the work never ran; of a runner that turns away, only where 'full'
-     * proves it.
+     * True if the outcome proves that the work never ran; for a rejection only where runners never reject after a
+     * start, see {@link DispatcherSettings#lateRejections}.
      */
     public boolean neverRan() {
         return this == TURNED_AWAY || this == NOT_CONNECTED || this == NEVER_SENT;
--- a/core/src/main/java/saltdale/model/OverloadSettings.java
+++ b/core/src/main/java/saltdale/model/OverloadSettings.java
@@ -3,16 +3,18 @@
 import java.time.Duration;
 
 /**
- * How an overload is met, where this is set (the table {@code overload} of EDGE_CONFIG); without it nothing of it is
- * there.
+ * Settings of the admission control for overloads (the table {@code overload} of EDGE_CONFIG); without the table there
+ * is none.
  *
- * @param low the wait, as a part of what dearer work can bear, up to which all work is let in
- * @param high likewise, from which none is let in that earns less
- * @param borne the part of its slack that a try's wait may take where later tries are not marked as such: what is left
- *     stands for what its client's earlier tries took
- * @param missed the part of the dearer work that must lately have missed its promise before more is turned away
- * @param step the least time between two changes of the level
- * @param known so many assignments of a workload must have ended before it is weighed against others
+ * @param lowWaitShare the wait, as a share of the wait that the most valuable work can tolerate, up to which nothing is
+ *     rejected
+ * @param highWaitShare likewise, the share from which all less valuable work is rejected
+ * @param slackShare the share of its slack that a request may wait where clients do not mark retries; the rest
+ *     allows for the time that earlier tries of the client have taken
+ * @param tolerableMissShare the share of the most valuable work that must recently have missed its target latency
+ *     before the level rises
+ * @param minChangeInterval the shortest time between two changes of the level
+ * @param minCompletions the number of completed requests from which a workload's value is known
  */
 public record OverloadSettings(
         double lowWaitShare,
@@ -21,7 +23,7 @@
         double tolerableMissShare,
         Duration minChangeInterval,
         int minCompletions) {
-    /** Measured in {@code docs/overload.md}. */
+    /** The default settings, see {@code docs/overload.md}. */
     public static final OverloadSettings DEFAULTS =
             new OverloadSettings(0.2, 0.5, 0.5, 0.05, Duration.ofMillis(100), 8);
 }
--- a/core/src/main/java/saltdale/model/Request.java
+++ b/core/src/main/java/saltdale/model/Request.java
@@ -4,47 +4,53 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A client's request, from its arrival to its final answer. */
+/** A client's request, from its arrival to its final response, with the dispatcher's plans for it. */
 public final class Request {
-    /** The final answers that a dispatcher can give itself. */
+    /** Final responses that come from the dispatcher itself and not from a runner. */
     public enum LocalResponse {
+        /** Rejected because of overload or failures; a retry is harmless. */
         SHED,
+        /** Failed; the request may have run, and a retry may be harmful. */
         GIVEN_UP
     }
 
     public final Workload workload;
     public final Duration arrivedAt;
-    /** When the client's patience with this try ends. */
+    /** When the client stops waiting for this try. */
     public final Duration deadline;
-    /** The client's tenant; null where there are none. */
+    /** The client's tenant; null if none. */
     public Tenant tenant;
-    /** The hinted running time at speed 1; null where there is none. */
+    /** The run time at speed 1 according to the client; null if not given. */
     public Duration runTimeHint;
 
+    /** The number of slots that it occupies on a runner. */
     public double slots = 1;
     public double memory;
-    /** What it concerns, as a hash: runners may keep what such work needs. 0 where it is not told. */
+    /** A hash of the data that it concerns, which runners may cache; 0 if not given. */
     public long affinityKey;
-    /** True for a client's repeat, where clients mark them. */
+    /** True if the client marked it as a retry. */
     public boolean markedAsRetry;
 
+    /** All attempts, in the order of sending. */
     public final List<Attempt> attempts = new ArrayList<>(2);
-    /** The runners probed in the present search, and the load found at each. */
+    /** The runners probed in the current search. */
     public final List<Runner> probedRunners = new ArrayList<>(4);
 
+    /** The load found at each of {@link #probedRunners}. */
     public final List<Double> probedLoads = new ArrayList<>(4);
-    /** The loads, each with what a crossing to that runner's zone counts as. */
+    /** The load found at each, plus the load equivalent of its zone and connection. */
     public final List<Double> probedCosts = new ArrayList<>(4);
-    /** The runner whose probe is awaited, and since when. */
+    /** The runner whose answer to a probe is outstanding; null if none. */
     public Runner probeTarget;
 
+    /** When that probe was sent. */
     public Duration probeSentAt;
-    /** True once the final answer is out, whoever gave it. */
+    /** True once the final response has been sent, by a runner or by the dispatcher, or the client has gone. */
     public boolean closed;
-    /** The dispatch whose answer has begun to stream and so belongs to the client; null while none has. */
+    /** The attempt whose response is being streamed to the client; null if none. */
     public Attempt streamingAttempt;
 
-    // What is wanted and not yet done; the dispatcher's settle() compares it with the above.
+    // Planned but not yet carried out: Dispatcher.applyActions compares these fields with the state above.
     public Runner plannedProbe;
     public Runner plannedRunner;
     public double plannedLoad;
@@ -52,11 +58,12 @@
     public Duration plannedRetryAfter;
     public Duration plannedCheckAt;
     public Duration timerAt;
-    /** A search made beside a dispatch that is out. */
+    /** True for a search while an attempt is pending. */
     public boolean seekingAlternative;
 
+    /** Additional time until a pending attempt is checked again; null before the first check. */
     public Duration recheckDelay;
-    /** Drawn between 0 and 1 at its arrival, and anew when it has been held. */
+    /** A random number from 0 to 1, drawn at its arrival and again after it was held. */
     public double randomDraw;
 
     public Request(Workload workload, Duration arrivedAt, Duration clientTimeout) {
@@ -65,7 +72,7 @@
         this.deadline = arrivedAt.plus(clientTimeout);
     }
 
-    /** The first dispatch that is still out; null where none is. */
+    /** The first attempt that has not ended; null if there is none. */
     public Attempt pendingAttempt() {
         for (Attempt attempt : attempts) {
             if (attempt.outcome == null) {
@@ -75,7 +82,7 @@
         return null;
     }
 
-    /** True once its answer is out and so is the outcome of each dispatch. */
+    /** True once it has its final response and every attempt has ended. */
     public boolean isFinished() {
         return closed && pendingAttempt() == null;
     }
@@ -93,7 +100,7 @@
         return false;
     }
 
-    /** True where some dispatch may have run, for all that is known. */
+    /** True unless every attempt is known not to have run. */
     public boolean mayHaveRun() {
         for (Attempt attempt : attempts) {
             if (attempt.mayHaveRun()) {
@@ -103,17 +110,19 @@
         return false;
     }
 
+    /** Adds the result of a probe to the current search. */
     public void addProbeResult(Runner runner, double load, double extraLoad) {
         probedRunners.add(runner);
         probedLoads.add(load);
         probedCosts.add(load + extraLoad);
     }
 
-    /** The least cost found in the present search; infinite where nothing has been. */
+    /** The lowest cost found in the current search; infinite before the first result. */
     public double lowestCost() {
         return probedCosts.stream().mapToDouble(cost -> cost).min().orElse(Double.POSITIVE_INFINITY);
     }
 
+    /** Discards the results of the current search. */
     public void clearSearch() {
         probedRunners.clear();
         probedLoads.clear();
@@ -122,7 +131,7 @@
         seekingAlternative = false;
     }
 
-    /** The client's patience with this try. */
+    /** How long the client waits for a response to this try. */
     public Duration clientTimeout() {
         return deadline.minus(arrivedAt);
     }
--- a/core/src/main/java/saltdale/model/RunTimeRatio.java
+++ b/core/src/main/java/saltdale/model/RunTimeRatio.java
@@ -1,11 +1,11 @@
 package saltdale.model;
 
 /**
- * How long work takes some runners beside what is expected of the larger group that they stand in; halved once it
- * holds enough, so that old runs fade.
+ * The ratio of actual to expected run time of some runners, relative to a larger group that contains them. All sums are
+ * halved whenever the number of runs reaches a limit, so that old runs lose weight.
  */
 public final class RunTimeRatio {
-    /** The group it is measured within; null for all. */
+    /** The larger group; null for the whole fleet. */
     public RunTimeRatio group;
 
     private final double halvingCount;
@@ -18,7 +18,7 @@
         this.group = group;
     }
 
-    /** Notes a run of work of this size, here and in the groups around. */
+    /** Adds a run with its actual and expected time, here and in all larger groups. */
     public void add(double runTime, double expectedTime, double priorWeight) {
         actual += runTime;
         expected += expectedTime * groupEstimate(priorWeight);
@@ -32,13 +32,14 @@
         }
     }
 
+    /** Discards all runs of these runners; those of the group stay. */
     public void clear() {
         actual = 0;
         expected = 0;
         count = 0;
     }
 
-    /** Time taken for each unit of size, where so many runs at the group's pace are believed beside its own. */
+    /** The estimated ratio; the group's estimate is a prior with the weight of this many runs. */
     public double estimate(double priorWeight, double groupPriorWeight) {
         double own = expected == 0 ? 1 : (actual / expected * count + priorWeight) / (count + priorWeight);
         return own * groupEstimate(groupPriorWeight);
--- a/core/src/main/java/saltdale/model/Runner.java
+++ b/core/src/main/java/saltdale/model/Runner.java
@@ -9,84 +9,88 @@
 import java.util.Set;
 import java.util.stream.Stream;
 
-/** A worker machine: what the list says of it, and what this dispatcher has seen. */
+/** A worker machine that executes requests: its entry in the runner list and this dispatcher's observations. */
 public final class Runner {
-    /** Whether the runner takes requests, as the list says. */
+    /** Whether the runner accepts requests according to the list. */
     public enum Mode {
         READY,
         DRAINING,
         GONE
     }
 
-    /** Until when a workload is kept from it, and for how long that was. */
+    /** The end and the length of a period in which the runner is avoided. */
     record Backoff(Duration until, Duration delay) {}
 
-    /** A hash of its name, alike at all dispatchers. */
+    /** A hash of its name, equal at all dispatchers. */
     public long hash;
 
-    // From the list.
+    // From the runner list.
     public String machineType = "";
-    /** What is known of its kind; set when a list first tells of it. */
+    /** Statistics of its machine type; set by its first list entry. */
     public MachineTypeStats typeStats = new MachineTypeStats(null);
 
     public String zone = "";
     public double weight = 1;
-    /** Gone until a list names it; what the dispatcher has forgotten is gone as well. */
+    /** GONE until a list contains it, and again once the dispatcher has removed it. */
     public Mode mode = Mode.GONE;
 
     public int cell;
-    /** Null: long ago. */
+    /** When its process started; null if long ago. */
     public Duration startedAt;
 
-    // Seen by this dispatcher.
+    // Observed by this dispatcher.
+    /** The pending attempts of this dispatcher. */
     public final Set<Attempt> inFlight = new LinkedHashSet<>();
+    /** The requests that wait for an answer to a probe, in the order of the probes. */
     public final Deque<Request> probeWaiters = new ArrayDeque<>();
     public LoadReport report = LoadReport.NONE;
-    /** It has been sent to or has answered a probe. */
+    /** True once it was sent an attempt or answered a probe. */
     public boolean contacted;
-    /** Whether its recent dispatches failed. */
+    /** Failures among its recent attempts. */
     public final Histogram failures = Histogram.ofBooleans(16);
-    /** How long our assignments ran on it beside what was expected, and when the last of them ended. */
+    /** Actual relative to expected run time of this dispatcher's requests. */
     public final RunTimeRatio runTimeRatio = new RunTimeRatio(16, null);
 
+    /** When a request last contributed to the ratio. */
     public Duration ratioUpdatedAt = Duration.ZERO;
-    /** When a probe last found it busy; null once it was idle or ended a dispatch of ours. */
+    /** When a probe last found it busy; null once it was idle or completed an attempt. */
     public Duration foundBusyAt;
-    /** The workloads that it turned away while it was all but idle. */
+    /** The workloads that it rejected while nearly idle. */
     public final Map<Workload, Backoff> rejections = new HashMap<>();
-    /** The gap of the trickle to a runner set aside; null for a runner in good standing. */
+    /** The interval of trial attempts to a runner that is ejected for its failures; null if not ejected. */
     public Duration trialInterval;
 
+    /** When the next trial attempt may be sent. */
     public Duration nextTrialAt = Duration.ZERO;
-    /** Since it last was silent: until when it is passed over, and for how long that was; null once it is heard. */
+    /** The period in which it is avoided for not responding; null once it has responded. */
     private Backoff noResponse;
-    /** What was sent to it while it was cold. */
+    /** The attempts sent while it was cold. */
     public final Deque<Attempt> coldAttempts = new ArrayDeque<>();
 
-    /** When each of our connections to it that rest, for all we know, was last used. */
+    /** The time of last use of each presumably idle connection to it. */
     private final Deque<Duration> idleConnections = new ArrayDeque<>();
 
-    /** For how long the connection that was used last has rested; null where none rests. */
+    /** How long the most recently used connection has been idle; null if none is. */
     public Duration connectionIdleTime(Duration now) {
         return idleConnections.isEmpty() ? null : now.minus(idleConnections.peekLast());
     }
 
-    /** Whether a connection of ours has rested for less than this, so that a dispatch need not open one. */
+    /** Whether a connection has been idle for less than this, so that an attempt needs no new one. */
     public boolean hasIdleConnection(Duration now, Duration maxIdleTime) {
         return !idleConnections.isEmpty() && connectionIdleTime(now).compareTo(maxIdleTime) < 0;
     }
 
-    /** A dispatch takes the connection that was used last. */
+    /** An attempt uses the most recently used connection. */
     public void takeIdleConnection() {
         idleConnections.pollLast();
     }
 
-    /** All that rest are closed, or taken to be. */
+    /** All idle connections are closed or presumed closed. */
     public void clearIdleConnections() {
         idleConnections.clear();
     }
 
-    /** The connection of a dispatch rests again. */
+    /** The connection of an attempt has become idle. */
     public void addIdleConnection(Duration now, Duration idleTimeout) {
         while (!idleConnections.isEmpty()
                 && Durations.reached(now, idleConnections.peekFirst().plus(idleTimeout))) {
@@ -95,10 +99,10 @@
         idleConnections.addLast(now);
     }
 
-    /** Takes over what the list says; a fresh process has no record. */
+    /** Applies a list entry; a restarted process starts without history. */
     public void update(RunnerListEntry entry, MachineTypeStats stats) {
         if (entry.mode() == Mode.GONE) {
-            mode = Mode.GONE; // guards against entries that tell no more than this: its zone and cell still count
+            mode = Mode.GONE; // such an entry may carry nothing else: zone and cell stay valid
             return;
         }
         if (entry.startedAt() != null && !entry.startedAt().equals(startedAt)) {
@@ -124,7 +128,7 @@
         return mode == Mode.READY;
     }
 
-    /** Whether any of these may run on it. */
+    /** Whether any of these workloads may run on it. */
     public boolean acceptsAny(Workload[] workloads) {
         for (Workload w : workloads) {
             if (w.mayRunOn(this)) {
@@ -135,9 +139,8 @@
     }
 
     /**
-     * It turned this dispatch away: so it is full at that load or, all but idle, takes no such workload for now.
-     * That is
-     * tried again after the spell, then after gaps that double, up to four spells.
+     * Records that it rejected an attempt. At a load of 1 or more it is full; when nearly idle it accepts no such workload
+     * for now, which is tried again after one unit, then after doubling delays of up to four units.
      */
     public void recordRejection(Duration now, Attempt attempt, Duration unit) {
         if (attempt.runnerLoad >= 1) {
@@ -149,13 +152,13 @@
         });
     }
 
-    /** Whether it turned away this workload, all but idle, so short a time ago that it need not be tried again. */
+    /** Whether it recently rejected this workload while nearly idle and should not be tried yet. */
     public boolean isRejecting(Duration now, Workload workload) {
         Backoff rejection = rejections.get(workload);
         return rejection != null && !Durations.reached(now, rejection.until);
     }
 
-    /** It has not answered in time, or no way led to it: passed over for the spell, then for gaps that double. */
+    /** Records a missing response or an unreachable runner: avoided for one unit, then for doubling delays. */
     public void recordNoResponse(Duration now, Duration unit) {
         if (noResponse == null || Durations.reached(now, noResponse.until)) {
             Duration delay =
@@ -164,38 +167,39 @@
         }
     }
 
-    /** It has ended an assignment of this workload. */
+    /** Records that it completed a request of this workload. */
     public void recordSuccess(Workload workload) {
         rejections.remove(workload);
         foundBusyAt = null;
         recordResponse();
     }
 
+    /** Records any response: it is not avoided any more. */
     public void recordResponse() {
         noResponse = null;
     }
 
-    /** Whether it was silent so short a time ago that it need not be asked again. */
+    /** Whether it recently failed to respond and should not be contacted yet. */
     public boolean isUnresponsive(Duration now) {
         return noResponse != null && !Durations.reached(now, noResponse.until);
     }
 
-    /** Whether the last that was asked of it went unanswered. */
+    /** Whether it has not responded since a missing response was recorded. */
     public boolean hasNotResponded() {
         return noResponse != null;
     }
 
-    /** How many of our dispatches it has not said to have begun. */
+    /** The number of pending attempts without a reported start. */
     public long notStartedCount() {
         return notStarted().count();
     }
 
-    /** The slots of our dispatches that it has not said to have begun. */
+    /** The slots of pending attempts without a reported start. */
     public double notStartedSlots() {
         return notStarted().mapToDouble(d -> d.request.slots).sum();
     }
 
-    /** Whether something of ours that was sent before then has not been said to have begun. */
+    /** Whether an attempt sent before this time has no reported start. */
     public boolean hasNotStartedSince(Duration time) {
         return notStarted().anyMatch(d -> d.sentAt.compareTo(time) < 0);
     }
@@ -204,7 +208,7 @@
         return inFlight.stream().filter(d -> d.startedAt == null);
     }
 
-    /** The work sent to it while cold since then; what is older is dropped. */
+    /** The work sent to it while cold since this time; older attempts are forgotten. */
     public double coldWork(Duration since) {
         while (!coldAttempts.isEmpty() && coldAttempts.peek().sentAt.compareTo(since) <= 0) {
             coldAttempts.poll();
--- a/core/src/main/java/saltdale/model/RunnerListEntry.java
+++ b/core/src/main/java/saltdale/model/RunnerListEntry.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** One entry of a runner list. */
+/** An entry of a runner list: the state of one runner. */
 public record RunnerListEntry(
         Runner runner,
         String machineType,
--- a/core/src/main/java/saltdale/model/Tenant.java
+++ b/core/src/main/java/saltdale/model/Tenant.java
@@ -1,6 +1,6 @@
 package saltdale.model;
 
-/** A customer and its share of the fleet. */
+/** A tenant and its share of the fleet. */
 public final class Tenant {
     public final String name;
     public final double share;
--- a/core/src/main/java/saltdale/overload/AdmissionControl.java
+++ b/core/src/main/java/saltdale/overload/AdmissionControl.java
@@ -9,33 +9,31 @@
 import saltdale.model.OverloadSettings;
 
 /**
- * What is let in while there is more work than room. All work but the dearest for the unit of work stands in a row by
- * what it earns; the level says how many tenths of that row, from the cheap end, are turned away at their arrival. It
- * follows the wait that probes find, beside the wait that the dearer work can bear. Dispatchers that see the same
- * runners so come to the same level, with no word between them.
+ * Admission control for overloads. Classes of work are ordered by value per second of work; the level is the number of
+ * tenths, from the low end, of all work below the top value that are rejected on arrival. The level follows the wait
+ * found by probes relative to the wait that the most valuable work can tolerate. Dispatchers that see the same runners
+ * so reach the same level without coordination.
  *
- * It is told the time and does no I/O. A level may hurt where sizes are misjudged: then the wrong work is turned away.
+ * <p>It gets the time from its caller and does no I/O. Drawback: with misjudged run times the wrong work is rejected.
  */
 public final class AdmissionControl {
     public static final int MAX_LEVEL = 10;
-    private static final int MAX_STEPS_UP = 3; // steps at once; down it goes one by one
-    private static final double TOP_VALUE_TOLERANCE = 1.1; // earning within this of the dearest is no less
+    private static final int MAX_STEPS_UP = 3; // per change; down by one
+    private static final double TOP_VALUE_TOLERANCE = 1.1; // values within this factor of the highest count as equal
 
-    /** A workload: what is known of it by now. */
+    /** A class of work, such as the first tries of one workload, and its measurements. */
     public static final class AdmissionClass {
         private final DecayingSum offered = new DecayingSum();
-        private double valuePerSecond = Double.POSITIVE_INFINITY; // importance for a second of work
-        private double slackSeconds; // seconds that it can wait
+        private double valuePerSecond = Double.POSITIVE_INFINITY; // importance per second of work
+        private double slackSeconds; // how long it can wait
         private boolean isTopValue = true;
-        private final DecayingSum completed = new DecayingSum(); // how many of it were let in and came to an end
-        private final DecayingSum missed = new DecayingSum(); // how many of those not in time
+        private final DecayingSum completed = new DecayingSum(); // admitted requests that have ended
+        private final DecayingSum missed = new DecayingSum(); // those of them that missed their target
 
         /**
-         * Until so many of it have ended, nobody knows what it earns: it is then never turned away, and goes
-         * before what can
-         * wait longer, as that is likely larger; but it waits no longer than leaves dear work its place. Guards
-         * against a
-         * start in the midst of an overload: the first guesses would shed the dear, or fill all queues with the cheap.
+         * True while too few requests have ended to know the value. Such work is never rejected and takes precedence over
+         * work that can wait longer, which is likely larger; but it may not wait so long that valuable work is delayed.
+         * For a start during an overload: first estimates would reject valuable work or fill all queues with cheap work.
          */
         private boolean isUnknown() {
             return valuePerSecond == Double.POSITIVE_INFINITY;
@@ -47,7 +45,7 @@
     private final List<AdmissionClass> classes = new ArrayList<>();
     private Duration waitMeasuredAt = Duration.ZERO;
     private double waitSeconds;
-    private double tolerableWaitSeconds; // seconds that the dearer work can wait
+    private double tolerableWaitSeconds; // of the most valuable work
     private Duration changedAt = Duration.ZERO;
     private int level;
     private long changeCount;
@@ -59,13 +57,14 @@
         this.timeConstant = timeConstant;
     }
 
+    /** Adds a class of work. */
     public AdmissionClass addClass() {
         AdmissionClass admissionClass = new AdmissionClass();
         classes.add(admissionClass);
         return admissionClass;
     }
 
-    /** An assignment has arrived: what it likely works, and what its workload earns and can bear by now. */
+    /** Records an arrival: its expected work, and the current value, slack and completions of its class. */
     public void recordArrival(
             Duration now,
             AdmissionClass admissionClass,
@@ -79,19 +78,19 @@
         admissionClass.slackSeconds = slackSeconds;
     }
 
-    /** One that was let in has come to its end, or is shed because it would be late. */
+    /** Records that an admitted request has ended, or was shed because it would be late. */
     public void recordCompletion(Duration now, AdmissionClass admissionClass, boolean missed) {
         admissionClass.completed.add(now, 1, timeConstant);
         admissionClass.missed.add(now, missed ? 1 : 0, timeConstant);
     }
 
-    /** The wait that was found of late over all runners probed, in seconds. */
+    /** Records the recent mean wait over all probed runners. */
     public void recordWait(Duration now, double seconds) {
         waitSeconds = seconds;
         waitMeasuredAt = now;
     }
 
-    /** Whether it is to be turned away at its arrival; {@code luck} from 0 to 1 places it among its own. */
+    /** Whether to reject an arrival; {@code randomDraw}, from 0 to 1, is its position within its class. */
     public boolean shouldReject(Duration now, AdmissionClass admissionClass, double randomDraw) {
         classes.forEach(each -> each.isTopValue = each.offered.valueAt(now, timeConstant) > 0);
         double topValue = classes.stream()
@@ -129,7 +128,7 @@
                         : each == admissionClass ? randomDraw * work : 0;
             }
         }
-        // While some work can't be weighed yet, it is the least that any dear work can wait.
+        // While the value of some work is unknown, the least slack of all top-value work applies.
         tolerableWaitSeconds = totalValue == 0
                 ? 0
                 : leastUnknownSlack < Double.POSITIVE_INFINITY ? leastSlack : weightedSlack / totalValue;
@@ -140,10 +139,10 @@
     }
 
     /**
-     * Towards what the wait asks for: by bounded steps, and down only once that lies two steps lower, so that a
-     * wait that
-     * hovers changes nothing; up only while dearer work misses its promise, or waits that all can bear would turn work
-     * away. What was found fades where nothing is probed any more, or no one would ever be let in.
+     * Moves the level towards the one that the wait calls for, in bounded steps. Down only from two steps above it, so that
+     * a wait around a limit causes no oscillation. Up only while the most valuable work misses its targets, or a wait that
+     * all work tolerates would cause rejections. The measured wait decays: without new probes nothing would ever be
+     * admitted again.
      */
     private void adjustLevel(Duration now, boolean hasRejectableWork, boolean mayRise) {
         if (now.compareTo(changedAt.plus(settings.minChangeInterval())) < 0) {
@@ -166,7 +165,7 @@
         if (next != level) {
             lastChange = String.format(
                     Locale.ROOT,
-                    "level %d to %d: a wait of %.3f s, the dearer work can bear %.3f s",
+                    "level %d to %d: wait %.3f s, the most valuable work tolerates %.3f s",
                     level,
                     next,
                     decayedWait,
@@ -178,10 +177,9 @@
     }
 
     /**
-     * The wait that an assignment may meet where it is sent, of this slack: a part of it where nothing tells how many
-     * tries came before; for cheaper work in an overload, and for what can't be weighed yet, no more than leaves
-     * the dear
-     * its place behind it.
+     * The longest wait at which a request with this slack may be sent to a runner: a share of its slack where earlier tries
+     * of the client are unknown; for less valuable work in an overload, and work of unknown value, at most a wait that
+     * leaves room for the most valuable work behind it.
      */
     public double maxWaitSeconds(AdmissionClass admissionClass, double slackSeconds, boolean retriesKnown) {
         double ownLimit = retriesKnown ? slackSeconds : settings.slackShare() * slackSeconds;
@@ -190,19 +188,22 @@
                 : ownLimit;
     }
 
+    /** The current level, from 0 to {@link #MAX_LEVEL} tenths. */
     public int level() {
         return level;
     }
 
-    /** How often it has changed, and why it last did. */
+    /** How often the level has changed. */
     public long changeCount() {
         return changeCount;
     }
 
+    /** A description of the last change of the level with its reason; empty before the first. */
     public String lastChange() {
         return lastChange;
     }
 
+    /** The number of arrivals rejected so far. */
     public long rejectedCount() {
         return rejectedCount;
     }
--- a/core/src/main/java/saltdale/probing/Payoff.java
+++ b/core/src/main/java/saltdale/probing/Payoff.java
@@ -1,6 +1,6 @@
 package saltdale.probing;
 
-/** The arithmetic of the design, under its own names: what another probe may save. It keeps nothing. */
+/** The formulas of the design in its notation: what another probe is expected to save. Stateless. */
 public final class Payoff {
     public static final double C = 0.003;
     public static final double ALPHA = 0.9;
@@ -24,11 +24,12 @@
         return qMin < Double.POSITIVE_INFINITY ? b : qMin;
     }
 
-    /** The share of runners with at least i jobs. */
+    /** s(i): the share of runners with at least i jobs, with d probes per job at utilisation λ. */
     public static double s(int i, double lambda, int d) {
         return Math.pow(lambda, d == 1 ? i : (Math.pow(d, i) - 1) / (d - 1));
     }
 
+    /** Exponential smoothing with weight ALPHA on the old value. */
     public static double smooth(double old, double sample) {
         return ALPHA * old + (1 - ALPHA) * sample;
     }
--- a/core/src/main/java/saltdale/probing/ProbeLoop.java
+++ b/core/src/main/java/saltdale/probing/ProbeLoop.java
@@ -2,11 +2,11 @@
 
 import static saltdale.probing.Payoff.*;
 
-/** The smoothed figures of the probes that were answered, and whether another one pays by them. */
+/** Smoothed measurements of answered probes, and the decision whether another probe pays off. */
 public final class ProbeLoop {
-    /** λ', the share of probed runners found busy, and L̄, the queue found at them. */
+    /** λ', the share of probed runners found busy, and L̄, their mean queue length. */
     public double observedLambda, meanQueue;
-    /** In seconds; of the two comes CT, and both are 0 until seen. */
+    /** Seconds, 0 until measured; CT is their quotient. */
     public double roundTrip, runTime;
 
     public void recordProbe(boolean idle, double queue, double roundTripSeconds) {
@@ -19,12 +19,12 @@
         runTime = smooth(runTime, runTimeSeconds);
     }
 
-    /** CT + L̄·C; nothing until a job has ended. */
+    /** CT + L̄·C; 0 until a job has completed. */
     public double cost() {
         return runTime == 0 ? 0 : roundTrip / runTime + meanQueue * C;
     }
 
-    /** Whether the payoff B of another beats its cost, after so many probes that found no idle runner. */
+    /** Whether the payoff B of another probe exceeds its cost, after this many probes found no idle runner. */
     public boolean worthAnother(int probed, double shortestQueue) {
         return probed < PROBE_CAP && payoff(shortestQueue, lambda(observedLambda, probed), probed) > cost();
     }
--- a/core/src/main/java/saltdale/settings/JsonFields.java
+++ b/core/src/main/java/saltdale/settings/JsonFields.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** The values of one wire message or settings object; a value of the wrong type is named in the complaint. */
+/** Typed access to the values of one wire message or settings object; errors name the field. */
 public final class JsonFields {
     private final String owner;
     private final JsonNode node;
@@ -19,10 +19,12 @@
         this.node = node;
     }
 
+    /** A duration in microseconds. */
     public static Duration micros(long value) {
         return Duration.of(value, ChronoUnit.MICROS);
     }
 
+    /** An error saying that the field is not what is expected. */
     public MalformedInputException invalid(String field, String expected) {
         return new MalformedInputException(owner + ": " + field + " is not " + expected);
     }
@@ -31,7 +33,7 @@
         return value == null || value.isNull() ? null : value;
     }
 
-    /** The value, or null where absent; complains of one that is there and not of this type. */
+    /** The value, or null if absent; throws if it is present with another type. */
     private JsonNode checked(JsonNode value, String field, Predicate<JsonNode> type, String expected) {
         JsonNode present = present(value);
         if (present != null && !type.test(present)) {
@@ -66,9 +68,9 @@
         return value;
     }
 
-    // By position, for messages and entries.
+    // Access by position, for messages and list entries.
 
-    /** The value as it came; null where absent. */
+    /** The unchecked value; null if absent. */
     public JsonNode raw(int i) {
         return present(node.get(i));
     }
@@ -86,7 +88,7 @@
                 .longValue();
     }
 
-    /** A whole number of any size, cut to its low 64 bits. */
+    /** An integer of any size, truncated to its low 64 bits. */
     public long low64Bits(int i, String field) {
         return integer(node.get(i), field, JsonNode::isIntegralNumber)
                 .bigIntegerValue()
@@ -114,7 +116,7 @@
         return new JsonFields(owner + "." + field, required(value, field, "an object"));
     }
 
-    // By key, for settings; every key may be absent.
+    // Access by key, for settings; every key may be absent.
 
     public JsonFields object(String key) {
         JsonNode value = checked(node.get(key), key, JsonNode::isObject, "an object");
@@ -130,7 +132,7 @@
         return present(node.get(key)) != null;
     }
 
-    /** Guards against a key that is misspelt and so silently has no effect, in tables that are ours alone. */
+    /** Rejects unknown keys, for tables defined by this project alone: a misspelt key would have no effect. */
     public void rejectUnknownKeys(String... known) {
         node.fieldNames().forEachRemaining(key -> {
             if (!List.of(known).contains(key)) {
@@ -139,7 +141,7 @@
         });
     }
 
-    /** These values with those of another object laid over them, key by key; lists are replaced whole. */
+    /** Merges another object over this one, key by key; lists are replaced as a whole. */
     public JsonFields mergedWith(JsonFields overrides) {
         return new JsonFields(overrides.owner, merge(node, overrides.node));
     }
@@ -155,7 +157,7 @@
         return merged;
     }
 
-    /** The objects of an array. */
+    /** The objects in an array. */
     public List<JsonFields> objects(String key) {
         List<JsonFields> objects = new ArrayList<>();
         array(key).forEach(entry -> objects.add(new JsonFields(owner + "." + key, entry)));
@@ -166,7 +168,7 @@
         return string(node.get(key), key, defaultValue);
     }
 
-    /** The texts of an array; complains of one that is not among these, where there are any. */
+    /** The strings in an array; unless {@code allowed} is empty, throws for one that it does not contain. */
     public List<String> strings(String key, List<String> allowed) {
         List<String> strings = new ArrayList<>();
         for (JsonNode element : array(key)) {
@@ -180,7 +182,7 @@
         return strings;
     }
 
-    /** One of these words. */
+    /** One of the allowed strings. */
     public String oneOf(String key, String defaultValue, List<String> allowed) {
         String string = string(key, defaultValue);
         if (!allowed.contains(string)) {
@@ -197,7 +199,7 @@
         return number(node.get(key), key, defaultValue);
     }
 
-    /** A number that is no less than this one. */
+    /** A number that is not less than the minimum. */
     public double numberAtLeast(String key, double defaultValue, double minimum) {
         double number = number(key, defaultValue);
         if (number < minimum || Double.isNaN(number)) {
--- a/core/src/main/java/saltdale/settings/LoadReportColumns.java
+++ b/core/src/main/java/saltdale/settings/LoadReportColumns.java
@@ -3,11 +3,11 @@
 import java.util.function.ToDoubleFunction;
 import saltdale.model.LoadReport;
 
-/** The names under which the settings list the values of a load report. */
+/** The column names of load report values in the settings. */
 public final class LoadReportColumns {
     private LoadReportColumns() {}
 
-    /** A load report from its values by name; NaN for one that is not there. */
+    /** Creates a load report from its values by column name; NaN for a missing value. */
     public static LoadReport toLoadReport(ToDoubleFunction<String> valueOf) {
         return new LoadReport(
                 valueOf.applyAsDouble("depth"),
--- a/core/src/main/java/saltdale/settings/MalformedInputException.java
+++ b/core/src/main/java/saltdale/settings/MalformedInputException.java
@@ -1,6 +1,6 @@
 package saltdale.settings;
 
-/** Input that does not follow its page; the message names the field. */
+/** Input that violates its format; the message names the field. */
 public final class MalformedInputException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/core/src/main/java/saltdale/settings/SettingsReader.java
+++ b/core/src/main/java/saltdale/settings/SettingsReader.java
@@ -7,10 +7,11 @@
 import saltdale.model.Tenant;
 import saltdale.model.Workload;
 
-/** Reads the settings of the wire into standing orders; keys it does not know are skipped. */
+/** Reads the settings message of the wire protocol; unknown keys are ignored. */
 public final class SettingsReader {
     private SettingsReader() {}
 
+    /** Reads all settings of a dispatcher; throws {@link MalformedInputException} for an invalid value. */
     public static DispatcherSettings read(JsonFields options) {
         DispatcherSettings settings = new DispatcherSettings();
         settings.dispatcherIndex = options.integer("Index", 0);
@@ -69,7 +70,7 @@
             if (neededIndex >= 0 && neededIndex < machineTypes.size()) {
                 String needed = machineTypes.get(neededIndex);
                 if (!workload.machineTypes.isEmpty() && !workload.machineTypes.contains(needed)) {
-                    throw row.invalid("ServedOn", "a list with the kind that it needs, " + needed);
+                    throw row.invalid("ServedOn", "a list that contains its required machine type, " + needed);
                 }
                 workload.machineTypes.clear();
                 workload.machineTypes.add(needed);
--- a/core/src/test/java/saltdale/decision/DispatcherFixture.java
+++ b/core/src/test/java/saltdale/decision/DispatcherFixture.java
@@ -13,7 +13,7 @@
 import saltdale.model.RunnerListEntry;
 import saltdale.model.Workload;
 
-/** A dispatcher with a door that writes down what goes through it. */
+/** A dispatcher whose actions are recorded. */
 final class DispatcherFixture implements DispatcherActions {
     final DispatcherSettings settings = new DispatcherSettings();
     final Workload workload = new Workload();
@@ -48,7 +48,7 @@
         return new RunnerListEntry(runner, "any", "here", 1, mode, 0, startedAt);
     }
 
-    /** A dispatcher that knows so many warm runners. */
+    /** Creates the dispatcher with this number of warm runners. */
     Dispatcher createWithRunners(int runners) {
         dispatcher = new Dispatcher(settings, this, new SplittableRandom(1));
         List<RunnerListEntry> list = new ArrayList<>();
@@ -63,7 +63,7 @@
         return new Request(workload, at(0), workload.clientTimeout);
     }
 
-    /** An assignment that has been dispatched to this runner and not heard of since. */
+    /** A request with a pending attempt at this runner. */
     Request newRequestSentTo(Runner runner) {
         Request request = newRequest();
         Attempt attempt = new Attempt(request, runner, at(0), 1, 0);
@@ -72,13 +72,13 @@
         return request;
     }
 
-    /** The assignment arrives, and the round ends. */
+    /** The request arrives at 0 ms, and the round ends. */
     void sendRequest(Request request) {
         dispatcher.onRequest(at(0), request);
         dispatcher.applyActions(at(0));
     }
 
-    /** The last probe is answered at 5 ms with this queue, and the round ends. */
+    /** The last probe is answered at 5 ms with this queue length, and the round ends. */
     void answerLastProbe(double queue) {
         dispatcher.onProbeResult(at(5), probes.get(probes.size() - 1), true, at(5), queueReport(queue));
         dispatcher.applyActions(at(5));
--- a/core/src/test/java/saltdale/decision/DispatcherTest.java
+++ b/core/src/test/java/saltdale/decision/DispatcherTest.java
@@ -19,10 +19,11 @@
 import saltdale.model.Workload;
 import saltdale.probing.Payoff;
 
+/** The decisions of a dispatcher, observed through its recorded actions. */
 class DispatcherTest {
     private final DispatcherFixture fixture = new DispatcherFixture();
 
-    // The design's arithmetic, by hand.
+    // Formulas of the design, calculated by hand.
 
     @Test
     void payoffOfASecondProbe() {
@@ -58,7 +59,7 @@
         assertEquals(0.02 + 2 * Payoff.C, dispatcher.probing.cost(), 1e-9);
     }
 
-    // The search.
+    // Search for a runner.
 
     @Test
     void idleRunnerGetsTheRequest() {
@@ -96,7 +97,7 @@
         assertFalse(dispatcher.isIdle(DispatcherFixture.at(0), runner, 4));
         Attempt attempt = fixture.newRequestSentTo(runner).lastAttempt();
         assertTrue(dispatcher.isIdle(DispatcherFixture.at(30), runner, 1));
-        assertFalse(dispatcher.isIdle(DispatcherFixture.at(50), runner, 1), "ours waits there");
+        assertFalse(dispatcher.isIdle(DispatcherFixture.at(50), runner, 1), "an attempt of this dispatcher waits there");
         dispatcher.onStarted(DispatcherFixture.at(50), attempt);
         assertTrue(dispatcher.isIdle(DispatcherFixture.at(50), runner, 1));
     }
@@ -111,12 +112,12 @@
         runner.contacted = true;
         fixture.newRequestSentTo(runner);
         assertEquals(1, dispatcher.load(runner));
-        runner.typeStats.recordSlots(inFlightReport(5, 2)); // at one of its kind, which has seven slots then
+        runner.typeStats.recordSlots(inFlightReport(5, 2)); // on a machine of the same type, which therefore has seven slots
         runner.report = inFlightReport(11, 0);
         assertEquals(4, dispatcher.load(runner));
         fixture.settings.loadBasedWeights = true;
         runner.report = inFlightReport(Double.NaN, 0);
-        runner.weight = 1 / 3.0; // of 1: two jobs a core are held
+        runner.weight = 1 / 3.0; // a third of the maximum weight: two jobs per slot
         assertEquals(7, dispatcher.load(runner), 1e-9);
     }
 
@@ -141,7 +142,7 @@
         assertEquals(List.of("shed"), fixture.actions);
     }
 
-    // The rules.
+    // Rules.
 
     @Test
     void attemptTimeoutAtTheDeadlineGivesExactlyOneResponse() {
@@ -196,7 +197,7 @@
         assertFalse(dispatcher.mayShed(request));
     }
 
-    /** As reported on quiet at budapest-gyor-ut: at 0.2 s a first dispatch left the only zone that was open to it. */
+    /** Reported on quiet at budapest-gyor-ut: at 0.2 s a first attempt left the only zone permitted to it. */
     @Test
     void restrictedWorkloadGoesNowhereElseEvenIfAllItsRunnersAreGone() {
         fixture.workload.zones.add("there");
@@ -219,7 +220,7 @@
         assertEquals(List.of(open), fixture.probes.stream().distinct().toList());
     }
 
-    /** As reported on calm at tamebridge-main: a second dispatch followed 'full', where that is no proof. */
+    /** Reported on calm at tamebridge-main: a second attempt followed a rejection that proved nothing. */
     @Test
     void lateRejectionsDoNotProveThatWorkNeverRan() {
         fixture.settings.lateRejections = true;
@@ -257,7 +258,7 @@
                 List.of(new RunnerListEntry(runner, "", "", 1, Runner.Mode.GONE, 9, null)),
                 false,
                 false);
-        assertEquals("here", runner.zone, "an entry that is gone tells nothing else");
+        assertEquals("here", runner.zone, "other values of a GONE entry are ignored");
     }
 
     @Test
@@ -295,7 +296,7 @@
                 .filter(attempt -> attempt.runner == cold)
                 .count();
         long toWarm = fixture.attempts.size() - toCold;
-        assertTrue(toCold <= 2.5 * 0.3 * toWarm / 8 * 2 + 1, toCold + " to the cold, " + toWarm + " to the warm");
+        assertTrue(toCold <= 2.5 * 0.3 * toWarm / 8 * 2 + 1, toCold + " to the cold runner, " + toWarm + " to the warm one");
     }
 
     @Test
@@ -322,7 +323,7 @@
         long toCold = fixture.attempts.stream()
                 .filter(attempt -> attempt.runner == cold)
                 .count();
-        assertTrue(toCold >= 1 && toCold <= 4, toCold + " to the cold runner, of 5 to an average one");
+        assertTrue(toCold >= 1 && toCold <= 4, toCold + " to the cold runner; an average one gets 5");
     }
 
     @Test
@@ -368,7 +369,7 @@
         fixture.answerLastProbe(3);
         assertEquals(DispatcherFixture.at(5), other.foundBusyAt);
         dispatcher.probing.observedLambda = 1;
-        assertTrue(countFirstProbesOf(List.of(other)) < 50, "with nearly all busy the draw is as before");
+        assertTrue(countFirstProbesOf(List.of(other)) < 50, "with nearly all runners busy the choice is uniform");
     }
 
     @Test
@@ -379,7 +380,7 @@
         lost.subList(0, 15)
                 .forEach(runner -> dispatcher.onProbeResult(
                         DispatcherFixture.at(500), runner, false, DispatcherFixture.at(500), null));
-        assertTrue(countFirstProbesOf(lost) <= 10, "5 of 25 that are not silent, beside 20 elsewhere");
+        assertTrue(countFirstProbesOf(lost) <= 10, "5 of the 25 responsive runners are in the zone");
         dispatcher.onProbeResult(
                 DispatcherFixture.at(600),
                 lost.get(15),
@@ -389,7 +390,7 @@
         assertTrue(countFirstProbesOf(lost) > 10);
     }
 
-    /** How many of 100 assignments ask one of these first. */
+    /** How many of 100 new requests probe one of these runners first. */
     private long countFirstProbesOf(List<Runner> candidates) {
         int before = fixture.probes.size();
         for (int i = 0; i < 100; i++) {
@@ -441,7 +442,7 @@
         assertEquals(100, countFirstProbesOf(runners.subList(2, 4)));
         fixture.createWithRunners(6);
         assertTrue(
-                countFirstProbesOf(List.copyOf(fixture.dispatcher.runners.subList(2, 4))) < 60, "none errs: all alike");
+                countFirstProbesOf(List.copyOf(fixture.dispatcher.runners.subList(2, 4))) < 60, "without failures all are equal");
     }
 
     @Test
@@ -506,7 +507,7 @@
         assertEquals(null, runner.trialInterval);
         assertFalse(
                 runner.isRejecting(DispatcherFixture.at(1500), fixture.workload),
-                "tried again after a quarter of the patience");
+                "tried again after a quarter of the client timeout");
     }
 
     @Test
@@ -536,11 +537,11 @@
     @Test
     void firstTryWithAShortClientTimeoutIsNotTakenForARetry() {
         fixture.settings.retriesMarked = true;
-        fixture.settings.reportsStart = false; // so that what the test sends does not count as waiting
+        fixture.settings.reportsStart = false; // attempts sent by the test must not count as waiting
         fixture.createWithRunners(1).waitPerLoad = 0.35;
-        fixture.sendRequest(fixture.newRequest()); // this one waits 6 s
+        fixture.sendRequest(fixture.newRequest()); // client timeout 6 s
         fixture.answerLastProbe(1);
-        for (double queue : new double[] {0, 1}) { // 0.35 s to wait are too long for these, not for the promised time
+        for (double queue : new double[] {0, 1}) { // 0.35 s is too long for their timeout, not for the target latency
             fixture.sendRequest(new Request(fixture.workload, DispatcherFixture.at(0), DispatcherFixture.at(300)));
             fixture.answerLastProbe(queue);
         }
@@ -643,7 +644,7 @@
                 fixture.newRequestSentTo(dispatcher.runners.get(0)).attempts.get(0);
         dispatcher.onTimer(
                 DispatcherFixture.at(3500),
-                attempt.request); // nothing heard: it may wait there, and is not held silent
+                attempt.request); // no progress: it may be waiting, and counts as no failure
         assertEquals(0, attempt.runner.failures.count());
         dispatcher.waitPerLoad = 0.1;
         attempt.runner.report = inFlightReport(Double.NaN, 1);
@@ -651,10 +652,10 @@
         dispatcher.onProgress(DispatcherFixture.at(4000), attempt);
         assertEquals(DispatcherFixture.at(3000), attempt.startedAt);
         assertFalse(
-                dispatcher.isIdle(DispatcherFixture.at(4000), attempt.runner, 1), "it waited where it was found idle");
+                dispatcher.isIdle(DispatcherFixture.at(4000), attempt.runner, 1), "it waited on a runner found idle");
     }
 
-    /** By its slack of 0.4 s a crossing counts as four loads times its price, though no size is known yet. */
+    /** With a slack of 0.4 s leaving the zone counts as a load of four times its price, before any run time is known. */
     @Test
     void crossZoneSendCountsAsTheWaitOfEqualCost() {
         for (double price : new double[] {0.1, 1.5}) {
@@ -686,7 +687,7 @@
         assertSame(kept, fixture.probes.get(0));
     }
 
-    /** As seen at valle-alto-subs: connections at rest were dropped unseen, and effectful work sent on one was lost. */
+    /** Seen at valle-alto-subs: idle connections were dropped silently, and effectful work sent on one was lost. */
     @Test
     void connectionIdleForLongerThanADroppedOneIsClosedBeforeUse() {
         fixture.settings.idleTimeout = DispatcherFixture.at(60_000);
@@ -707,7 +708,7 @@
         assertEquals(List.of("probe", "dispatch", "probe", "close", "dispatch"), fixture.actions);
     }
 
-    /** As seen at tamebridge-main: handshakes were slow everywhere, and most of the fleet was set aside for it. */
+    /** Seen at tamebridge-main: handshakes were slow everywhere, and most of the fleet was ejected for that. */
     @Test
     void runnersAreNotEjectedWhileConnectionsFailEverywhere() {
         fixture.createWithRunners(9);
--- a/core/src/test/java/saltdale/decision/PreviewTest.java
+++ b/core/src/test/java/saltdale/decision/PreviewTest.java
@@ -9,12 +9,12 @@
 import saltdale.model.Request;
 import saltdale.model.Runner;
 
-/** What a preview counts, and that nothing else changes with it. */
+/** The counts of a preview, and that it has no effect on the dispatcher. */
 class PreviewTest {
     private final DispatcherFixture fixture = new DispatcherFixture();
     private final DispatcherSettings otherSettings = new DispatcherSettings();
     private Preview preview = Preview.NONE;
-    private Runner full; // of four slots; by live weights three jobs a core are held, and none
+    private Runner full; // four slots; load-based weights imply three jobs per slot here and none at the other
     private Runner free;
 
     private void create(boolean withPreview) {
@@ -31,7 +31,7 @@
         preview = withPreview ? new Preview(dispatcher, otherSettings) : preview;
     }
 
-    /** It counts no difference under the same settings, and one after the change. */
+    /** Counts no difference under equal settings, and one after the change. */
     private void assertDiffersAfter(Preview.Kind kind, Runnable decision, Runnable change) {
         for (long count = 1; count <= 2; count++) {
             decision.run();
@@ -64,7 +64,7 @@
     void countsDifferencesOfRunnerAndZoneDecisions() {
         create(true);
         assertDiffersAfter(Preview.Kind.RUNNER, this::chooseRunner, () -> otherSettings.loadBasedWeights = true);
-        assertEquals(0, preview.differing(Preview.Kind.CROSSING), "neither is at home");
+        assertEquals(0, preview.differing(Preview.Kind.CROSSING), "neither is in the own zone");
         free.zone = "home";
         chooseRunner();
         assertEquals(1, preview.differing(Preview.Kind.CROSSING));
--- a/core/src/test/java/saltdale/overload/AdmissionControlProperties.java
+++ b/core/src/test/java/saltdale/overload/AdmissionControlProperties.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.constraints.IntRange;
 import saltdale.model.OverloadSettings;
 
-/** The laws of levels, whatever arrives and whatever waits are found. */
+/** Properties of the level for any arrivals and any measured waits. */
 class AdmissionControlProperties {
     private record WorkClass(
             AdmissionControl.AdmissionClass admissionClass, double valuePerSecond, double slackSeconds) {}
@@ -29,7 +29,7 @@
                 new OverloadSettings(0.2, 0.2 + waitShareRange, 0.5, 0.05, Duration.ofMillis(minChangeIntervalMs), 8),
                 Duration.ofSeconds(5));
         List<WorkClass> classes = new ArrayList<>();
-        for (int i = 0; i < classCount; i++) { // the first earns most
+        for (int i = 0; i < classCount; i++) { // the first is the most valuable
             classes.add(new WorkClass(admission.addClass(), 100 >> i, 0.2 + random.nextDouble()));
         }
         Duration now = Duration.ofSeconds(1);
@@ -44,9 +44,9 @@
                     now, work.admissionClass, random.nextDouble(), work.valuePerSecond, work.slackSeconds, 99);
             admission.recordCompletion(now, classes.get(0).admissionClass, random.nextInt(4) == 0);
             boolean rejected = admission.shouldReject(now, work.admissionClass, random.nextDouble());
-            assertFalse(rejected && work == classes.get(0), "the dearest of all was turned away");
+            assertFalse(rejected && work == classes.get(0), "the most valuable work was rejected");
             assertTrue(admission.level() >= 0 && admission.level() <= AdmissionControl.MAX_LEVEL);
-            assertTrue(admission.level() - level <= 3 && level - admission.level() <= 1, "by bounded steps");
+            assertTrue(admission.level() - level <= 3 && level - admission.level() <= 1, "bounded steps");
             if (admission.changeCount() != changeCount) {
                 assertTrue(
                         changedAt == null
@@ -59,12 +59,12 @@
             changeCount = admission.changeCount();
             level = admission.level();
         }
-        // At one level, with all else equal: who earns less, or has less luck, is turned away if who has more is.
+        // At a fixed level: if work is rejected, so is all work of lower value, or of equal value and lower draw.
         boolean previousRejected = true;
         for (int i = classCount - 1; i >= 0; i--) {
             for (double draw = 0; draw < 1; draw += 0.1) {
                 boolean rejected = admission.shouldReject(now, classes.get(i).admissionClass, draw);
-                assertTrue(previousRejected || !rejected, "one was let in and a dearer one turned away");
+                assertTrue(previousRejected || !rejected, "work was admitted and more valuable work rejected");
                 previousRejected = rejected;
             }
         }
--- a/core/src/test/java/saltdale/overload/AdmissionControlTest.java
+++ b/core/src/test/java/saltdale/overload/AdmissionControlTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import saltdale.model.OverloadSettings;
 
-/** The dear work earns 5 for a second and can bear 1 s, the cheap one earns 3 and can bear 4 s. */
+/** Valuable work has a value of 5 per second and a slack of 1 s; cheap work a value of 3 and a slack of 4 s. */
 class AdmissionControlTest {
     private final AdmissionControl admission = new AdmissionControl(
             new OverloadSettings(0.2, 0.5, 0.5, 0.05, Duration.ofMillis(100), 8), Duration.ofSeconds(5));
@@ -22,13 +22,13 @@
         return Duration.ofMillis(ms);
     }
 
-    /** Both arrive, with this wait found; whether the cheap one, of this luck, is turned away. */
+    /** Both classes arrive with this measured wait; whether the cheap one, with this draw, is rejected. */
     private boolean rejectsCheap(long atMs, double waitSeconds, double draw, double completions) {
         admission.recordWait(ms(atMs), waitSeconds);
         admission.recordCompletion(ms(atMs), valuable, valuableMissesTarget);
         admission.recordArrival(ms(atMs), valuable, 0.2, 5, 1, completions);
         admission.recordArrival(ms(atMs), cheap, 1.2, 3, 4, completions);
-        assertFalse(admission.shouldReject(ms(atMs), valuable, 0), "the dearest is never turned away");
+        assertFalse(admission.shouldReject(ms(atMs), valuable, 0), "the most valuable work is never rejected");
         return admission.shouldReject(ms(atMs), cheap, draw);
     }
 
@@ -48,7 +48,7 @@
         assertEquals(0, levelAfter(0, 9, 1600));
         assertFalse(rejectsCheap(2600, 0, 0, 99));
         assertTrue(
-                admission.lastChange().startsWith("level 1 to 0: a wait of 0.000 s, the dearer work can bear 1.000 s"));
+                admission.lastChange().startsWith("level 1 to 0: wait 0.000 s, the most valuable work tolerates 1.000 s"));
     }
 
     @Test
@@ -75,10 +75,10 @@
         for (int i = 0; i < 10_000; i++) {
             rejectsCheap(1000 + i, random.nextDouble(), 0.5, 99);
         }
-        assertTrue(admission.changeCount() <= 100, "10 s hold a hundred steps: " + admission.changeCount());
+        assertTrue(admission.changeCount() <= 100, "10 s contain 100 intervals: " + admission.changeCount());
     }
 
-    /** Both arrive with a long wait found, known by so many ends; true where both are let in. */
+    /** Both classes arrive with a long measured wait and these completions; whether both are admitted. */
     private boolean admitsBoth(long atMs, double valuableCompletions, double cheapCompletions) {
         admission.recordWait(ms(atMs), 9);
         admission.recordCompletion(ms(atMs), valuable, true);
@@ -90,20 +90,20 @@
     @Test
     void unknownWorkIsNeverRejectedAndDisplacesNoQuickerWork() {
         for (int i = 0; i < 20; i++) {
-            assertTrue(admitsBoth(1000 + i * 100L, 7, 7), "nobody knows which of them is the dear one");
+            assertTrue(admitsBoth(1000 + i * 100L, 7, 7), "the values of both are unknown");
         }
         assertEquals(
-                0.5, admission.maxWaitSeconds(cheap, 4, false), 1e-9, "it waits no longer than the quicker can bear");
+                0.5, admission.maxWaitSeconds(cheap, 4, false), 1e-9, "waits no longer than the class of less slack tolerates");
         for (int i = 0; i < 20; i++) {
-            assertTrue(admitsBoth(4000 + i * 100L, 9, 7), "what is slower and not known yet sheds nothing");
+            assertTrue(admitsBoth(4000 + i * 100L, 9, 7), "unknown work with more slack displaces nothing");
         }
-        assertFalse(admitsBoth(7000, 7, 9), "what is quicker and not known yet goes before the slower");
+        assertFalse(admitsBoth(7000, 7, 9), "unknown work with less slack takes precedence");
     }
 
     @Test
     void levelDoesNotRiseWhileValuableWorkIsInTime() {
         valuableMissesTarget = false;
-        assertEquals(0, levelAfter(9, 20, 1000), "guards against turning away what would have been in time as well");
+        assertEquals(0, levelAfter(9, 20, 1000), "work that would have been in time must not be rejected");
         valuableMissesTarget = true;
         assertEquals(10, levelAfter(9, 5, 3000));
     }
@@ -116,7 +116,7 @@
             budget.recordFirstAttempt();
             retries += budget.tryAcquire() ? 1 : 0;
         }
-        assertTrue(retries <= 102 && retries >= 98, "further: " + retries);
+        assertTrue(retries <= 102 && retries >= 98, "retries: " + retries);
         for (int i = 0; i < 1000; i++) {
             budget.recordFirstAttempt();
         }
--- a/core/src/test/java/saltdale/probing/ProbeLoopTest.java
+++ b/core/src/test/java/saltdale/probing/ProbeLoopTest.java
@@ -7,7 +7,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The smoothed figures and the stop rule, by hand. */
+/** Smoothed measurements and the stop rule, with expected values calculated by hand. */
 class ProbeLoopTest {
     private final ProbeLoop loop = new ProbeLoop();
 
@@ -25,7 +25,7 @@
     @Test
     void costIsRoundTripOverRunTimePlusQueueTimesC() {
         loop.recordProbe(false, 4, 0.02);
-        assertThat("nothing has ended", loop.cost(), is(0.0));
+        assertThat("no job has completed", loop.cost(), is(0.0));
         loop.recordRunTime(2);
         assertThat(loop.cost(), closeTo(0.002 / 0.2 + 0.4 * 0.003, 1e-12));
     }
@@ -47,7 +47,7 @@
     void noMoreThanFourProbes() {
         assertThat(loop.worthAnother(3, 50), is(true));
         assertThat(loop.worthAnother(4, 50), is(false));
-        assertThat("not where nobody may take it either", loop.worthAnother(4, Double.POSITIVE_INFINITY), is(false));
+        assertThat("nor if no probed runner is eligible", loop.worthAnother(4, Double.POSITIVE_INFINITY), is(false));
     }
 
     @Test
