--- a/core/src/main/java/saltdale/model/Histogram.java
+++ b/core/src/main/java/saltdale/model/Histogram.java
@@ -2,37 +2,43 @@
 
 import java.util.Arrays;
 
-/** Counts in a few bins whose bounds double; halved once it has seen enough, so that old figures fade. */
+/**
+ * Counts values in bins with doubling bounds. All counts are halved whenever their total reaches a limit, so that old
+ * values lose weight.
+ */
 public final class Histogram {
-    private final double first;
+    private final double firstBound;
     private final double[] bins;
-    private final double enough;
+    private final double halvingCount;
     private double total;
 
-    /** The first bin holds all below {@code first}; each further one reaches twice as far; the last is open. */
-    public Histogram(double first, int size, double enough) {
-        this.first = first;
-        this.bins = new double[size];
-        this.enough = enough;
+    /**
+     * The first bin holds values below {@code firstBound}; each further upper bound is twice the previous one; the last
+     * bin is unbounded.
+     */
+    public Histogram(double firstBound, int binCount, double halvingCount) {
+        this.firstBound = firstBound;
+        this.bins = new double[binCount];
+        this.halvingCount = halvingCount;
     }
 
-    /** A histogram of yes and no: two bins, for {@link #add(boolean)}. */
-    public static Histogram ofOdds(double enough) {
-        return new Histogram(1, 2, enough);
+    /** A histogram of booleans with two bins, for {@link #add(boolean)}. */
+    public static Histogram ofBooleans(double halvingCount) {
+        return new Histogram(1, 2, halvingCount);
     }
 
-    public void add(boolean yes) {
-        add(yes ? 1 : 0);
+    public void add(boolean value) {
+        add(value ? 1 : 0);
     }
 
     public void add(double value) {
         int i = 0;
-        for (double bound = first; i < bins.length - 1 && value >= bound; bound *= 2) {
+        for (double bound = firstBound; i < bins.length - 1 && value >= bound; bound *= 2) {
             i++;
         }
         bins[i]++;
         total++;
-        if (total >= enough) {
+        if (total >= halvingCount) {
             total = 0;
             for (int j = 0; j < bins.length; j++) {
                 bins[j] /= 2;
@@ -46,12 +52,13 @@
         total = 0;
     }
 
+    /** The count of all bins. */
     public double count() {
         return total;
     }
 
-    /** The count of the last bin: the yes of a histogram of odds. */
-    public double last() {
+    /** The count of the last bin: of true in a histogram of booleans. */
+    public double lastBin() {
         return bins[bins.length - 1];
     }
 }
--- a/core/src/main/java/saltdale/model/Runner.java
+++ b/core/src/main/java/saltdale/model/Runner.java
@@ -9,123 +9,128 @@
 import java.util.Set;
 import java.util.stream.Stream;
 
-/** A worker machine: what the list says of it, and what this dispatcher has seen. */
+/** A worker machine that executes requests: its entry in the runner list and this dispatcher's observations. */
 public final class Runner {
-    /** Whether the runner takes requests, as the list says. */
+    /** Whether the runner accepts requests according to the list. */
     public enum Mode {
         READY,
         DRAINING,
         GONE
     }
 
-    /** Until when a workload is kept from it, and for how long that was. */
-    record Refusal(Duration until, Duration gap) {}
+    /** The end and the length of a period in which the runner is avoided. */
+    record Backoff(Duration until, Duration delay) {}
 
-    /** A hash of its name, alike at all dispatchers. */
+    /** A hash of its name, equal at all dispatchers. */
     public long hash;
 
-    // From the list.
-    public String kind = "";
-    /** What is known of its kind; set when a list first tells of it. */
-    public Kind of = new Kind(null);
+    // From the runner list.
+    public String machineType = "";
+    /** Statistics of its machine type; set by its first list entry. */
+    public MachineTypeStats typeStats = new MachineTypeStats(null);
 
     public String zone = "";
-    public double power = 1;
-    /** Gone until a list names it; what the dispatcher has forgotten is gone as well. */
+    public double weight = 1;
+    /** GONE until a list contains it, and again once the dispatcher has removed it. */
     public Mode mode = Mode.GONE;
 
     public int cell;
-    /** Null: long ago. */
+    /** When its process started; null if long ago. */
     public Duration startedAt;
 
-    // Seen by this dispatcher.
-    public final Set<Dispatch> out = new LinkedHashSet<>();
-    public final Deque<Assignment> asking = new ArrayDeque<>();
+    // Observed by this dispatcher.
+    /** The pending attempts of this dispatcher. */
+    public final Set<Attempt> inFlight = new LinkedHashSet<>();
+    /** The requests that wait for an answer to a probe, in the order of the probes. */
+    public final Deque<Request> probeWaiters = new ArrayDeque<>();
     public LoadReport report = LoadReport.NONE;
-    /** It has been sent to or has answered a probe. */
-    public boolean known;
-    /** Whether its recent dispatches failed. */
-    public final Histogram failures = Histogram.ofOdds(16);
-    /** How long our assignments ran on it beside what was expected, and when the last of them ended. */
-    public final Pace pace = new Pace(16, null);
+    /** True once it was sent an attempt or answered a probe. */
+    public boolean contacted;
+    /** Failures among its recent attempts. */
+    public final Histogram failures = Histogram.ofBooleans(16);
+    /** Actual relative to expected run time of this dispatcher's requests. */
+    public final RunTimeRatio runTimeRatio = new RunTimeRatio(16, null);
 
-    public Duration pacedAt = Duration.ZERO;
-    /** When a probe last found it busy; null once it was idle or ended a dispatch of ours. */
-    public Duration busyAt;
-    /** The workloads that it turned away while it was all but idle. */
-    public final Map<Workload, Refusal> refused = new HashMap<>();
-    /** The gap of the trickle to a runner set aside; null for a runner in good standing. */
-    public Duration trickle;
+    /** When a request last contributed to the ratio. */
+    public Duration ratioUpdatedAt = Duration.ZERO;
+    /** When a probe last found it busy; null once it was idle or completed an attempt. */
+    public Duration foundBusyAt;
+    /** The workloads that it rejected while nearly idle. */
+    public final Map<Workload, Backoff> rejections = new HashMap<>();
+    /** The interval of trial attempts to a runner that is ejected for its failures; null if not ejected. */
+    public Duration trialInterval;
 
-    public Duration trickleAt = Duration.ZERO;
-    /** Since it last was silent: until when it is passed over, and for how long that was; null once it is heard. */
-    private Refusal silence;
-    /** What was sent to it while it was cold. */
-    public final Deque<Dispatch> coldSends = new ArrayDeque<>();
+    /** When the next trial attempt may be sent. */
+    public Duration nextTrialAt = Duration.ZERO;
+    /** The period in which it is avoided for not responding; null once it has responded. */
+    private Backoff noResponse;
+    /** The attempts sent while it was cold. */
+    public final Deque<Attempt> coldAttempts = new ArrayDeque<>();
 
-    /** When each of our connections to it that rest, for all we know, was last used. */
-    private final Deque<Duration> resting = new ArrayDeque<>();
+    /** The time of last use of each presumably idle connection to it. */
+    private final Deque<Duration> idleConnections = new ArrayDeque<>();
 
-    /** For how long the connection that was used last has rested; null where none rests. */
-    public Duration rested(Duration now) {
-        return resting.isEmpty() ? null : now.minus(resting.peekLast());
+    /** How long the most recently used connection has been idle; null if none is. */
+    public Duration connectionIdleTime(Duration now) {
+        return idleConnections.isEmpty() ? null : now.minus(idleConnections.peekLast());
     }
 
-    /** Whether a connection of ours has rested for less than this, so that a dispatch need not open one. */
-    public boolean isConnected(Duration now, Duration keeps) {
-        return !resting.isEmpty() && rested(now).compareTo(keeps) < 0;
+    /** Whether a connection has been idle for less than this, so that an attempt needs no new one. */
+    public boolean hasIdleConnection(Duration now, Duration maxIdleTime) {
+        return !idleConnections.isEmpty() && connectionIdleTime(now).compareTo(maxIdleTime) < 0;
     }
 
-    /** A dispatch takes the connection that was used last. */
-    public void takesConnection() {
-        resting.pollLast();
+    /** An attempt uses the most recently used connection. */
+    public void takeIdleConnection() {
+        idleConnections.pollLast();
     }
 
-    /** All that rest are closed, or taken to be. */
-    public void closes() {
-        resting.clear();
+    /** All idle connections are closed or presumed closed. */
+    public void clearIdleConnections() {
+        idleConnections.clear();
     }
 
-    /** The connection of a dispatch rests again. */
-    public void rests(Duration now, Duration idleClose) {
-        while (!resting.isEmpty() && Spans.reached(now, resting.peekFirst().plus(idleClose))) {
-            resting.pollFirst();
+    /** The connection of an attempt has become idle. */
+    public void addIdleConnection(Duration now, Duration idleTimeout) {
+        while (!idleConnections.isEmpty()
+                && Durations.reached(now, idleConnections.peekFirst().plus(idleTimeout))) {
+            idleConnections.pollFirst();
         }
-        resting.addLast(now);
+        idleConnections.addLast(now);
     }
 
-    /** Takes over what the list says; a fresh process has no record. */
-    public void sighted(Sighting s, Kind named) {
-        if (s.mode() == Mode.GONE) {
-            mode = Mode.GONE; // guards against entries that tell no more than this: its zone and cell still count
+    /** Applies a list entry; a restarted process starts without history. */
+    public void update(RunnerListEntry entry, MachineTypeStats stats) {
+        if (entry.mode() == Mode.GONE) {
+            mode = Mode.GONE; // such an entry may carry nothing else: zone and cell stay valid
             return;
         }
-        if (s.startedAt() != null && !s.startedAt().equals(startedAt)) {
+        if (entry.startedAt() != null && !entry.startedAt().equals(startedAt)) {
             failures.clear();
-            pace.clear();
-            trickle = null;
-            refused.clear();
-            silence = null;
-            resting.clear();
+            runTimeRatio.clear();
+            trialInterval = null;
+            rejections.clear();
+            noResponse = null;
+            idleConnections.clear();
         }
-        of = named;
-        of.size = Math.max(of.size, s.power());
-        pace.within = of.pace;
-        kind = s.kind();
-        zone = s.zone();
-        power = s.power();
-        cell = s.cell();
-        startedAt = s.startedAt();
-        mode = s.mode();
-    }
-
-    public boolean ready() {
+        typeStats = stats;
+        typeStats.maxWeight = Math.max(typeStats.maxWeight, entry.weight());
+        runTimeRatio.group = typeStats.runTimeRatio;
+        machineType = entry.machineType();
+        zone = entry.zone();
+        weight = entry.weight();
+        cell = entry.cell();
+        startedAt = entry.startedAt();
+        mode = entry.mode();
+    }
+
+    public boolean isReady() {
         return mode == Mode.READY;
     }
 
-    /** Whether any of these may run on it. */
-    public boolean takesAny(Workload[] some) {
-        for (Workload w : some) {
+    /** Whether any of these workloads may run on it. */
+    public boolean acceptsAny(Workload[] workloads) {
+        for (Workload w : workloads) {
             if (w.mayRunOn(this)) {
                 return true;
             }
@@ -134,82 +139,83 @@
     }
 
     /**
-     * It turned this dispatch away: so it is full at that load or, all but idle, takes no such workload for now.
-     * That is
-     * tried again after the spell, then after gaps that double, up to four spells.
+     * Records that it rejected an attempt. At a load of 1 or more it is full; when nearly idle it accepts no such workload
+     * for now, which is tried again after one unit, then after doubling delays of up to four units.
      */
-    public void turnedAway(Duration now, Dispatch d, Duration spell) {
-        if (d.load >= 1) {
+    public void recordRejection(Duration now, Attempt attempt, Duration unit) {
+        if (attempt.runnerLoad >= 1) {
             return;
         }
-        refused.merge(d.assignment.workload, new Refusal(now.plus(spell), spell), (old, first) -> {
-            Duration gap = Spans.least(old.gap.multipliedBy(2), spell.multipliedBy(4));
-            return Spans.reached(now, old.until) ? new Refusal(now.plus(gap), gap) : old;
+        rejections.merge(attempt.request.workload, new Backoff(now.plus(unit), unit), (old, added) -> {
+            Duration delay = Durations.min(old.delay.multipliedBy(2), unit.multipliedBy(4));
+            return Durations.reached(now, old.until) ? new Backoff(now.plus(delay), delay) : old;
         });
     }
 
-    /** Whether it turned away this workload, all but idle, so short a time ago that it need not be tried again. */
-    public boolean refuses(Duration now, Workload workload) {
-        Refusal refusal = refused.get(workload);
-        return refusal != null && !Spans.reached(now, refusal.until);
+    /** Whether it recently rejected this workload while nearly idle and should not be tried yet. */
+    public boolean isRejecting(Duration now, Workload workload) {
+        Backoff rejection = rejections.get(workload);
+        return rejection != null && !Durations.reached(now, rejection.until);
     }
 
-    /** It has not answered in time, or no way led to it: passed over for the spell, then for gaps that double. */
-    public void unheard(Duration now, Duration spell) {
-        if (silence == null || Spans.reached(now, silence.until)) {
-            Duration gap = silence == null ? spell : Spans.least(silence.gap.multipliedBy(2), spell.multipliedBy(4));
-            silence = new Refusal(now.plus(gap), gap);
+    /** Records a missing response or an unreachable runner: avoided for one unit, then for doubling delays. */
+    public void recordNoResponse(Duration now, Duration unit) {
+        if (noResponse == null || Durations.reached(now, noResponse.until)) {
+            Duration delay =
+                    noResponse == null ? unit : Durations.min(noResponse.delay.multipliedBy(2), unit.multipliedBy(4));
+            noResponse = new Backoff(now.plus(delay), delay);
         }
     }
 
-    /** It has ended an assignment of this workload. */
-    public void fulfilled(Workload workload) {
-        refused.remove(workload);
-        busyAt = null;
-        heard();
+    /** Records that it completed a request of this workload. */
+    public void recordSuccess(Workload workload) {
+        rejections.remove(workload);
+        foundBusyAt = null;
+        recordResponse();
     }
 
-    public void heard() {
-        silence = null;
+    /** Records any response: it is not avoided any more. */
+    public void recordResponse() {
+        noResponse = null;
     }
 
-    /** Whether it was silent so short a time ago that it need not be asked again. */
-    public boolean isSilent(Duration now) {
-        return silence != null && !Spans.reached(now, silence.until);
+    /** Whether it recently failed to respond and should not be contacted yet. */
+    public boolean isUnresponsive(Duration now) {
+        return noResponse != null && !Durations.reached(now, noResponse.until);
     }
 
-    /** Whether the last that was asked of it went unanswered. */
-    public boolean isUnheard() {
-        return silence != null;
+    /** Whether it has not responded since a missing response was recorded. */
+    public boolean hasNotResponded() {
+        return noResponse != null;
     }
 
-    /** How many of our dispatches it has not said to have begun. */
-    public long waiting() {
-        return notBegun().count();
+    /** The number of pending attempts without a reported start. */
+    public long notStartedCount() {
+        return notStarted().count();
     }
 
-    /** The slots of our dispatches that it has not said to have begun. */
-    public double slotsWaiting() {
-        return notBegun().mapToDouble(d -> d.assignment.slots).sum();
+    /** The slots of pending attempts without a reported start. */
+    public double notStartedSlots() {
+        return notStarted().mapToDouble(d -> d.request.slots).sum();
     }
 
-    /** Whether something of ours that was sent before then has not been said to have begun. */
-    public boolean waitsSince(Duration then) {
-        return notBegun().anyMatch(d -> d.sentAt.compareTo(then) < 0);
+    /** Whether an attempt sent before this time has no reported start. */
+    public boolean hasNotStartedSince(Duration time) {
+        return notStarted().anyMatch(d -> d.sentAt.compareTo(time) < 0);
     }
 
-    private Stream<Dispatch> notBegun() {
-        return out.stream().filter(d -> d.startedAt == null);
+    private Stream<Attempt> notStarted() {
+        return inFlight.stream().filter(d -> d.startedAt == null);
     }
 
-    /** The work sent to it while cold since then; what is older is dropped. */
+    /** The work sent to it while cold since this time; older attempts are forgotten. */
     public double coldWork(Duration since) {
-        while (!coldSends.isEmpty() && coldSends.peek().sentAt.compareTo(since) <= 0) {
-            coldSends.poll();
+        while (!coldAttempts.isEmpty() && coldAttempts.peek().sentAt.compareTo(since) <= 0) {
+            coldAttempts.poll();
         }
         double work = 0;
-        for (Dispatch d : coldSends) {
-            work += d.work;
+        for (Attempt attempt : coldAttempts) {
+            work += attempt.work;
         }
         return work;
     }
--- a/proxy/src/main/java/saltdale/proxy/SlotAllocator.java
+++ b/proxy/src/main/java/saltdale/proxy/SlotAllocator.java
@@ -250,7 +250,7 @@
                 meanRunSeconds = meanRunSeconds == 0
                         ? seconds
                         : 0.95 * meanRunSeconds + 0.05 * Math.min(seconds, 4 * meanRunSeconds);
-                probes.ended(seconds);
+                probes.recordRunTime(seconds);
             }
             case TURNED_AWAY ->
                 slots.pause(now, 30_000_000L, 500_000_000L); // requests of another proxy still occupy its slots
@@ -363,7 +363,7 @@
             probed++;
             boolean idle = slots.canAccept(now);
             double load = load(slots, ready);
-            probes.sawProbe(idle, load, 0);
+            probes.recordProbe(idle, load, 0);
             if (idle) {
                 return slots;
             }
