--- a/nodes/src/test/java/saltdale/nodes/SessionTest.java
+++ b/nodes/src/test/java/saltdale/nodes/SessionTest.java
@@ -24,8 +24,8 @@
 import saltdale.nodes.tree.Tree.Step;
 import saltdale.nodes.wire.Event;
 import saltdale.nodes.wire.Fault;
-import saltdale.transport.Loop;
-import saltdale.transport.Sockets;
+import saltdale.transport.EventLoop;
+import saltdale.transport.SocketBudget;
 
 /** Client and stand-in on one loop, turned by the test until what it waits for has come. */
 @Timeout(30)
@@ -33,8 +33,8 @@
     @TempDir
     Path folder;
 
-    private final Loop loop = new Loop();
-    private final Sockets sockets = new Sockets(loop, 1000);
+    private final EventLoop loop = new EventLoop();
+    private final SocketBudget sockets = new SocketBudget(loop, 1000);
     private final List<InetSocketAddress> at = new ArrayList<>();
     private final List<String> said = new ArrayList<>();
     private NodeServer server;
@@ -76,15 +76,15 @@
     private void closed() throws IOException {
         server.close();
         boolean[] turned = new boolean[1];
-        loop.soon(() -> turned[0] = true);
+        loop.defer(() -> turned[0] = true);
         until(() -> turned[0]);
     }
 
     private void until(BooleanSupplier come) {
         try {
             while (!come.getAsBoolean()) {
-                loop.after(Duration.ofMillis(5), () -> {}); // so that each turn ends
-                loop.turn(() -> {});
+                loop.schedule(Duration.ofMillis(5), () -> {}); // so that each turn ends
+                loop.runOnce(() -> {});
             }
         } catch (IOException e) {
             throw new AssertionError(e);
@@ -207,7 +207,7 @@
         NodeServer old = new NodeServer(loop, sockets, Duration.ofMillis(100), null, () -> 0, 1);
         old.listen(at.get(0));
         untilSaid("c SUSPENDED");
-        loop.after(Duration.ofMillis(300), () -> said.add("later"));
+        loop.schedule(Duration.ofMillis(300), () -> said.add("later"));
         untilSaid("later");
         assertEquals(State.SUSPENDED, client.state());
     }
--- a/rig/src/main/java/saltdale/rig/load/Generator.java
+++ b/rig/src/main/java/saltdale/rig/load/Generator.java
@@ -20,7 +20,7 @@
 import saltdale.rig.standin.Origin;
 import saltdale.rig.standin.StandInFleet;
 import saltdale.transport.Connection;
-import saltdale.transport.Pool;
+import saltdale.transport.ConnectionPool;
 import saltdale.transport.Timer;
 
 /**
@@ -42,7 +42,7 @@
     private final Witness witness;
     private final Tally tally;
     private final Persistence persistence;
-    private final Pool[] pools;
+    private final ConnectionPool[] pools;
     private final InetSocketAddress[] addresses;
     private final Set<Integer> avoided = new HashSet<>();
     private final Histogram lag = new Histogram(3_600_000_000L, 3);
@@ -79,9 +79,9 @@
         persistence = new Persistence(day.traffic, new SplittableRandom(seed));
         spread = new Spread(dispatchers.size());
         addresses = dispatchers.toArray(new InetSocketAddress[0]);
-        pools = new Pool[addresses.length];
+        pools = new ConnectionPool[addresses.length];
         for (int i = 0; i < pools.length; i++) {
-            pools[i] = new Pool(loopThread.loop, loopThread.sockets, addresses[i], CONNECT_LIMIT, IDLE_LIMIT);
+            pools[i] = new ConnectionPool(loopThread.loop, loopThread.sockets, addresses[i], CONNECT_LIMIT, IDLE_LIMIT);
         }
     }
 
@@ -92,7 +92,7 @@
             return;
         }
         Ask ask = asks.next();
-        loopThread.loop.after(ask.at().minus(origin.now()).minus(drift()), () -> {
+        loopThread.loop.schedule(ask.at().minus(origin.now()).minus(drift()), () -> {
             long late = Math.max(0, origin.now().minus(ask.at()).toNanos() / 1000);
             if (ask.at().minus(start).compareTo(day.warmUp) >= 0) { // as the figures do that it might spoil
                 lag.recordValue(Math.min(late, 3_600_000_000L));
@@ -104,12 +104,12 @@
 
     /** The turn's time beside the clock: at most nothing. */
     private Duration drift() {
-        return loopThread.loop.now().minus(loopThread.loop.clock());
+        return loopThread.loop.now().minus(loopThread.loop.elapsed());
     }
 
     /** Closes what rests: dispatchers that are told to end wait for clients that might still send. */
     public void hangUp() {
-        for (Pool pool : pools) {
+        for (ConnectionPool pool : pools) {
             pool.closeIdle();
         }
     }
@@ -170,7 +170,7 @@
     /** A front takes no notice at once, and gives it another chance after a while. */
     private void unreachable(int dispatcher) {
         if (avoided.add(dispatcher)) {
-            loopThread.loop.after(FRONT_NOTICES, () -> avoided.remove(dispatcher));
+            loopThread.loop.schedule(FRONT_NOTICES, () -> avoided.remove(dispatcher));
         }
     }
 
@@ -194,7 +194,7 @@
             current.send(false);
             if (tries == 1 && persistence.leaves()) {
                 Try first = current;
-                loopThread.loop.after(ask.job().workload().patience.dividedBy(2), () -> {
+                loopThread.loop.schedule(ask.job().workload().patience.dividedBy(2), () -> {
                     if (current == first && !finished) {
                         witness.left(origin.now(), first.id);
                         first.drop();
@@ -211,7 +211,7 @@
             if (wait == null) {
                 finish(how, false);
             } else {
-                loopThread.loop.after(wait, this::sendTry);
+                loopThread.loop.schedule(wait, this::sendTry);
             }
         }
 
@@ -223,7 +223,7 @@
     }
 
     /** One request and its answer. */
-    private final class Try implements Connection.Owner {
+    private final class Try implements Connection.Handler {
         private final Customer customer;
         private final String id;
         private final int dispatcher;
@@ -241,9 +241,9 @@
 
         void send(boolean again) {
             Ask ask = customer.ask;
-            connection = pools[dispatcher].take(this);
+            connection = pools[dispatcher].acquire(this);
             if (connection == null) {
-                loopThread.loop.soon(() -> end(null, null, true));
+                loopThread.loop.defer(() -> end(null, null, true));
                 return;
             }
             if (!again) { // before it is written: the answer may be here before this thread is on again
@@ -269,7 +269,7 @@
             if (!again) {
                 // By the clock, not the turn's time: a first turn is long, and its limits would come before they are
                 // due.
-                limit = loopThread.loop.after(
+                limit = loopThread.loop.schedule(
                         patience.plus(day.answerGrace).plus(LATE_SEEN).minus(drift()), () -> {
                             drop();
                             end(null, null, false);
@@ -287,15 +287,15 @@
 
         @Override
         public void received(ByteBuffer bytes) {
-            parser.take(bytes);
-            if (parser.bad()) {
+            parser.parse(bytes);
+            if (parser.isMalformed()) {
                 connection.close();
-                ended("no answer that can be read");
-            } else if (parser.whole()) {
+                disconnected("no answer that can be read");
+            } else if (parser.isComplete()) {
                 Head head = parser.head();
                 String body = new String(parser.body(), StandardCharsets.UTF_8);
                 if (head.keepsAlive() && !bytes.hasRemaining()) {
-                    pools[dispatcher].rest(connection);
+                    pools[dispatcher].release(connection);
                 } else {
                     connection.close();
                 }
@@ -322,20 +322,20 @@
         }
 
         @Override
-        public void ended(String cause) {
+        public void disconnected(String cause) {
             if (over) {
                 return;
             }
-            if (reused && parser.untouched()) { // it crossed the closing of an idle connection: once more
+            if (reused && parser.isAtStart()) { // it crossed the closing of an idle connection: once more
                 reused = false;
                 send(true);
                 return;
             }
-            boolean unsent = connection.reach().incomplete();
+            boolean unsent = connection.sendProgress().isIncomplete();
             if (unsent) {
                 witness.left(origin.now(), id); // no dispatcher has taken it
                 unreachable(dispatcher);
-            } else if (!connection.isReused() && parser.untouched()) {
+            } else if (!connection.isReused() && parser.isAtStart()) {
                 witness.turnedOff(origin.now(), id);
             } else {
                 witness.cut(origin.now(), id);
--- a/rig/src/main/java/saltdale/rig/platform/live/Callers.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/Callers.java
@@ -89,7 +89,7 @@
                         readyAt.put(proxy, origin.now());
                     }
                 });
-        loopThread.loop.after(PROBE_EVERY, () -> probe(proxy));
+        loopThread.loop.schedule(PROBE_EVERY, () -> probe(proxy));
     }
 
     void begin(double rate) {
@@ -110,7 +110,7 @@
     /** Guards against a load that falls behind: a call's time is fixed by the one before, not by its sending. */
     private void next(Duration before) {
         Duration at = before.plusNanos((long) (-Math.log(1 - chance.nextDouble()) / perSecond * 1e9));
-        loopThread.loop.after(at.minus(origin.now()), () -> {
+        loopThread.loop.schedule(at.minus(origin.now()), () -> {
             if (sending) {
                 new Customer(draw(), at).sendTry();
                 next(at);
@@ -160,7 +160,7 @@
                     ? null
                     : Retrying.next(route.idempotent(), tries, status, unread, retryAfter, remaining);
             if (wait != null) {
-                loopThread.loop.after(wait, this::sendTry);
+                loopThread.loop.schedule(wait, this::sendTry);
             } else {
                 open--;
                 judge.over(route, origin.now().minus(firstAt), status);
@@ -169,7 +169,7 @@
     }
 
     /** A connection between two requests. */
-    private final class Kept implements Connection.Owner {
+    private final class Kept implements Connection.Handler {
         private final Machine machine;
         private final Connection connection;
         private final Timer limit;
@@ -177,19 +177,19 @@
         Kept(Machine machine, Connection connection, Duration rest) {
             this.machine = machine;
             this.connection = connection;
-            connection.owner(this);
-            limit = loopThread.loop.after(rest, this::drop);
+            connection.setHandler(this);
+            limit = loopThread.loop.schedule(rest, this::drop);
             kept.get(machine).addFirst(this);
         }
 
-        Connection take(Connection.Owner next) {
+        Connection take(Connection.Handler next) {
             limit.cancel();
-            connection.owner(next);
+            connection.setHandler(next);
             return connection;
         }
 
         private void drop() {
-            ended(null);
+            disconnected(null);
             connection.close();
         }
 
@@ -200,14 +200,14 @@
         }
 
         @Override
-        public void ended(String cause) {
+        public void disconnected(String cause) {
             limit.cancel();
             kept.get(machine).remove(this);
         }
     }
 
     /** One request and its answer. */
-    private final class Try implements Connection.Owner {
+    private final class Try implements Connection.Handler {
         private final Customer customer;
         private final Machine machine;
         private final boolean fresh;
@@ -229,9 +229,9 @@
                     : kept.get(machine).poll();
             connection = rested != null
                     ? rested.take(this)
-                    : Connection.dial(loopThread.loop, loopThread.sockets, at, CONNECT_LIMIT, this);
+                    : Connection.connect(loopThread.loop, loopThread.sockets, at, CONNECT_LIMIT, this);
             if (connection == null) {
-                loopThread.loop.soon(() -> customer.over(0, true, null));
+                loopThread.loop.defer(() -> customer.over(0, true, null));
                 return;
             }
             Route route = customer.route;
@@ -246,7 +246,7 @@
                             + "\r\nX-Saltdale-Attempt-Id: " + id + "\r\nX-Saltdale-Deadline-Remaining: "
                             + Math.max(1, remaining.toMillis()) + "\r\n" + framed(body, chance.nextDouble() < CHUNKED))
                     .getBytes(StandardCharsets.US_ASCII)));
-            limit = loopThread.loop.after(remaining, () -> {
+            limit = loopThread.loop.schedule(remaining, () -> {
                 connection.close();
                 customer.over(0, false, null);
             });
@@ -254,12 +254,12 @@
 
         @Override
         public void received(ByteBuffer bytes) {
-            parser.take(bytes);
-            if (parser.bad()) {
+            parser.parse(bytes);
+            if (parser.isMalformed()) {
                 judge.garbage(origin.now(), id);
                 connection.close();
-                ended("no answer that can be read");
-            } else if (parser.whole()) {
+                disconnected("no answer that can be read");
+            } else if (parser.isComplete()) {
                 boolean more = bytes.hasRemaining();
                 if (more) {
                     judge.garbage(origin.now(), null);
@@ -288,14 +288,14 @@
         }
 
         @Override
-        public void ended(String cause) {
-            parser.end();
-            if (parser.whole()) {
+        public void disconnected(String cause) {
+            parser.endOfInput();
+            if (parser.isComplete()) {
                 answered(true);
                 return;
             }
             limit.cancel();
-            customer.over(0, connection.reach().incomplete(), null);
+            customer.over(0, connection.sendProgress().isIncomplete(), null);
         }
     }
 
--- a/rig/src/main/java/saltdale/rig/platform/live/HttpCall.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/HttpCall.java
@@ -13,7 +13,7 @@
 import saltdale.transport.Timer;
 
 /** One request on a connection of its own; used on the loop. */
-final class HttpCall implements Connection.Owner {
+final class HttpCall implements Connection.Handler {
     record Answer(Head head, byte[] body) {
         int status() {
             return head.status();
@@ -40,12 +40,12 @@
             Duration limit,
             Consumer<Answer> then) {
         HttpCall call = new HttpCall(then);
-        call.connection = Connection.dial(loopThread.loop, loopThread.sockets, at, limit, call);
+        call.connection = Connection.connect(loopThread.loop, loopThread.sockets, at, limit, call);
         if (call.connection == null) {
-            loopThread.loop.soon(() -> then.accept(null));
+            loopThread.loop.defer(() -> then.accept(null));
             return;
         }
-        call.limit = loopThread.loop.after(limit, () -> call.over(null));
+        call.limit = loopThread.loop.schedule(limit, () -> call.over(null));
         call.connection.send(
                 ByteBuffer.wrap((method + " " + target + " HTTP/1.1\r\nHost: " + LoopbackAddresses.text(at) + "\r\n"
                                 + headers + "Content-Length: " + body.length + "\r\nConnection: close\r\n\r\n")
@@ -55,16 +55,16 @@
 
     @Override
     public void received(ByteBuffer bytes) {
-        parser.take(bytes);
-        if (parser.bad() || parser.whole()) {
-            over(parser.whole() ? new Answer(parser.head(), parser.body()) : null);
+        parser.parse(bytes);
+        if (parser.isMalformed() || parser.isComplete()) {
+            over(parser.isComplete() ? new Answer(parser.head(), parser.body()) : null);
         }
     }
 
     @Override
-    public void ended(String cause) {
-        parser.end();
-        over(parser.whole() ? new Answer(parser.head(), parser.body()) : null);
+    public void disconnected(String cause) {
+        parser.endOfInput();
+        over(parser.isComplete() ? new Answer(parser.head(), parser.body()) : null);
     }
 
     private void over(Answer answer) {
--- a/rig/src/main/java/saltdale/rig/platform/live/LoopClock.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/LoopClock.java
@@ -14,6 +14,6 @@
 
     @Override
     public void after(Duration span, Runnable what) {
-        loopThread.loop.after(span, what);
+        loopThread.loop.schedule(span, what);
     }
 }
--- a/rig/src/main/java/saltdale/rig/platform/live/Operator.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/Operator.java
@@ -85,7 +85,7 @@
             } else if (status / 100 == 4 && status != 408 && status != 429 && ++otherErrors == 3) {
                 then.accept(answer);
             } else {
-                loopThread.loop.after(pause, this::go);
+                loopThread.loop.schedule(pause, this::go);
                 pause = pause.multipliedBy(3).dividedBy(2);
                 pause = pause.compareTo(LONGEST_PAUSE) < 0 ? pause : LONGEST_PAUSE;
             }
--- a/rig/src/main/java/saltdale/rig/platform/live/PlatformServer.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/PlatformServer.java
@@ -49,7 +49,7 @@
         }
 
         @Override
-        public void ended(String cause) {
+        public void disconnected(String cause) {
             // It answers at once: nothing is under way.
         }
 
@@ -74,7 +74,7 @@
                     reply.body().toString())));
             answered();
             if (!head.keepsAlive()) {
-                connection.finish();
+                connection.closeGracefully();
             }
         }
     }
--- a/rig/src/main/java/saltdale/rig/platform/live/Runners.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/Runners.java
@@ -136,7 +136,7 @@
 
         /** A runner drops a request once its connection closes. */
         @Override
-        public void ended(String cause) {
+        public void disconnected(String cause) {
             forget();
             stopWork();
         }
@@ -149,7 +149,7 @@
         @Override
         protected void requested(Head head, byte[] body, Duration first) {
             Duration now = origin.now();
-            String id = head.single("X-Saltdale-Attempt-Id");
+            String id = head.uniqueHeader("X-Saltdale-Attempt-Id");
             Duration remaining = millis(head.header("X-Saltdale-Deadline-Remaining"));
             Instance.Admission admission = instance.admit(id, head.header("X-Saltdale-Expected-Runner"), remaining);
             if (!admission.runs()) {
@@ -175,7 +175,7 @@
             if (fault != Faults.Kind.NONE && fault != Faults.Kind.EXTRA) {
                 judge.spoils(id);
             }
-            work = loopThread.loop.after(inTime ? takes : remaining, () -> {
+            work = loopThread.loop.schedule(inTime ? takes : remaining, () -> {
                 work = null;
                 if (inTime) {
                     byte[] answer = answer(
@@ -203,7 +203,7 @@
                 }
                 case EXTRA -> {
                     say(answer);
-                    loopThread.loop.after(EXTRA_AFTER, () -> connection.send(ByteBuffer.wrap(answer)));
+                    loopThread.loop.schedule(EXTRA_AFTER, () -> connection.send(ByteBuffer.wrap(answer)));
                 }
                 default -> say(answer);
             }
@@ -218,7 +218,7 @@
         }
 
         private void end() {
-            connection.finish();
+            connection.closeGracefully();
             forget();
         }
 
--- a/rig/src/main/java/saltdale/rig/platform/live/StandIn.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/StandIn.java
@@ -56,7 +56,7 @@
 
     /** Sends the first configuration, again and again until there is a clear answer. */
     public void operate(IntConsumer then) {
-        loopThread.loop.fromOutside(() -> new Operator(loopThread, site)
+        loopThread.loop.execute(() -> new Operator(loopThread, site)
                 .change("Replace", 0, site.replacement(1), answer -> then.accept(answer.status())));
     }
 
--- a/rig/src/main/java/saltdale/rig/platform/live/Trial.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/Trial.java
@@ -146,8 +146,8 @@
             failures.add("the amendment was not acknowledged within 5 s");
         }
         say("amendment " + (answered ? "acknowledged" : "NOT acknowledged"));
-        standIn.loopThread.loop.fromOutside(
-                () -> standIn.loopThread.loop.after(site.bounds().configApply(), () -> callers.routes(site.amended())));
+        standIn.loopThread.loop.execute(() ->
+                standIn.loopThread.loop.schedule(site.bounds().configApply(), () -> callers.routes(site.amended())));
     }
 
     /** Sends a change; {@link #answered} once it is acknowledged. */
--- a/rig/src/main/java/saltdale/rig/standin/Exchange.java
+++ b/rig/src/main/java/saltdale/rig/standin/Exchange.java
@@ -9,7 +9,7 @@
 import saltdale.transport.Connection;
 
 /** A connection that a stand-in serves: one request after another. */
-public abstract class Exchange implements Connection.Owner {
+public abstract class Exchange implements Connection.Handler {
     protected final Connection connection;
     private final Origin clock;
     private final HttpParser parser = new HttpParser(HttpParser.Kind.REQUEST);
@@ -21,7 +21,7 @@
     protected Exchange(Connection connection, Origin clock) {
         this.connection = connection;
         this.clock = clock;
-        connection.owner(this);
+        connection.setHandler(this);
     }
 
     /** A whole request has come; {@link #answered} is to be called once its answer is out. */
@@ -36,19 +36,19 @@
     public void received(ByteBuffer bytes) {
         while (bytes.hasRemaining()) {
             firstByte = firstByte == null ? clock.now() : firstByte;
-            parser.take(bytes);
-            if (parser.bad() || answering) {
+            parser.parse(bytes);
+            if (parser.isMalformed() || answering) {
                 unreadable(); // dispatchers send one request at a time
                 return;
             }
-            if (!parser.whole()) {
+            if (!parser.isComplete()) {
                 return;
             }
             Head head = parser.head();
             byte[] body = parser.body();
             Duration first = firstByte;
             firstByte = null;
-            parser.next();
+            parser.startNextMessage();
             answering = true;
             requested(head, body, first);
         }
@@ -65,7 +65,7 @@
     /** An answer as its bytes. */
     public static byte[] answer(int status, String more, String body) {
         byte[] text = body.getBytes(StandardCharsets.UTF_8);
-        byte[] head = HttpWriter.answer(status, more, text.length, false);
+        byte[] head = HttpWriter.response(status, more, text.length, false);
         byte[] all = new byte[head.length + text.length];
         System.arraycopy(head, 0, all, 0, head.length);
         System.arraycopy(text, 0, all, head.length, text.length);
--- a/rig/src/main/java/saltdale/rig/standin/JobReports.java
+++ b/rig/src/main/java/saltdale/rig/standin/JobReports.java
@@ -68,7 +68,7 @@
             waiting.addLast(call);
         }
         // Out of order: held a little, so that there is another to pass it.
-        fleet.loopThread.loop.after(runner.has(Kind.SHUFFLED_NEWS) && !passes ? HELD : Duration.ZERO, this::next);
+        fleet.loopThread.loop.schedule(runner.has(Kind.SHUFFLED_NEWS) && !passes ? HELD : Duration.ZERO, this::next);
     }
 
     private void next() {
@@ -81,7 +81,7 @@
             return;
         }
         if (runner.endpoints.get(work.from).isMuted()) {
-            fleet.loopThread.loop.after(PAUSE, this::next); // the link is cut: until it is back
+            fleet.loopThread.loop.schedule(PAUSE, this::next); // the link is cut: until it is back
             return;
         }
         busy = true;
@@ -98,7 +98,7 @@
             sending = null;
             next();
         } else {
-            fleet.loopThread.loop.after(PAUSE, this::next);
+            fleet.loopThread.loop.schedule(PAUSE, this::next);
         }
     }
 }
--- a/rig/src/main/java/saltdale/rig/standin/LoopThread.java
+++ b/rig/src/main/java/saltdale/rig/standin/LoopThread.java
@@ -4,22 +4,22 @@
 import java.io.UncheckedIOException;
 import java.time.Duration;
 import java.util.concurrent.CountDownLatch;
-import saltdale.transport.Loop;
-import saltdale.transport.Sockets;
+import saltdale.transport.EventLoop;
+import saltdale.transport.SocketBudget;
 
 /** A loop on a thread of its own. */
 public final class LoopThread implements AutoCloseable {
     private static final Duration TICK = Duration.ofMillis(10);
     private static final int MOST_SOCKETS = 200_000;
 
-    public final Loop loop;
-    public final Sockets sockets;
+    public final EventLoop loop;
+    public final SocketBudget sockets;
     private final Thread thread;
     private volatile long mostLate; // ns
 
     public LoopThread(String name) throws IOException {
-        loop = new Loop();
-        sockets = new Sockets(loop, MOST_SOCKETS);
+        loop = new EventLoop();
+        sockets = new SocketBudget(loop, MOST_SOCKETS);
         thread = new Thread(
                 () -> {
                     try {
@@ -38,14 +38,14 @@
 
     /** Counts from now on how late it is; called on the loop. */
     public void watchItself() {
-        tick(loop.clock());
+        tick(loop.elapsed());
     }
 
     /** Notes how late this thread comes to what is due: so late it may also have read what came in time. */
     private void tick(Duration due) {
-        Duration now = loop.clock();
+        Duration now = loop.elapsed();
         mostLate = Math.max(mostLate, now.minus(due).toNanos());
-        loop.after(TICK, () -> tick(now.plus(TICK)));
+        loop.schedule(TICK, () -> tick(now.plus(TICK)));
     }
 
     /** The most that this thread was late. */
@@ -56,7 +56,7 @@
     /** Does this on the loop's thread, and waits until it is done. */
     public void inside(Runnable what) {
         CountDownLatch done = new CountDownLatch(1);
-        loop.fromOutside(() -> {
+        loop.execute(() -> {
             try {
                 what.run();
             } finally {
@@ -72,7 +72,7 @@
 
     @Override
     public void close() {
-        loop.fromOutside(loop::stop);
+        loop.execute(loop::stop);
         try {
             thread.join(5000);
         } catch (InterruptedException e) {
--- a/rig/src/main/java/saltdale/rig/standin/NewsCall.java
+++ b/rig/src/main/java/saltdale/rig/standin/NewsCall.java
@@ -5,23 +5,23 @@
 import java.util.function.Consumer;
 import saltdale.protocol.HttpParser;
 import saltdale.transport.Connection;
-import saltdale.transport.Pool;
+import saltdale.transport.ConnectionPool;
 import saltdale.transport.Timer;
 
 /** One call of a runner to a dispatcher. */
-final class NewsCall implements Connection.Owner {
+final class NewsCall implements Connection.Handler {
     /** A call that has no answer by then has none. */
     static final Duration LIMIT = Duration.ofSeconds(2);
 
     private final LoopThread loopThread;
-    private final Pool pool;
+    private final ConnectionPool pool;
     private final byte[] call;
     private final Consumer<Boolean> after;
     private final HttpParser parser = new HttpParser(HttpParser.Kind.ANSWER);
     private Connection connection;
     private Timer limit;
 
-    NewsCall(LoopThread loopThread, Pool pool, byte[] call, Consumer<Boolean> after) {
+    NewsCall(LoopThread loopThread, ConnectionPool pool, byte[] call, Consumer<Boolean> after) {
         this.loopThread = loopThread;
         this.pool = pool;
         this.call = call;
@@ -29,13 +29,13 @@
     }
 
     void begin() {
-        connection = pool.take(this);
+        connection = pool.acquire(this);
         if (connection == null) {
-            loopThread.loop.soon(() -> after.accept(false));
+            loopThread.loop.defer(() -> after.accept(false));
             return;
         }
         connection.send(ByteBuffer.wrap(call));
-        limit = loopThread.loop.after(LIMIT, () -> {
+        limit = loopThread.loop.schedule(LIMIT, () -> {
             connection.close();
             after.accept(false);
         });
@@ -43,13 +43,13 @@
 
     @Override
     public void received(ByteBuffer bytes) {
-        parser.take(bytes);
-        if (parser.bad()) {
+        parser.parse(bytes);
+        if (parser.isMalformed()) {
             connection.close();
             end(false);
-        } else if (parser.whole()) {
+        } else if (parser.isComplete()) {
             if (parser.head().keepsAlive()) {
-                pool.rest(connection);
+                pool.release(connection);
             } else {
                 connection.close();
             }
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public void ended(String cause) {
+    public void disconnected(String cause) {
         end(false);
     }
 
--- a/rig/src/main/java/saltdale/rig/standin/RunnerListServer.java
+++ b/rig/src/main/java/saltdale/rig/standin/RunnerListServer.java
@@ -75,7 +75,7 @@
     }
 
     private void beat() {
-        loopThread.loop.after(EMPTY_LINE, () -> {
+        loopThread.loop.schedule(EMPTY_LINE, () -> {
             watches.stream().filter(watch -> speaks(watch.dispatcher)).forEach(watch -> watch.line("\n"));
             beat();
         });
@@ -194,12 +194,12 @@
         }
 
         void reset() {
-            ended("reset");
+            disconnected("reset");
             connection.reset();
         }
 
         @Override
-        public void ended(String cause) {
+        public void disconnected(String cause) {
             watches.remove(watch);
             open.remove(this);
         }
--- a/rig/src/main/java/saltdale/rig/standin/Served.java
+++ b/rig/src/main/java/saltdale/rig/standin/Served.java
@@ -27,7 +27,7 @@
     }
 
     void reading(boolean wanted) {
-        connection.reading(wanted);
+        connection.setReadEnabled(wanted);
     }
 
     void drop() {
@@ -35,7 +35,7 @@
     }
 
     @Override
-    public void ended(String cause) {
+    public void disconnected(String cause) {
         endpoint.open.remove(this);
         if (unanswered != null) { // closed before the 202: given up
             runner.model.takeBack(fleet.origin.now(), unanswered.id, endpoint.dispatcher);
@@ -76,7 +76,7 @@
         String path = head.path();
         int slash = path.indexOf('/', 1);
         Workload workload = fleet.workloads.get(path.substring(1, slash < 0 ? path.length() : slash));
-        String id = head.single("Request-Id");
+        String id = head.uniqueHeader("Request-Id");
         String size = head.header(StandInFleet.WORK);
         if (workload == null || id == null || size == null || !size.matches("\\d{1,12}")) {
             say(answer(id == null ? 404 : 400, "", ""));
@@ -85,7 +85,7 @@
         Duration now = fleet.origin.now();
         Work work = new Work(
                 id,
-                workload.repeat == Workload.Repeat.PURE ? null : head.single("Idempotency-Key"),
+                workload.repeat == Workload.Repeat.PURE ? null : head.uniqueHeader("Idempotency-Key"),
                 workload,
                 Long.parseLong(size) / 1e6,
                 endpoint.dispatcher);
@@ -99,7 +99,7 @@
         switch (offer) {
             case TAKEN -> {
                 if (runner.has(Kind.EARLY_NEWS)) {
-                    fleet.loopThread.loop.after(Duration.ofMillis(20), () -> say(answer(202, "", "")));
+                    fleet.loopThread.loop.schedule(Duration.ofMillis(20), () -> say(answer(202, "", "")));
                 } else {
                     say(answer(202, "", ""));
                 }
@@ -141,7 +141,7 @@
             Work lost = unanswered;
             unanswered = null;
             connection.send(ByteBuffer.wrap(answer, 0, (int) cut.size()));
-            connection.finish();
+            connection.closeGracefully();
             endpoint.open.remove(this);
             if (lost != null) {
                 fleet.witness.over(fleet.origin.now(), lost.id, runner.number); // as the dispatcher sees it
@@ -161,7 +161,7 @@
         }
         connection.send(ByteBuffer.wrap(answer, from, 1));
         if (from + 1 < answer.length) {
-            fleet.loopThread.loop.after(gap, () -> drip(answer, from + 1, gap));
+            fleet.loopThread.loop.schedule(gap, () -> drip(answer, from + 1, gap));
         } else {
             unanswered = null;
             answered();
--- a/rig/src/main/java/saltdale/rig/standin/StandInFleet.java
+++ b/rig/src/main/java/saltdale/rig/standin/StandInFleet.java
@@ -21,7 +21,7 @@
 import saltdale.rig.plan.Job;
 import saltdale.rig.plan.Trouble;
 import saltdale.rig.ways.LinkRelay;
-import saltdale.transport.Pool;
+import saltdale.transport.ConnectionPool;
 
 /** The runners of a day on sockets, by the platform's protocol; each is a model with a loop for its clock. */
 public final class StandInFleet {
@@ -33,7 +33,7 @@
     private record Pair(int runner, int dispatcher) {}
 
     /** Their way for the dispatcher's connections, that for the runner's, and who calls on the latter. */
-    private record Links(LinkRelay there, LinkRelay back, Pool calls) {}
+    private record Links(LinkRelay there, LinkRelay back, ConnectionPool calls) {}
 
     final LoopThread loopThread;
     final Day day;
@@ -46,7 +46,7 @@
     private final SplittableRandom chance;
     final Map<String, Workload> workloads = new HashMap<>();
     private final List<StandInRunner> runners = new ArrayList<>();
-    private final List<Pool> callBacks = new ArrayList<>();
+    private final List<ConnectionPool> callBacks = new ArrayList<>();
     private final Map<Pair, Links> links = new LinkedHashMap<>();
     private final Set<Pair> disturbed = new HashSet<>();
     Duration start = Duration.ZERO;
@@ -100,8 +100,8 @@
         }
     }
 
-    private Pool pool(InetSocketAddress at) {
-        return new Pool(loopThread.loop, loopThread.sockets, at, NewsCall.LIMIT, Duration.ofSeconds(2));
+    private ConnectionPool pool(InetSocketAddress at) {
+        return new ConnectionPool(loopThread.loop, loopThread.sockets, at, NewsCall.LIMIT, Duration.ofSeconds(2));
     }
 
     /** Where a runner itself listens for a dispatcher: behind their way, if something befalls that. */
@@ -112,7 +112,7 @@
     }
 
     /** The connections by which a runner calls a dispatcher back. */
-    Pool callBack(int runner, int dispatcher) {
+    ConnectionPool callBack(int runner, int dispatcher) {
         Links own = links.get(new Pair(runner, dispatcher));
         return own == null ? callBacks.get(dispatcher) : own.calls;
     }
@@ -128,7 +128,7 @@
     public void begin(Duration at) {
         start = at;
         for (TroubleSchedule.Turn turn : troubles.turns()) {
-            loopThread.loop.after(turn.at().plus(start).minus(origin.now()), () -> act(turn));
+            loopThread.loop.schedule(turn.at().plus(start).minus(origin.now()), () -> act(turn));
         }
         sample();
     }
@@ -152,7 +152,7 @@
             runner.model.advance(origin.now());
             watch.sample(origin.now(), runner.number, runner.model.held(), runner.model.isUp() && !runner.silent);
         }
-        loopThread.loop.after(SAMPLE, this::sample);
+        loopThread.loop.schedule(SAMPLE, this::sample);
     }
 
     private void passes(Pair pair, Links own, Duration at) {
--- a/rig/src/main/java/saltdale/rig/standin/StandInRunner.java
+++ b/rig/src/main/java/saltdale/rig/standin/StandInRunner.java
@@ -59,7 +59,7 @@
             wake.cancel();
         }
         wakeAt = next;
-        wake = fleet.loopThread.loop.after(
+        wake = fleet.loopThread.loop.schedule(
                 next.minus(fleet.loopThread.loop.now()).minus(drift()), () -> {
                     wakeAt = null;
                     wake = null;
@@ -70,7 +70,7 @@
 
     /** What lies between the run's clock and the loop's. */
     private Duration drift() {
-        return fleet.origin.now().minus(fleet.loopThread.loop.clock());
+        return fleet.origin.now().minus(fleet.loopThread.loop.elapsed());
     }
 
     void act(Act act, Duration at) {
@@ -115,7 +115,7 @@
 
     private void lists(Health health, Duration notice) {
         Duration bornAt = model.bornAt();
-        fleet.loopThread.loop.after(notice, () -> fleet.list.changed(number, health, bornAt));
+        fleet.loopThread.loop.schedule(notice, () -> fleet.list.changed(number, health, bornAt));
     }
 
     boolean has(Kind wire) {
--- a/rig/src/main/java/saltdale/rig/ways/LinkRelay.java
+++ b/rig/src/main/java/saltdale/rig/ways/LinkRelay.java
@@ -76,15 +76,15 @@
             this.near = near;
             there = new Lane(outward);
             back = new Lane(!outward);
-            far = Connection.dial(loopThread.loop, loopThread.sockets, behind, CONNECT_LIMIT, back);
+            far = Connection.connect(loopThread.loop, loopThread.sockets, behind, CONNECT_LIMIT, back);
             if (far == null) {
-                near.owner(there);
+                near.setHandler(there);
                 near.reset();
                 return;
             }
             there.between(near, far);
             back.between(far, near);
-            near.owner(there);
+            near.setHandler(there);
             strands.add(this);
             renew();
         }
@@ -103,7 +103,7 @@
         private record Part(Duration due, ByteBuffer bytes) {}
 
         /** What goes one way. */
-        private final class Lane implements Connection.Owner {
+        private final class Lane implements Connection.Handler {
             private final boolean toRunner;
             private final Deque<Part> parts = new ArrayDeque<>();
             private Connection from;
@@ -145,7 +145,7 @@
             }
 
             @Override
-            public void ended(String cause) {
+            public void disconnected(String cause) {
                 over = true;
                 if (this == back && !opened) { // nobody is there: what connected is told so
                     RelayedConnection.this.reset();
@@ -156,7 +156,7 @@
 
             void renew() {
                 if (!over) {
-                    from.reading(!isCut() && held < MOST_HELD);
+                    from.setReadEnabled(!isCut() && held < MOST_HELD);
                 }
                 pump();
             }
@@ -170,7 +170,7 @@
                 while (!isCut() && !parts.isEmpty()) {
                     Part next = parts.peek();
                     if (next.due.compareTo(now) > 0) {
-                        timer = loopThread.loop.after(next.due.minus(now), this::pump);
+                        timer = loopThread.loop.schedule(next.due.minus(now), this::pump);
                         return;
                     } else if (passage.pace() > 0) {
                         trickle(next);
@@ -184,7 +184,7 @@
                     if (this == there && !back.opened) {
                         to.close(); // it has gone before the one behind was reached
                     } else {
-                        to.finish();
+                        to.closeGracefully();
                     }
                 }
             }
@@ -198,7 +198,7 @@
                     parts.poll();
                 }
                 send(ByteBuffer.wrap(some));
-                timer = loopThread.loop.after(Duration.ofNanos((long) (gap * 1e9)), this::renew);
+                timer = loopThread.loop.schedule(Duration.ofNanos((long) (gap * 1e9)), this::renew);
             }
 
             private void send(ByteBuffer bytes) {
--- a/rig/src/main/java/saltdale/rig/ways/SwitchableListener.java
+++ b/rig/src/main/java/saltdale/rig/ways/SwitchableListener.java
@@ -18,12 +18,13 @@
 
     private final LoopThread loopThread;
     private final InetSocketAddress at;
-    private final Listener.Taker taker;
+    private final Listener.AcceptHandler taker;
     private final List<SocketChannel> plugs = new ArrayList<>();
     private Listener listener;
     private boolean silent;
 
-    public SwitchableListener(LoopThread loopThread, InetSocketAddress at, Listener.Taker taker) throws IOException {
+    public SwitchableListener(LoopThread loopThread, InetSocketAddress at, Listener.AcceptHandler taker)
+            throws IOException {
         this.loopThread = loopThread;
         this.at = at;
         this.taker = taker;
@@ -48,7 +49,7 @@
             return;
         }
         silent = wanted;
-        listener.hold(wanted);
+        listener.setPaused(wanted);
         if (wanted) {
             plug();
         } else {
--- a/rig/src/test/java/saltdale/rig/platform/live/LiveTest.java
+++ b/rig/src/test/java/saltdale/rig/platform/live/LiveTest.java
@@ -65,7 +65,7 @@
             CompletableFuture<Void> round = new CompletableFuture<>();
             loopThread.inside(() -> {
                 platform.crash("w-north", Duration.ZERO);
-                loopThread.loop.soon(() -> round.complete(null));
+                loopThread.loop.defer(() -> round.complete(null));
             });
             round.orTimeout(10, TimeUnit.SECONDS).join();
         }
@@ -204,7 +204,7 @@
         }
 
         @Override
-        public void ended(String cause) {
+        public void disconnected(String cause) {
             // It has its answer.
         }
     }
--- a/storage/src/main/java/saltdale/storage/MirroredRecordStore.java
+++ b/storage/src/main/java/saltdale/storage/MirroredRecordStore.java
@@ -17,14 +17,14 @@
  * so a loss of power in a write may leave half of it (docs/record store.md).
  */
 final class MirroredRecordStore implements RecordStore {
-    private static final String[] NAMES = {"vault.a", "vault.b"};
-    private static final long SPARE = 1 << 20;
+    private static final String[] FILE_NAMES = {"vault.a", "vault.b"};
+    private static final long SIZE_SLACK_BYTES = 1 << 20;
 
     /**
      * Guards against two record stores in one folder; another process is kept off by the address that the owner listens
      * on.
      */
-    private static final Set<Path> OPEN = ConcurrentHashMap.newKeySet();
+    private static final Set<Path> OPEN_FOLDERS = ConcurrentHashMap.newKeySet();
 
     /** As MVStore names it. */
     private final String folder;
@@ -40,7 +40,7 @@
     MirroredRecordStore(String folder, Runnable syncFolder) throws RecordStoreException {
         this.folder = folder;
         this.syncFolder = syncFolder;
-        ready();
+        openFiles();
     }
 
     static MirroredRecordStore open(Path folder) throws RecordStoreException {
@@ -50,21 +50,21 @@
             throw new RecordStoreException("can't make " + folder, e);
         }
         Path whole = folder.toAbsolutePath().normalize();
-        if (!OPEN.add(whole)) {
+        if (!OPEN_FOLDERS.add(whole)) {
             throw new RecordStoreException(folder + " is open already", null);
         }
         try {
             MirroredRecordStore recordStore =
-                    new MirroredRecordStore(UnlockedPath.of(whole.toString()), () -> sync(folder));
-            recordStore.onClose = () -> OPEN.remove(whole);
+                    new MirroredRecordStore(UnlockedPath.of(whole.toString()), () -> syncFolder(folder));
+            recordStore.onClose = () -> OPEN_FOLDERS.remove(whole);
             return recordStore;
         } catch (RecordStoreException e) {
-            OPEN.remove(whole);
+            OPEN_FOLDERS.remove(whole);
             throw e;
         }
     }
 
-    private static void sync(Path folder) {
+    private static void syncFolder(Path folder) {
         try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
             channel.force(true);
         } catch (IOException e) {
@@ -74,27 +74,27 @@
 
     @Override
     public Map<String, byte[]> read() throws RecordStoreException {
-        ready();
+        openFiles();
         try {
             return current.read();
         } catch (RuntimeException e) {
-            throw failed("can't read", e);
+            throw failure("can't read", e);
         }
     }
 
     @Override
     public void write(Map<String, byte[]> records) throws RecordStoreException {
-        if (records.containsKey(StoreFile.SEAL)) {
+        if (records.containsKey(StoreFile.SEAL_NAME)) {
             throw new IllegalArgumentException("a record without a name");
         }
-        ready();
+        openFiles();
         boolean written = false;
         try {
-            boolean anew = !other.writable() || other.size() > 3 * current.live() + SPARE;
+            boolean anew = !other.isWritable() || other.size() > 3 * current.recordBytes() + SIZE_SLACK_BYTES;
             if (anew) {
                 other.clear();
             }
-            other.follow(current, records);
+            other.update(current, records);
             if (anew) {
                 syncFolder.run();
             }
@@ -103,11 +103,11 @@
             other = older;
             written = true;
         } catch (IOException | RuntimeException e) {
-            throw failed("can't write", e);
+            throw failure("can't write", e);
         } finally {
             if (!written) {
                 // After an error, too, nothing is known of the file that was being written.
-                drop();
+                closeFiles();
             }
         }
     }
@@ -115,12 +115,12 @@
     @Override
     public void close() {
         closed = true;
-        drop();
+        closeFiles();
         onClose.run();
     }
 
     /** Opens both copies after a start or a failure, which settles whether the write that failed holds. */
-    private void ready() throws RecordStoreException {
+    private void openFiles() throws RecordStoreException {
         if (closed) {
             throw new IllegalStateException("closed");
         }
@@ -128,10 +128,10 @@
             return;
         }
         try {
-            FilePath first = FilePath.get(folder + "/" + NAMES[0]);
-            FilePath second = FilePath.get(folder + "/" + NAMES[1]);
+            FilePath first = FilePath.get(folder + "/" + FILE_NAMES[0]);
+            FilePath second = FilePath.get(folder + "/" + FILE_NAMES[1]);
             if (!first.exists() && !second.exists()) {
-                make(first);
+                createFirstCopy(first);
             }
             StoreFile a = new StoreFile(first);
             current = a;
@@ -139,24 +139,24 @@
             other = b;
             a.open();
             b.open();
-            if (!a.whole() && !b.whole()) {
-                throw new IOException("neither copy is whole: " + a.flaw() + "; " + b.flaw());
+            if (!a.isValid() && !b.isValid()) {
+                throw new IOException("neither copy is whole: " + a.flawDescription() + "; " + b.flawDescription());
             }
-            if (b.whole() && (!a.whole() || b.turn() > a.turn())) {
+            if (b.isValid() && (!a.isValid() || b.generation() > a.generation())) {
                 current = b;
                 other = a;
             }
         } catch (IOException | RuntimeException e) {
-            throw failed("can't open", e);
+            throw failure("can't open", e);
         }
     }
 
     /** The first copy gets its name when it is whole, so that a disk without it is known to be empty. */
-    private void make(FilePath file) throws IOException {
+    private void createFirstCopy(FilePath file) throws IOException {
         StoreFile young = new StoreFile(FilePath.get(file + ".new"));
         try {
             young.clear();
-            young.follow(null, Map.of());
+            young.update(null, Map.of());
         } finally {
             young.close();
         }
@@ -164,13 +164,13 @@
         syncFolder.run();
     }
 
-    private RecordStoreException failed(String what, Exception cause) {
-        drop();
+    private RecordStoreException failure(String what, Exception cause) {
+        closeFiles();
         return new RecordStoreException(what + " " + folder, cause);
     }
 
     /** Lets go of the files as they are: what was synced needs no closing, and closing would write. */
-    private void drop() {
+    private void closeFiles() {
         if (current != null) {
             current.close();
         }
--- a/storage/src/main/java/saltdale/storage/StoreFile.java
+++ b/storage/src/main/java/saltdale/storage/StoreFile.java
@@ -26,22 +26,22 @@
  */
 final class StoreFile {
     /** The name of the seal among the records. */
-    static final String SEAL = "";
+    static final String SEAL_NAME = "";
 
-    private static final String MAP = "records";
-    private static final int PIECE = 1 << 19;
-    private static final int HEAD = Long.BYTES + Integer.BYTES;
+    private static final String MAP_NAME = "records";
+    private static final int COMMIT_BATCH_BYTES = 1 << 19;
+    private static final int HEADER_BYTES = Long.BYTES + Integer.BYTES;
 
     /** The turn in which a record was written, and the checksum and size of what was. */
-    private record Stamp(long turn, int sum, int size) {}
+    private record Stamp(long generation, int checksum, int size) {}
 
     /** The file of the store. */
-    private static final class Chunks extends SingleFileStore {
+    private static final class UnshrinkingFileStore extends SingleFileStore {
         /**
          * With the smallest cache. Guards against all records in one page, which each write would write anew: MVStore
          * bounds its pages by the cache, and without one by nothing.
          */
-        Chunks() {
+        UnshrinkingFileStore() {
             super(Map.of("cacheSize", 1, "autoCommitBufferSize", 0));
         }
 
@@ -56,9 +56,9 @@
     private final FilePath file;
     private MVStore store;
     private MVMap<String, byte[]> records;
-    private boolean found;
+    private boolean openedReadOnly;
     private Map<String, Stamp> stamps = new TreeMap<>();
-    private long turn = -1;
+    private long generation = -1;
     private String flaw;
 
     StoreFile(FilePath file) {
@@ -68,7 +68,7 @@
     /** Reads and checks it; fails where the disk can't be read, and else says by whole() whether it is a copy. */
     void open() throws IOException {
         close();
-        turn = -1;
+        generation = -1;
         stamps.clear();
         if (!file.exists() || file.size() == 0) {
             flaw = "missing";
@@ -79,26 +79,26 @@
             channel.force(true);
         }
         try {
-            start(true);
-            long sealed = check();
+            openStore(true);
+            long sealed = verifyRecords();
             if (sealed < 0) {
                 throw new IllegalStateException("no match for the seal");
             }
-            turn = sealed;
+            generation = sealed;
         } catch (RuntimeException | AssertionError | StackOverflowError e) {
             // MVStore's own assertions see some of the tears first, where they are enabled.
-            flawed(e);
+            markInvalid(e);
         } catch (OutOfMemoryError e) {
             // Torn lengths ask for absurd sizes; where there is hardly room for anything it is no fault of the copy.
-            if (roomFor(file.size())) {
-                flawed(e);
+            if (canAllocate(file.size())) {
+                markInvalid(e);
             } else {
                 throw new IOException("no memory for " + file, e);
             }
         }
     }
 
-    private static boolean roomFor(long size) {
+    private static boolean canAllocate(long size) {
         try {
             return new byte[(int) Math.min(size, Integer.MAX_VALUE / 4)].length > 0;
         } catch (OutOfMemoryError e) {
@@ -106,7 +106,7 @@
         }
     }
 
-    private void flawed(Throwable cause) throws IOException {
+    private void markInvalid(Throwable cause) throws IOException {
         for (Throwable each = cause; each != null; each = each.getCause()) {
             boolean locked = each instanceof MVStoreException
                     && ((MVStoreException) each).getErrorCode() == DataUtils.ERROR_FILE_LOCKED;
@@ -119,9 +119,9 @@
         close();
     }
 
-    private void start(boolean readOnly) {
-        found = readOnly;
-        Chunks chunks = new Chunks();
+    private void openStore(boolean readOnly) {
+        openedReadOnly = readOnly;
+        UnshrinkingFileStore chunks = new UnshrinkingFileStore();
         MVStore.Builder builder = new MVStore.Builder()
                 .adoptFileStore(chunks)
                 .autoCommitDisabled()
@@ -139,14 +139,14 @@
         store.setVersionsToKeep(0);
         store.setRetentionTime(0);
         records = store.openMap(
-                MAP,
+                MAP_NAME,
                 new MVMap.Builder<String, byte[]>()
                         .keyType(StringDataType.INSTANCE)
                         .valueType(ByteArrayDataType.INSTANCE));
     }
 
     /** Guards against a store that fails to close since it was never open: that hides why. */
-    private static void closeHalfOpen(Chunks chunks) {
+    private static void closeHalfOpen(UnshrinkingFileStore chunks) {
         try {
             chunks.close();
         } catch (RuntimeException e) {
@@ -154,7 +154,7 @@
         }
     }
 
-    private long check() {
+    private long verifyRecords() {
         List<String> names = new ArrayList<>();
         records.keyIterator(null).forEachRemaining(names::add);
         byte[] seal = null;
@@ -164,34 +164,34 @@
             if (framed == null) {
                 return -1;
             }
-            if (name.equals(SEAL)) {
+            if (name.equals(SEAL_NAME)) {
                 seal = framed;
                 continue;
             }
             ByteBuffer head = ByteBuffer.wrap(framed);
             Stamp stamp = new Stamp(head.getLong(), head.getInt(), framed.length);
-            if (stamp.sum != sum(name, framed)) {
+            if (stamp.checksum != checksum(name, framed)) {
                 return -1;
             }
             stamps.put(name, stamp);
         }
-        if (seal == null || seal.length != HEAD) {
+        if (seal == null || seal.length != HEADER_BYTES) {
             return -1;
         }
         long sealed = ByteBuffer.wrap(seal).getLong();
-        return Arrays.equals(seal, seal(sealed, stamps)) ? sealed : -1;
+        return Arrays.equals(seal, computeSeal(sealed, stamps)) ? sealed : -1;
     }
 
-    boolean whole() {
-        return turn >= 0;
+    boolean isValid() {
+        return generation >= 0;
     }
 
     /** The number of the write that it holds as the last one. */
-    long turn() {
-        return turn;
+    long generation() {
+        return generation;
     }
 
-    String flaw() {
+    String flawDescription() {
         return file.getName() + " " + flaw;
     }
 
@@ -200,7 +200,7 @@
     }
 
     /** The bytes of its records. */
-    long live() {
+    long recordBytes() {
         return stamps.values().stream().mapToLong(Stamp::size).sum();
     }
 
@@ -208,14 +208,14 @@
         Map<String, byte[]> all = new TreeMap<>();
         for (String name : stamps.keySet()) {
             byte[] framed = records.get(name);
-            all.put(name, Arrays.copyOfRange(framed, HEAD, framed.length));
+            all.put(name, Arrays.copyOfRange(framed, HEADER_BYTES, framed.length));
         }
         return all;
     }
 
     /** Whether it can be written as it stands; what was found on the disk is cleared first. */
-    boolean writable() {
-        return whole() && !found;
+    boolean isWritable() {
+        return isValid() && !openedReadOnly;
     }
 
     /**
@@ -228,16 +228,16 @@
             channel.truncate(0);
             channel.force(true);
         }
-        turn = -1;
+        generation = -1;
         stamps.clear();
-        start(false);
+        openStore(false);
     }
 
     /** Takes over what the other one holds (null: nothing), puts these records (null value removes), and syncs. */
-    void follow(StoreFile from, Map<String, byte[]> changes) {
-        long next = from == null ? 0 : from.turn + 1;
+    void update(StoreFile from, Map<String, byte[]> changes) {
+        long next = from == null ? 0 : from.generation + 1;
         Map<String, Stamp> target = new TreeMap<>(from == null ? Map.of() : from.stamps);
-        turn = -1;
+        generation = -1;
         for (String name : stamps.keySet()) {
             if (!target.containsKey(name) && !changes.containsKey(name)) {
                 records.remove(name);
@@ -250,7 +250,7 @@
                 records.put(name, from.records.get(name));
                 unsaved += entry.getValue().size;
             }
-            if (unsaved > PIECE) {
+            if (unsaved > COMMIT_BATCH_BYTES) {
                 // Guards against all records in memory at once; without a new seal this is no copy yet.
                 store.commit();
                 unsaved = 0;
@@ -261,40 +261,42 @@
                 target.remove(name);
                 records.remove(name);
             } else {
-                byte[] framed = ByteBuffer.allocate(HEAD + bytes.length)
+                byte[] framed = ByteBuffer.allocate(HEADER_BYTES + bytes.length)
                         .putLong(next)
                         .putInt(0)
                         .put(bytes)
                         .array();
-                Stamp stamp = new Stamp(next, sum(name, framed), framed.length);
-                ByteBuffer.wrap(framed).putInt(Long.BYTES, stamp.sum);
+                Stamp stamp = new Stamp(next, checksum(name, framed), framed.length);
+                ByteBuffer.wrap(framed).putInt(Long.BYTES, stamp.checksum);
                 target.put(name, stamp);
                 records.put(name, framed);
             }
         });
-        records.put(SEAL, seal(next, target));
+        records.put(SEAL_NAME, computeSeal(next, target));
         store.commit();
         store.sync();
         stamps = target;
-        turn = next;
+        generation = next;
     }
 
-    private static int sum(String name, byte[] framed) {
+    private static int checksum(String name, byte[] framed) {
         CRC32C sum = new CRC32C();
         sum.update(name.getBytes(StandardCharsets.UTF_8));
         sum.update(framed, 0, Long.BYTES);
-        sum.update(framed, HEAD, framed.length - HEAD);
+        sum.update(framed, HEADER_BYTES, framed.length - HEADER_BYTES);
         return (int) sum.getValue();
     }
 
-    private static byte[] seal(long turn, Map<String, Stamp> stamps) {
+    private static byte[] computeSeal(long turn, Map<String, Stamp> stamps) {
         CRC32C sum = new CRC32C();
         sum.update(ByteBuffer.allocate(Long.BYTES).putLong(0, turn));
         stamps.forEach((name, stamp) -> {
             sum.update(name.getBytes(StandardCharsets.UTF_8));
-            sum.update(ByteBuffer.allocate(HEAD).putLong(0, stamp.turn).putInt(Long.BYTES, stamp.sum));
+            sum.update(ByteBuffer.allocate(HEADER_BYTES)
+                    .putLong(0, stamp.generation)
+                    .putInt(Long.BYTES, stamp.checksum));
         });
-        return ByteBuffer.allocate(HEAD)
+        return ByteBuffer.allocate(HEADER_BYTES)
                 .putLong(turn)
                 .putInt((int) sum.getValue())
                 .array();
--- a/storage/src/main/java/saltdale/storage/UnlockedPath.java
+++ b/storage/src/main/java/saltdale/storage/UnlockedPath.java
@@ -35,13 +35,13 @@
 
     @Override
     public FileChannel open(String mode) throws IOException {
-        return new Unlocked(super.open(mode));
+        return new UnlockedChannel(super.open(mode));
     }
 
-    private static final class Unlocked extends FileBase {
+    private static final class UnlockedChannel extends FileBase {
         private final FileChannel base;
 
-        Unlocked(FileChannel base) {
+        UnlockedChannel(FileChannel base) {
             this.base = base;
         }
 
--- a/storage/src/test/java/saltdale/storage/MapDbRecordStore.java
+++ b/storage/src/test/java/saltdale/storage/MapDbRecordStore.java
@@ -21,29 +21,40 @@
 /**
  * A record store in MapDB with its log, as {@code DBMaker.fileDB(...).fileChannelEnable().transactionEnable()}
  * makes it, on
- * files whose every call is told to a {@link CutDisk}; see {@link PowerCutTest} for what it loses.
+ * files whose every call is told to a {@link SimulatedDisk}; see {@link PowerCutTest} for what it loses.
  */
 final class MapDbRecordStore implements RecordStore {
     private final Path folder;
-    private final CutDisk disk;
+    private final SimulatedDisk disk;
     private final DB db;
     private final BTreeMap<String, byte[]> records;
 
-    MapDbRecordStore(Path folder, CutDisk disk) throws IOException {
+    MapDbRecordStore(Path folder, SimulatedDisk disk) throws IOException {
         this.folder = folder;
         this.disk = disk;
-        for (Map.Entry<String, byte[]> entry : disk.live().entrySet()) {
+        for (Map.Entry<String, byte[]> entry : disk.currentFiles().entrySet()) {
             Files.write(folder.resolve(entry.getKey()), entry.getValue());
         }
         boolean made = !disk.exists("vault");
         // As DBMaker calls it, with the checksum of the header.
         StoreWAL store = StoreWAL.make(
-                folder.resolve("vault").toString(), new Told(), 0L, true, 3, 0L, 0L, false, false, false, true, false);
+                folder.resolve("vault").toString(),
+                new RecordingVolumeFactory(),
+                0L,
+                true,
+                3,
+                0L,
+                0L,
+                false,
+                false,
+                false,
+                true,
+                false);
         db = new DB(store, !made, false, MapDbRecordStore.class.getClassLoader(), 0);
         records =
                 db.treeMap("records", Serializer.STRING, Serializer.BYTE_ARRAY).createOrOpen();
         db.commit();
-        seeDeleted();
+        recordDeletedFiles();
     }
 
     @Override
@@ -65,21 +76,21 @@
             }
         });
         db.commit();
-        seeDeleted();
+        recordDeletedFiles();
     }
 
     @Override
     public void close() {
         db.close();
-        seeDeleted();
-        for (String name : disk.live().keySet()) {
+        recordDeletedFiles();
+        for (String name : disk.currentFiles().keySet()) {
             folder.resolve(name).toFile().delete();
         }
         folder.toFile().delete();
     }
 
-    private void seeDeleted() {
-        for (String name : disk.live().keySet()) {
+    private void recordDeletedFiles() {
+        for (String name : disk.currentFiles().keySet()) {
             if (!Files.exists(folder.resolve(name))) {
                 try {
                     disk.delete(name);
@@ -90,13 +101,13 @@
         }
     }
 
-    private final class Told extends VolumeFactory {
+    private final class RecordingVolumeFactory extends VolumeFactory {
         @Override
         public Volume makeVolume(
                 String file, boolean readOnly, long lockWait, int sliceShift, long initSize, boolean fixed) {
-            seeDeleted();
+            recordDeletedFiles();
             try {
-                return new Recorder(
+                return new RecordingVolume(
                         FileChannelVol.FACTORY.makeVolume(file, readOnly, lockWait, sliceShift, initSize, fixed),
                         disk.open(new File(file).getName()));
             } catch (IOException e) {
@@ -115,35 +126,35 @@
         }
     }
 
-    private final class Recorder extends Volume {
-        private final Volume real;
+    private final class RecordingVolume extends Volume {
+        private final Volume delegate;
         private final int file;
 
-        Recorder(Volume real, int file) {
-            this.real = real;
+        RecordingVolume(Volume real, int file) {
+            this.delegate = real;
             this.file = file;
         }
 
-        private void told(long position, byte[] bytes) {
-            seeDeleted();
+        private void write(long position, byte[] bytes) {
+            recordDeletedFiles();
             try {
                 disk.write(file, position, bytes);
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
-            real.putData(position, bytes, 0, bytes.length);
+            delegate.putData(position, bytes, 0, bytes.length);
         }
 
         @Override
         public void ensureAvailable(long size) {
-            real.ensureAvailable(size);
-            grown();
+            delegate.ensureAvailable(size);
+            recordLength();
         }
 
-        private void grown() {
+        private void recordLength() {
             try {
-                if (real.length() != disk.contents(file).length) {
-                    disk.length(file, real.length());
+                if (delegate.length() != disk.contents(file).length) {
+                    disk.setLength(file, delegate.length());
                 }
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
@@ -152,77 +163,77 @@
 
         @Override
         public void truncate(long size) {
-            real.truncate(size);
-            grown();
+            delegate.truncate(size);
+            recordLength();
         }
 
         @Override
         public void putLong(long position, long value) {
-            told(position, ByteBuffer.allocate(8).putLong(value).array());
+            write(position, ByteBuffer.allocate(8).putLong(value).array());
         }
 
         @Override
         public void putInt(long position, int value) {
-            told(position, ByteBuffer.allocate(4).putInt(value).array());
+            write(position, ByteBuffer.allocate(4).putInt(value).array());
         }
 
         @Override
         public void putByte(long position, byte value) {
-            told(position, new byte[] {value});
+            write(position, new byte[] {value});
         }
 
         @Override
         public void putData(long position, byte[] from, int offset, int count) {
-            told(position, Arrays.copyOfRange(from, offset, offset + count));
+            write(position, Arrays.copyOfRange(from, offset, offset + count));
         }
 
         @Override
         public void putData(long position, ByteBuffer from) {
             byte[] bytes = new byte[from.remaining()];
             from.get(bytes);
-            told(position, bytes);
+            write(position, bytes);
         }
 
         @Override
         public void clear(long from, long to) {
-            told(from, new byte[(int) (to - from)]);
+            write(from, new byte[(int) (to - from)]);
         }
 
         @Override
         public long getLong(long position) {
-            return real.getLong(position);
+            return delegate.getLong(position);
         }
 
         @Override
         public int getInt(long position) {
-            return real.getInt(position);
+            return delegate.getInt(position);
         }
 
         @Override
         public byte getByte(long position) {
-            return real.getByte(position);
+            return delegate.getByte(position);
         }
 
         @Override
         public DataInput2 getDataInput(long position, int size) {
-            return real.getDataInput(position, size);
+            return delegate.getDataInput(position, size);
         }
 
         @Override
         public void getData(long position, byte[] to, int offset, int count) {
-            real.getData(position, to, offset, count);
+            delegate.getData(position, to, offset, count);
         }
 
         @Override
         public void close() {
-            seeDeleted();
-            real.close();
+            recordDeletedFiles();
+            delegate.close();
         }
 
         @Override
         public void sync() {
-            seeDeleted();
-            real.sync();
+            recordDeletedFiles();
+            delegate.sync();
             try {
                 disk.sync(file);
             } catch (IOException e) {
@@ -232,32 +243,32 @@
 
         @Override
         public int sliceSize() {
-            return real.sliceSize();
+            return delegate.sliceSize();
         }
 
         @Override
         public boolean isSliced() {
-            return real.isSliced();
+            return delegate.isSliced();
         }
 
         @Override
         public long length() {
-            return real.length();
+            return delegate.length();
         }
 
         @Override
         public boolean isReadOnly() {
-            return real.isReadOnly();
+            return delegate.isReadOnly();
         }
 
         @Override
         public File getFile() {
-            return real.getFile();
+            return delegate.getFile();
         }
 
         @Override
         public boolean getFileLocked() {
-            return real.getFileLocked();
+            return delegate.getFileLocked();
         }
     }
 }
--- a/storage/src/test/java/saltdale/storage/PowerCuts.java
+++ b/storage/src/test/java/saltdale/storage/PowerCutRuns.java
@@ -16,37 +16,37 @@
  * Runs of writes with the power cut after every call to the disk, and what was seen when the record store was
  * opened anew.
  */
-final class PowerCuts {
-    interface Opener {
-        RecordStore open(CutDisk disk) throws Exception;
+final class PowerCutRuns {
+    interface StoreOpener {
+        RecordStore open(SimulatedDisk disk) throws Exception;
     }
 
     /** From this many calls on, one of these states is to be read. */
-    private record Mark(int call, List<Map<String, ByteBuffer>> states) {}
+    private record ExpectedStates(int fromCall, List<Map<String, ByteBuffer>> states) {}
 
-    private final Opener opener;
+    private final StoreOpener opener;
     private final Random random;
-    private final int bigRecord;
+    private final int bigRecordBytes;
     /** How many images were opened. */
-    int images;
+    int imageCount;
 
-    int cuts;
+    int cutCount;
     final Map<String, Integer> faults = new TreeMap<>();
     final List<String> examples = new ArrayList<>();
 
     /** Whether the disk also refuses calls now and then, and processes are killed in a write. */
-    boolean troubles = true;
+    boolean injectFailures = true;
     /** Of a thousand calls, how many are followed by a cut. */
-    int share = 1000;
+    int cutPermille = 1000;
     /** The disk of the first generation. */
-    CutDisk start = new CutDisk();
+    SimulatedDisk firstDisk = new SimulatedDisk();
 
     int failedWrites;
 
-    PowerCuts(Opener opener, long seed, int bigRecord) {
+    PowerCutRuns(StoreOpener opener, long seed, int bigRecord) {
         this.opener = opener;
         this.random = new Random(seed);
-        this.bigRecord = bigRecord;
+        this.bigRecordBytes = bigRecord;
     }
 
     static Map<String, ByteBuffer> state(Map<String, byte[]> records) {
@@ -55,7 +55,7 @@
         return state;
     }
 
-    static Map<String, ByteBuffer> put(Map<String, ByteBuffer> state, Map<String, byte[]> changes) {
+    static Map<String, ByteBuffer> withChanges(Map<String, ByteBuffer> state, Map<String, byte[]> changes) {
         Map<String, ByteBuffer> next = new HashMap<>(state);
         changes.forEach((name, bytes) -> {
             if (bytes == null) {
@@ -67,7 +67,7 @@
         return next;
     }
 
-    static Map<String, byte[]> changes(Random random, int bigRecord) {
+    static Map<String, byte[]> randomChanges(Random random, int bigRecord) {
         Map<String, byte[]> changes = new LinkedHashMap<>();
         for (int i = random.nextInt(3); i >= 0; i--) {
             int sort = random.nextInt(20);
@@ -79,58 +79,60 @@
     }
 
     /** Each generation starts from what a random cut of the one before has left. */
-    PowerCuts run(int generations, int writes, int mixes) throws Exception {
-        CutDisk disk = start;
+    PowerCutRuns run(int generations, int writes, int mixes) throws Exception {
+        SimulatedDisk disk = firstDisk;
         List<Map<String, ByteBuffer>> states = List.of(Map.of());
         for (int i = 0; i < generations; i++) {
-            List<Mark> marks = new ArrayList<>(List.of(new Mark(0, states)));
-            if (!play(disk, marks, writes)) {
+            List<ExpectedStates> marks = new ArrayList<>(List.of(new ExpectedStates(0, states)));
+            if (!runProcesses(disk, marks, writes)) {
                 return this;
             }
-            cut(disk, marks, mixes);
+            checkCuts(disk, marks, mixes);
             int at = random.nextInt(disk.calls.size() + 1);
-            CutDisk.Replay replay = disk.new Replay();
-            while (replay.at() < at) {
+            SimulatedDisk.Replay replay = disk.new Replay();
+            while (replay.position() < at) {
                 replay.step();
             }
-            states = at(marks, at);
-            disk = new CutDisk(replay.left(CutDisk.Later.MIXED, random));
+            states = expectedAt(marks, at);
+            disk = new SimulatedDisk(replay.filesAfterCut(SimulatedDisk.UnsyncedCalls.MIXED, random));
         }
         return this;
     }
 
     /** Some processes after one another on this disk, while the power stays; false where one could not go on. */
-    private boolean play(CutDisk disk, List<Mark> marks, int writes) throws Exception {
+    private boolean runProcesses(SimulatedDisk disk, List<ExpectedStates> marks, int writes) throws Exception {
         int left = writes;
         while (left > 0) {
-            RecordStore recordStore = tried("start", () -> opener.open(disk));
-            if (recordStore == null || !read(recordStore, disk, marks)) {
+            RecordStore recordStore = callOrRecordFault("start", () -> opener.open(disk));
+            if (recordStore == null || !readAndCheck(recordStore, disk, marks)) {
                 return false;
             }
             boolean killed = false;
             for (int i = 1 + random.nextInt(writes); i > 0 && left > 0 && !killed; i--, left--) {
-                int sort = troubles ? random.nextInt(12) : 11;
+                int sort = injectFailures ? random.nextInt(12) : 11;
                 killed = sort == 0;
                 if (sort < 2) {
-                    disk.failingCall = disk.changes() + random.nextInt(8);
-                    disk.failures = killed ? Integer.MAX_VALUE : 1 + random.nextInt(2);
+                    disk.failingCall = disk.attemptedCalls() + random.nextInt(8);
+                    disk.failureCount = killed ? Integer.MAX_VALUE : 1 + random.nextInt(2);
                 } else if (sort == 2) {
-                    disk.capacity = disk.used() + random.nextInt(8000);
+                    disk.capacityBytes = disk.usedBytes() + random.nextInt(8000);
                 }
-                Map<String, byte[]> changes = changes(random, bigRecord);
+                Map<String, byte[]> changes = randomChanges(random, bigRecordBytes);
                 Map<String, ByteBuffer> before =
                         marks.get(marks.size() - 1).states.get(0);
-                Map<String, ByteBuffer> after = put(before, changes);
-                marks.add(new Mark(disk.calls.size(), List.of(before, after)));
+                Map<String, ByteBuffer> after = withChanges(before, changes);
+                marks.add(new ExpectedStates(disk.calls.size(), List.of(before, after)));
                 try {
                     recordStore.write(changes);
-                    marks.add(new Mark(disk.calls.size(), List.of(after)));
+                    marks.add(new ExpectedStates(disk.calls.size(), List.of(after)));
                 } catch (RecordStoreException e) {
                     failedWrites++;
                 }
                 disk.failingCall = -1;
-                disk.capacity = Long.MAX_VALUE;
-                if (!killed && marks.get(marks.size() - 1).states.size() > 1 && !read(recordStore, disk, marks)) {
+                disk.capacityBytes = Long.MAX_VALUE;
+                if (!killed
+                        && marks.get(marks.size() - 1).states.size() > 1
+                        && !readAndCheck(recordStore, disk, marks)) {
                     return false;
                 }
             }
@@ -141,69 +143,69 @@
         return true;
     }
 
-    private boolean read(RecordStore recordStore, CutDisk disk, List<Mark> marks) {
+    private boolean readAndCheck(RecordStore recordStore, SimulatedDisk disk, List<ExpectedStates> marks) {
         List<Map<String, ByteBuffer>> states = marks.get(marks.size() - 1).states;
-        Map<String, byte[]> records = tried("read", recordStore::read);
-        if (records != null && judge("live", state(records), states)) {
-            marks.add(new Mark(disk.calls.size(), List.of(state(records))));
+        Map<String, byte[]> records = callOrRecordFault("read", recordStore::read);
+        if (records != null && checkState("live", state(records), states)) {
+            marks.add(new ExpectedStates(disk.calls.size(), List.of(state(records))));
             return true;
         }
         return false;
     }
 
-    private void cut(CutDisk disk, List<Mark> marks, int mixes) {
-        CutDisk.Replay replay = disk.new Replay();
+    private void checkCuts(SimulatedDisk disk, List<ExpectedStates> marks, int mixes) {
+        SimulatedDisk.Replay replay = disk.new Replay();
         while (true) {
-            if (random.nextInt(1000) >= share && replay.at() < disk.calls.size()) {
+            if (random.nextInt(1000) >= cutPermille && replay.position() < disk.calls.size()) {
                 replay.step();
                 continue;
             }
-            cuts++;
-            List<Map<String, ByteBuffer>> states = at(marks, replay.at());
-            open(replay.left(CutDisk.Later.GONE, random), states, "gone");
-            if (replay.open() > 0) {
-                open(replay.left(CutDisk.Later.THERE, random), states, "there");
+            cutCount++;
+            List<Map<String, ByteBuffer>> states = expectedAt(marks, replay.position());
+            openAndCheck(replay.filesAfterCut(SimulatedDisk.UnsyncedCalls.LOST, random), states, "gone");
+            if (replay.unsyncedCount() > 0) {
+                openAndCheck(replay.filesAfterCut(SimulatedDisk.UnsyncedCalls.APPLIED, random), states, "there");
                 for (int i = 0; i < mixes; i++) {
-                    open(replay.left(CutDisk.Later.MIXED, random), states, "mixed");
+                    openAndCheck(replay.filesAfterCut(SimulatedDisk.UnsyncedCalls.MIXED, random), states, "mixed");
                 }
             }
-            if (replay.at() == disk.calls.size()) {
+            if (replay.position() == disk.calls.size()) {
                 return;
             }
             replay.step();
         }
     }
 
-    private void open(Map<String, byte[]> image, List<Map<String, ByteBuffer>> states, String what) {
-        images++;
-        Map<String, byte[]> records = tried(what, () -> {
-            try (RecordStore recordStore = opener.open(new CutDisk(image))) {
+    private void openAndCheck(Map<String, byte[]> image, List<Map<String, ByteBuffer>> states, String what) {
+        imageCount++;
+        Map<String, byte[]> records = callOrRecordFault(what, () -> {
+            try (RecordStore recordStore = opener.open(new SimulatedDisk(image))) {
                 return recordStore.read();
             }
         });
         if (records != null) {
-            judge(what, state(records), states);
+            checkState(what, state(records), states);
         }
     }
 
-    private <T> T tried(String what, Callable<T> call) {
+    private <T> T callOrRecordFault(String what, Callable<T> call) {
         try {
             return call.call();
         } catch (Exception | LinkageError | OutOfMemoryError | StackOverflowError | AssertionError e) {
-            fault(what + ": could not be opened", e);
+            recordFault(what + ": could not be opened", e);
             return null;
         }
     }
 
-    private boolean judge(String what, Map<String, ByteBuffer> found, List<Map<String, ByteBuffer>> states) {
+    private boolean checkState(String what, Map<String, ByteBuffer> found, List<Map<String, ByteBuffer>> states) {
         if (states.contains(found)) {
             return true;
         }
-        fault(what + (found.isEmpty() ? ": all lost, read as empty" : ": not what was written"), null);
+        recordFault(what + (found.isEmpty() ? ": all lost, read as empty" : ": not what was written"), null);
         return false;
     }
 
-    private void fault(String what, Throwable cause) {
+    private void recordFault(String what, Throwable cause) {
         faults.merge(what, 1, Integer::sum);
         if (cause != null && examples.size() < 12) {
             StringWriter trace = new StringWriter();
@@ -212,20 +214,20 @@
         }
     }
 
-    private static List<Map<String, ByteBuffer>> at(List<Mark> marks, int call) {
+    private static List<Map<String, ByteBuffer>> expectedAt(List<ExpectedStates> marks, int call) {
         List<Map<String, ByteBuffer>> states = null;
-        for (Mark mark : marks) {
-            if (mark.call <= call) {
+        for (ExpectedStates mark : marks) {
+            if (mark.fromCall <= call) {
                 states = mark.states;
             }
         }
         return states;
     }
 
-    PowerCuts plus(PowerCuts more) {
+    PowerCutRuns add(PowerCutRuns more) {
         if (more != null) {
-            cuts += more.cuts;
-            images += more.images;
+            cutCount += more.cutCount;
+            imageCount += more.imageCount;
             failedWrites += more.failedWrites;
             more.faults.forEach((what, count) -> faults.merge(what, count, Integer::sum));
         }
@@ -234,6 +236,6 @@
 
     @Override
     public String toString() {
-        return cuts + " cuts, " + images + " images, " + failedWrites + " writes refused, faults " + faults;
+        return cutCount + " cuts, " + imageCount + " images, " + failedWrites + " writes refused, faults " + faults;
     }
 }
--- a/storage/src/test/java/saltdale/storage/RecordStoreTest.java
+++ b/storage/src/test/java/saltdale/storage/RecordStoreTest.java
@@ -32,14 +32,14 @@
     @TempDir
     Path folder;
 
-    private static byte[] bytes(Random random, int count) {
+    private static byte[] randomBytes(Random random, int count) {
         byte[] bytes = new byte[count];
         random.nextBytes(bytes);
         return bytes;
     }
 
     @Test
-    void anEmptyDiskReadsEmpty() throws Exception {
+    void emptyDiskReadsAsEmpty() throws Exception {
         for (int i = 0; i < 2; i++) {
             try (RecordStore recordStore = RecordStore.open(folder.resolve("a/b"))) {
                 assertThat(recordStore.read(), is(anEmptyMap()));
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void recordsArePutReplacedAndRemoved() throws Exception {
+    void recordsAreAddedReplacedAndRemoved() throws Exception {
         try (RecordStore recordStore = RecordStore.open(folder)) {
             recordStore.write(Map.of("a", new byte[] {1}, "b", new byte[300_000], "c", new byte[0]));
             recordStore.write(Map.of("a", new byte[] {2, 3}));
@@ -68,7 +68,7 @@
     }
 
     @Test
-    void whatIsReadOrWasWrittenMayBeChangedByItsOwner() throws Exception {
+    void arraysOfTheCallerAreCopied() throws Exception {
         try (RecordStore recordStore = RecordStore.open(folder)) {
             byte[] mine = {1};
             recordStore.write(Map.of("a", mine));
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void aRecordNeedsAName() throws Exception {
+    void emptyRecordNameIsRejected() throws Exception {
         try (RecordStore recordStore = RecordStore.open(folder)) {
             assertThrows(IllegalArgumentException.class, () -> recordStore.write(Map.of("", new byte[1])));
             assertThat(recordStore.read(), is(anEmptyMap()));
@@ -87,12 +87,12 @@
     }
 
     @Test
-    void aDiskThatCantBeReadIsNotAnEmptyOne() throws Exception {
+    void unreadableDiskIsNotTakenForAnEmptyOne() throws Exception {
         Files.write(folder.resolve("vault.a"), new byte[20_000]);
         assertThrows(RecordStoreException.class, () -> RecordStore.open(folder));
         Files.write(folder.resolve("vault.a"), new byte[0]);
         assertThrows(RecordStoreException.class, () -> RecordStore.open(folder));
-        Files.write(folder.resolve("vault.b"), bytes(new Random(1), 20_000));
+        Files.write(folder.resolve("vault.b"), randomBytes(new Random(1), 20_000));
         assertThrows(RecordStoreException.class, () -> RecordStore.open(folder));
         Path file = Files.createFile(folder.resolve("file"));
         assertThrows(RecordStoreException.class, () -> RecordStore.open(file));
@@ -100,7 +100,7 @@
 
     /** Guards against taking a copy that is only held by another for a torn one. */
     @Test
-    void aVaultIsOpenedOnceAtATime() throws Exception {
+    void folderCanBeOpenedOnlyOnceAtATime() throws Exception {
         try (RecordStore recordStore = RecordStore.open(folder)) {
             recordStore.write(Map.of("a", new byte[] {1}));
             recordStore.write(Map.of("a", new byte[] {2}));
@@ -115,27 +115,27 @@
     }
 
     @Test
-    void aDamagedCopyIsNeverReadHalf() throws Exception {
+    void damagedCopyIsNeverReadInPart() throws Exception {
         Random random = new Random(7);
-        CutDisk disk = new CutDisk();
+        SimulatedDisk disk = new SimulatedDisk();
         Map<String, ByteBuffer> last = Map.of();
         List<Map<String, ByteBuffer>> all = new ArrayList<>();
         try (RecordStore recordStore = PowerCutTest.open(disk)) {
             for (int i = 0; i < 30; i++) {
-                Map<String, byte[]> changes = PowerCuts.changes(random, 20_000);
+                Map<String, byte[]> changes = PowerCutRuns.randomChanges(random, 20_000);
                 recordStore.write(changes);
                 all.add(last);
-                last = PowerCuts.put(last, changes);
+                last = PowerCutRuns.withChanges(last, changes);
             }
         }
         for (int i = 0; i < 500; i++) {
-            Map<String, byte[]> files = new TreeMap<>(disk.live());
+            Map<String, byte[]> files = new TreeMap<>(disk.currentFiles());
             boolean both = i % 4 == 3;
             for (String name : both ? files.keySet() : Set.of(i % 2 == 0 ? "vault.a" : "vault.b")) {
-                files.put(name, damaged(random, files.get(name)));
+                files.put(name, damage(random, files.get(name)));
             }
-            try (RecordStore recordStore = PowerCutTest.open(new CutDisk(files))) {
-                Map<String, ByteBuffer> found = PowerCuts.state(recordStore.read());
+            try (RecordStore recordStore = PowerCutTest.open(new SimulatedDisk(files))) {
+                Map<String, ByteBuffer> found = PowerCutRuns.state(recordStore.read());
                 if (both) {
                     assertThat("damage " + i, found, anyOf(equalTo(last), in(all)));
                 } else {
@@ -149,12 +149,13 @@
 
     /** Guards against a copy whose records are all there but not found by name, as an inner page was torn. */
     @Test
-    void aDamagedNameIsSeen() throws Exception {
-        CutDisk disk = new CutDisk();
+    void damagedNameIsDetected() throws Exception {
+        SimulatedDisk disk = new SimulatedDisk();
         Map<String, byte[]> all = new TreeMap<>();
         try (RecordStore recordStore = PowerCutTest.open(disk)) {
             for (int i = 0; i < 40; i++) {
-                Map<String, byte[]> change = Map.of("record " + (char) ('A' + i % 20), bytes(new Random(i), 5000));
+                Map<String, byte[]> change =
+                        Map.of("record " + (char) ('A' + i % 20), randomBytes(new Random(i), 5000));
                 all.putAll(change);
                 recordStore.write(change);
             }
@@ -162,13 +163,13 @@
         }
         int names = 0;
         for (String file : Set.of("vault.a", "vault.b")) {
-            String text = new String(disk.live().get(file), StandardCharsets.ISO_8859_1);
+            String text = new String(disk.currentFiles().get(file), StandardCharsets.ISO_8859_1);
             for (int at = text.indexOf("record "); at >= 0; at = text.indexOf("record ", at + 1), names++) {
                 for (int bit = 0; bit < 2; bit++) {
-                    Map<String, byte[]> files = disk.live();
+                    Map<String, byte[]> files = disk.currentFiles();
                     files.get(file)[at + 7] ^= (byte) (1 << bit);
-                    try (RecordStore recordStore = PowerCutTest.open(new CutDisk(files))) {
-                        assertThat(PowerCuts.state(recordStore.read()), is(PowerCuts.state(all)));
+                    try (RecordStore recordStore = PowerCutTest.open(new SimulatedDisk(files))) {
+                        assertThat(PowerCutRuns.state(recordStore.read()), is(PowerCutRuns.state(all)));
                     }
                 }
             }
@@ -176,7 +177,7 @@
         assertThat(names, is(greaterThan(60)));
     }
 
-    private static byte[] damaged(Random random, byte[] bytes) {
+    private static byte[] damage(Random random, byte[] bytes) {
         switch (random.nextInt(4)) {
             case 0:
                 return Arrays.copyOf(bytes, random.nextInt(bytes.length));
@@ -192,23 +193,23 @@
             default:
                 byte[] over = bytes.clone();
                 int from = random.nextInt(bytes.length);
-                byte[] junk = bytes(random, Math.min(bytes.length - from, 1 + random.nextInt(20_000)));
+                byte[] junk = randomBytes(random, Math.min(bytes.length - from, 1 + random.nextInt(20_000)));
                 System.arraycopy(junk, 0, over, from, junk.length);
                 return over;
         }
     }
 
     @Test
-    void aFullDiskRefusesAWriteAndNoMore() throws Exception {
-        CutDisk disk = new CutDisk();
+    void fullDiskFailsTheWriteOnly() throws Exception {
+        SimulatedDisk disk = new SimulatedDisk();
         try (RecordStore recordStore = PowerCutTest.open(disk)) {
             recordStore.write(Map.of("a", new byte[] {1}));
             for (int i = 0; i < 3; i++) {
-                disk.capacity = disk.used() + 100_000;
+                disk.capacityBytes = disk.usedBytes() + 100_000;
                 assertThrows(RecordStoreException.class, () -> recordStore.write(Map.of("b", new byte[300_000])));
                 assertThat(recordStore.read().keySet(), is(Set.of("a")));
                 recordStore.write(Map.of("a", new byte[] {2}));
-                disk.capacity = Long.MAX_VALUE;
+                disk.capacityBytes = Long.MAX_VALUE;
                 recordStore.write(Map.of("a", new byte[] {3}, "c", new byte[300_000]));
                 recordStore.write(Collections.singletonMap("c", null));
                 assertThat(recordStore.read().get("a"), is(new byte[] {3}));
@@ -218,9 +219,9 @@
 
     /** Guards against a disk of 128 MB filled by what was overwritten. */
     @Test
-    void theFilesStaySmall() throws Exception {
+    void filesStaySmall() throws Exception {
         Random random = new Random(3);
-        CutDisk disk = new CutDisk();
+        SimulatedDisk disk = new SimulatedDisk();
         disk.recording = false;
         Map<String, byte[]> all = new HashMap<>();
         long most = 0;
@@ -229,7 +230,7 @@
                 Map<String, byte[]> changes = new TreeMap<>();
                 for (int j = random.nextInt(3); j >= 0; j--) {
                     int size = random.nextInt(random.nextInt(8) == 0 ? 300_000 : 3000);
-                    changes.put("r" + random.nextInt(30), bytes(random, size));
+                    changes.put("r" + random.nextInt(30), randomBytes(random, size));
                 }
                 recordStore.write(changes);
                 all.putAll(changes);
@@ -237,33 +238,34 @@
                         most,
                         all.values().stream().mapToLong(each -> each.length).sum());
             }
-            assertThat(PowerCuts.state(recordStore.read()), is(PowerCuts.state(all)));
+            assertThat(PowerCutRuns.state(recordStore.read()), is(PowerCutRuns.state(all)));
         }
-        System.out.println(most + " bytes of records, " + disk.peak + " on the disk, " + disk.syncs + " syncs");
-        assertThat(disk.peak, is(lessThan(6 * most + 3_000_000)));
-        assertThat(disk.syncs, is(lessThan(2000 * 11 / 10)));
+        System.out.println(
+                most + " bytes of records, " + disk.peakBytes + " on the disk, " + disk.syncCount + " syncs");
+        assertThat(disk.peakBytes, is(lessThan(6 * most + 3_000_000)));
+        assertThat(disk.syncCount, is(lessThan(2000 * 11 / 10)));
     }
 
     @Test
-    void neitherThreadsNorDescriptorsAreLeft() throws Exception {
+    void noThreadsOrDescriptorsLeak() throws Exception {
         Set<Thread> threads = Thread.getAllStackTraces().keySet();
-        long descriptors = descriptors();
+        long descriptors = openDescriptors();
         for (int i = 0; i < 20; i++) {
             try (RecordStore recordStore = RecordStore.open(folder)) {
-                recordStore.write(Map.of("a", bytes(new Random(i), 50_000)));
+                recordStore.write(Map.of("a", randomBytes(new Random(i), 50_000)));
                 Set<Thread> now = new HashSet<>(Thread.getAllStackTraces().keySet());
                 now.removeAll(threads);
                 now.removeIf(each ->
                         !each.getName().contains("MVStore") && !each.getName().contains("H2"));
                 assertThat(now, is(Set.of()));
             }
-            Files.write(folder.resolve("vault.b"), bytes(new Random(i), 20_000));
+            Files.write(folder.resolve("vault.b"), randomBytes(new Random(i), 20_000));
             Files.write(folder.resolve("vault.b"), Arrays.copyOf(Files.readAllBytes(folder.resolve("vault.a")), 9000));
         }
-        assertThat(descriptors(), is(lessThanOrEqualTo(descriptors + 5)));
+        assertThat(openDescriptors(), is(lessThanOrEqualTo(descriptors + 5)));
     }
 
-    private static long descriptors() throws Exception {
+    private static long openDescriptors() throws Exception {
         try (var all = Files.list(Path.of("/proc/self/fd"))) {
             return all.count();
         }
--- a/storage/src/test/java/saltdale/storage/CutDisk.java
+++ b/storage/src/test/java/saltdale/storage/SimulatedDisk.java
@@ -16,11 +16,11 @@
  * them: what the last sync of a file covered; each later write there, missing or torn; a new name once its file was
  * synced, and other changes of names once the folder was.
  */
-final class CutDisk {
+final class SimulatedDisk {
     enum Kind {
         CREATE,
         WRITE,
-        LENGTH,
+        SET_LENGTH,
         SYNC,
         RENAME,
         DELETE,
@@ -28,12 +28,12 @@
     }
 
     /** One call; the file is a number that stays with it under all its names. */
-    record Request(Kind kind, int file, String name, String to, long position, byte[] bytes) {}
+    record DiskCall(Kind kind, int file, String name, String newName, long position, byte[] bytes) {}
 
     /** What is left to later writes. */
-    enum Later {
-        GONE,
-        THERE,
+    enum UnsyncedCalls {
+        LOST,
+        APPLIED,
         MIXED
     }
 
@@ -57,7 +57,7 @@
             length = Math.max(length, end);
         }
 
-        void length(long to) {
+        void setLength(long to) {
             int end = (int) to;
             if (end < length) {
                 Arrays.fill(bytes, end, length, (byte) 0);
@@ -72,48 +72,48 @@
         }
     }
 
-    final List<Request> calls = new ArrayList<>();
-    private final Map<String, byte[]> base;
+    final List<DiskCall> calls = new ArrayList<>();
+    private final Map<String, byte[]> initialFiles;
     private final Map<String, Integer> names = new TreeMap<>();
     private final Map<Integer, Contents> files = new HashMap<>();
     private int nextFile;
 
     /** Bytes that fit on it. */
-    long capacity = Long.MAX_VALUE;
+    long capacityBytes = Long.MAX_VALUE;
     /** The most bytes that were ever on it. */
-    long peak;
+    long peakBytes;
     /** Whether the calls are written down. */
     boolean recording = true;
 
-    int syncs;
+    int syncCount;
     /** The number of the call that fails, of a write after half of it; -1 for none. */
     int failingCall = -1;
     /** How many calls fail from there on. */
-    int failures = 1;
+    int failureCount = 1;
 
-    private int changes;
+    private int attemptedCalls;
 
-    CutDisk() {
+    SimulatedDisk() {
         this(Map.of());
     }
 
     /** A disk on which these files have been for long. */
-    CutDisk(Map<String, byte[]> base) {
-        this.base = new TreeMap<>(base);
-        this.base.forEach((name, bytes) -> {
+    SimulatedDisk(Map<String, byte[]> base) {
+        this.initialFiles = new TreeMap<>(base);
+        this.initialFiles.forEach((name, bytes) -> {
             names.put(name, nextFile);
             files.put(nextFile++, new Contents(bytes));
         });
     }
 
     /** What a process that starts now would find, if the power stayed. */
-    Map<String, byte[]> live() {
+    Map<String, byte[]> currentFiles() {
         Map<String, byte[]> all = new TreeMap<>();
         names.forEach((name, file) -> all.put(name, files.get(file).toBytes()));
         return all;
     }
 
-    long used() {
+    long usedBytes() {
         return names.values().stream().mapToLong(file -> files.get(file).length).sum();
     }
 
@@ -124,11 +124,11 @@
     int open(String name) throws IOException {
         Integer file = names.get(name);
         if (file == null) {
-            mayFail();
+            failIfScheduled();
             file = nextFile++;
             names.put(name, file);
             files.put(file, new Contents());
-            note(new Request(Kind.CREATE, file, name, null, 0, null));
+            record(new DiskCall(Kind.CREATE, file, name, null, 0, null));
         }
         return file;
     }
@@ -141,133 +141,135 @@
         int count = bytes.length;
         IOException trouble = null;
         try {
-            mayFail();
+            failIfScheduled();
         } catch (IOException e) {
             trouble = e;
             count /= 2;
         }
-        long room = capacity - used() + files.get(file).length - position;
+        long room = capacityBytes - usedBytes() + files.get(file).length - position;
         if (count > room) {
             trouble = new IOException("no space left");
             count = (int) Math.max(0, room);
         }
         byte[] part = Arrays.copyOf(bytes, count);
         files.get(file).write(position, part, 0, count);
-        peak = Math.max(peak, used());
-        note(new Request(Kind.WRITE, file, null, null, position, part));
+        peakBytes = Math.max(peakBytes, usedBytes());
+        record(new DiskCall(Kind.WRITE, file, null, null, position, part));
         if (trouble != null) {
             throw trouble;
         }
     }
 
-    void length(int file, long length) throws IOException {
-        mayFail();
-        files.get(file).length(length);
-        note(new Request(Kind.LENGTH, file, null, null, length, null));
+    void setLength(int file, long length) throws IOException {
+        failIfScheduled();
+        files.get(file).setLength(length);
+        record(new DiskCall(Kind.SET_LENGTH, file, null, null, length, null));
     }
 
     void sync(int file) throws IOException {
-        mayFail();
-        syncs++;
-        note(new Request(Kind.SYNC, file, null, null, 0, null));
+        failIfScheduled();
+        syncCount++;
+        record(new DiskCall(Kind.SYNC, file, null, null, 0, null));
     }
 
     void rename(String from, String to) throws IOException {
-        mayFail();
+        failIfScheduled();
         Integer file = names.remove(from);
         if (file == null) {
             throw new FileNotFoundException(from);
         }
         names.put(to, file);
-        note(new Request(Kind.RENAME, file, from, to, 0, null));
+        record(new DiskCall(Kind.RENAME, file, from, to, 0, null));
     }
 
     void delete(String name) throws IOException {
-        mayFail();
+        failIfScheduled();
         Integer file = names.remove(name);
         if (file == null) {
             throw new FileNotFoundException(name);
         }
-        note(new Request(Kind.DELETE, file, name, null, 0, null));
+        record(new DiskCall(Kind.DELETE, file, name, null, 0, null));
     }
 
     void syncFolder() {
-        note(new Request(Kind.SYNC_FOLDER, 0, null, null, 0, null));
+        record(new DiskCall(Kind.SYNC_FOLDER, 0, null, null, 0, null));
     }
 
-    private void note(Request call) {
+    private void record(DiskCall call) {
         if (recording) {
             calls.add(call);
         }
     }
 
-    private void mayFail() throws IOException {
-        int change = changes++;
-        if (failingCall >= 0 && change >= failingCall && change < failingCall + failures) {
+    private void failIfScheduled() throws IOException {
+        int change = attemptedCalls++;
+        if (failingCall >= 0 && change >= failingCall && change < failingCall + failureCount) {
             throw new IOException("disk in trouble");
         }
     }
 
     /** How many calls have been made, those that failed among them. */
-    int changes() {
-        return changes;
+    int attemptedCalls() {
+        return attemptedCalls;
     }
 
     /** Steps through the calls, and tells at each what a loss of power may leave. */
     final class Replay {
         private final Map<Integer, Contents> synced = new HashMap<>();
-        private final Map<Integer, List<Request>> later = new HashMap<>();
-        private final Map<String, Integer> lasting = new LinkedHashMap<>();
-        private final List<Request> laterNames = new ArrayList<>();
-        private int at;
+        private final Map<Integer, List<DiskCall>> unsyncedCalls = new HashMap<>();
+        private final Map<String, Integer> durableNames = new LinkedHashMap<>();
+        private final List<DiskCall> unsyncedNameCalls = new ArrayList<>();
+        private int position;
 
         Replay() {
             int file = 0;
-            for (Map.Entry<String, byte[]> entry : base.entrySet()) {
-                lasting.put(entry.getKey(), file);
+            for (Map.Entry<String, byte[]> entry : initialFiles.entrySet()) {
+                durableNames.put(entry.getKey(), file);
                 synced.put(file++, new Contents(entry.getValue()));
             }
         }
 
-        int at() {
-            return at;
+        int position() {
+            return position;
         }
 
         void step() {
-            Request call = calls.get(at++);
+            DiskCall call = calls.get(position++);
             switch (call.kind) {
-                case WRITE, LENGTH ->
-                    later.computeIfAbsent(call.file, file -> new ArrayList<>()).add(call);
+                case WRITE, SET_LENGTH ->
+                    unsyncedCalls
+                            .computeIfAbsent(call.file, file -> new ArrayList<>())
+                            .add(call);
                 case SYNC -> {
                     Contents contents = synced.computeIfAbsent(call.file, file -> new Contents());
-                    later.getOrDefault(call.file, List.of()).forEach(each -> apply(contents, each));
-                    later.remove(call.file);
-                    laterNames.removeIf(each -> {
+                    unsyncedCalls.getOrDefault(call.file, List.of()).forEach(each -> apply(contents, each));
+                    unsyncedCalls.remove(call.file);
+                    unsyncedNameCalls.removeIf(each -> {
                         boolean own = each.kind == Kind.CREATE && each.file == call.file;
                         if (own) {
-                            lasting.put(each.name, each.file);
+                            durableNames.put(each.name, each.file);
                         }
                         return own;
                     });
                 }
                 case SYNC_FOLDER -> {
-                    laterNames.forEach(each -> apply(lasting, each));
-                    laterNames.clear();
+                    unsyncedNameCalls.forEach(each -> apply(durableNames, each));
+                    unsyncedNameCalls.clear();
                 }
-                default -> laterNames.add(call);
+                default -> unsyncedNameCalls.add(call);
             }
         }
 
         /** How many calls are not covered by a sync. */
-        int open() {
-            return laterNames.size()
-                    + later.values().stream().mapToInt(List::size).sum();
+        int unsyncedCount() {
+            return unsyncedNameCalls.size()
+                    + unsyncedCalls.values().stream().mapToInt(List::size).sum();
         }
 
-        Map<String, byte[]> left(Later what, Random random) {
-            Map<String, Integer> found = new LinkedHashMap<>(lasting);
-            for (Request call : laterNames) {
-                if (what == Later.THERE || what == Later.MIXED && random.nextBoolean()) {
+        Map<String, byte[]> filesAfterCut(UnsyncedCalls what, Random random) {
+            Map<String, Integer> found = new LinkedHashMap<>(durableNames);
+            for (DiskCall call : unsyncedNameCalls) {
+                if (what == UnsyncedCalls.APPLIED || what == UnsyncedCalls.MIXED && random.nextBoolean()) {
                     apply(found, call);
                 }
             }
@@ -275,11 +277,11 @@
             found.forEach((name, file) -> {
                 Contents contents =
                         new Contents(synced.getOrDefault(file, new Contents()).toBytes());
-                for (Request call : later.getOrDefault(file, List.of())) {
-                    if (what == Later.THERE) {
+                for (DiskCall call : unsyncedCalls.getOrDefault(file, List.of())) {
+                    if (what == UnsyncedCalls.APPLIED) {
                         apply(contents, call);
-                    } else if (what == Later.MIXED) {
-                        tear(contents, call, random);
+                    } else if (what == UnsyncedCalls.MIXED) {
+                        applyTorn(contents, call, random);
                     }
                 }
                 all.put(name, contents.toBytes());
@@ -287,55 +289,55 @@
             return all;
         }
 
-        private static void apply(Map<String, Integer> names, Request call) {
+        private static void apply(Map<String, Integer> names, DiskCall call) {
             if (call.kind == Kind.CREATE) {
                 names.put(call.name, call.file);
             } else {
                 // Another file of this name may have been made to last since.
                 names.remove(call.name, call.file);
                 if (call.kind == Kind.RENAME) {
-                    names.put(call.to, call.file);
+                    names.put(call.newName, call.file);
                 }
             }
         }
 
-        private static void apply(Contents contents, Request call) {
+        private static void apply(Contents contents, DiskCall call) {
             if (call.kind == Kind.WRITE) {
                 contents.write(call.position, call.bytes, 0, call.bytes.length);
             } else {
-                contents.length(call.position);
+                contents.setLength(call.position);
             }
         }
 
-        private static void tear(Contents contents, Request call, Random random) {
+        private static void applyTorn(Contents contents, DiskCall call, Random random) {
             int count = call.bytes == null ? 0 : call.bytes.length;
             switch (random.nextInt(8)) {
                 case 0, 1 -> apply(contents, call);
                 case 2, 3 -> {}
-                case 4 -> part(contents, call, 0, random.nextInt(count + 1));
+                case 4 -> writePart(contents, call, 0, random.nextInt(count + 1));
                 case 5 -> {
                     int from = random.nextInt(count + 1);
-                    part(contents, call, from, count - from);
+                    writePart(contents, call, from, count - from);
                 }
                 case 6 -> {
                     for (int from = 0; from < count; from += 512) {
                         if (random.nextInt(4) > 0) {
-                            part(contents, call, from, Math.min(512, count - from));
+                            writePart(contents, call, from, Math.min(512, count - from));
                         }
                     }
                 }
                 default -> {
                     // The length was there before the bytes.
                     if (count > 0 && call.position + count > contents.length) {
-                        contents.length(call.position + count);
+                        contents.setLength(call.position + count);
                     }
                     int from = random.nextInt(count + 1);
-                    part(contents, call, from, random.nextInt(count - from + 1));
+                    writePart(contents, call, from, random.nextInt(count - from + 1));
                 }
             }
         }
 
-        private static void part(Contents contents, Request call, int from, int count) {
+        private static void writePart(Contents contents, DiskCall call, int from, int count) {
             if (count > 0) {
                 contents.write(call.position + from, call.bytes, from, count);
             }
--- a/storage/src/test/java/saltdale/storage/CutPath.java
+++ b/storage/src/test/java/saltdale/storage/SimulatedDiskPath.java
@@ -12,40 +12,40 @@
 import org.h2.store.fs.FileBase;
 import org.h2.store.fs.FilePath;
 
-/** The files of {@link CutDisk}s for MVStore: {@code cut:NUMBER/NAME}. */
-final class CutPath extends FilePath {
-    private static final Map<String, CutDisk> DISKS = new ConcurrentHashMap<>();
-    private static int next;
+/** The files of {@link SimulatedDisk}s for MVStore: {@code cut:NUMBER/NAME}. */
+final class SimulatedDiskPath extends FilePath {
+    private static final Map<String, SimulatedDisk> DISKS = new ConcurrentHashMap<>();
+    private static int nextDiskNumber;
 
     static {
-        FilePath.register(new CutPath(""));
+        FilePath.register(new SimulatedDiskPath(""));
     }
 
-    private CutPath(String path) {
+    private SimulatedDiskPath(String path) {
         name = path;
     }
 
     /** Gives the disk a name under which its folder can be opened, until another disk is mounted. */
-    static synchronized String mount(CutDisk disk) {
+    static synchronized String mount(SimulatedDisk disk) {
         DISKS.values().removeIf(each -> each != disk);
-        String number = Integer.toString(next++);
+        String number = Integer.toString(nextDiskNumber++);
         DISKS.put(number, disk);
         return "cut:" + number;
     }
 
-    private CutDisk disk() {
+    private SimulatedDisk disk() {
         String rest = name.substring(4);
         return DISKS.get(rest.contains("/") ? rest.substring(0, rest.indexOf('/')) : rest);
     }
 
-    private String file() {
+    private String fileName() {
         return name.substring(name.indexOf('/') + 1);
     }
 
     @Override
     public long size() {
         try {
-            return disk().exists(file()) ? disk().contents(disk().open(file())).length : 0;
+            return disk().exists(fileName()) ? disk().contents(disk().open(fileName())).length : 0;
         } catch (IOException e) {
             throw new AssertionError(e);
         }
@@ -54,7 +54,7 @@
     @Override
     public void moveTo(FilePath to, boolean atomicReplace) {
         try {
-            disk().rename(file(), ((CutPath) to).file());
+            disk().rename(fileName(), ((SimulatedDiskPath) to).fileName());
         } catch (IOException e) {
             throw DataUtils.newMVStoreException(DataUtils.ERROR_WRITING_FAILED, "rename", e);
         }
@@ -67,14 +67,14 @@
 
     @Override
     public boolean exists() {
-        return isDirectory() || disk().exists(file());
+        return isDirectory() || disk().exists(fileName());
     }
 
     @Override
     public void delete() {
         try {
             if (exists()) {
-                disk().delete(file());
+                disk().delete(fileName());
             }
         } catch (IOException e) {
             throw DataUtils.newMVStoreException(DataUtils.ERROR_WRITING_FAILED, "delete", e);
@@ -93,7 +93,7 @@
 
     @Override
     public FilePath getParent() {
-        return isDirectory() ? null : new CutPath(name.substring(0, name.indexOf('/')));
+        return isDirectory() ? null : new SimulatedDiskPath(name.substring(0, name.indexOf('/')));
     }
 
     @Override
@@ -131,7 +131,7 @@
         if (mode.equals("r") && !exists()) {
             throw new FileNotFoundException(name);
         }
-        return new Channel(disk(), disk().open(file()));
+        return new Channel(disk(), disk().open(fileName()));
     }
 
     @Override
@@ -146,15 +146,15 @@
 
     @Override
     public FilePath getPath(String path) {
-        return new CutPath(path);
+        return new SimulatedDiskPath(path);
     }
 
     private static final class Channel extends FileBase {
-        private final CutDisk disk;
+        private final SimulatedDisk disk;
         private final int file;
         private long position;
 
-        Channel(CutDisk disk, int file) {
+        Channel(SimulatedDisk disk, int file) {
             this.disk = disk;
             this.file = file;
         }
@@ -168,7 +168,7 @@
 
         @Override
         public int read(ByteBuffer to, long from) {
-            CutDisk.Contents contents = disk.contents(file);
+            SimulatedDisk.Contents contents = disk.contents(file);
             int count = (int) Math.min(to.remaining(), contents.length - from);
             if (count <= 0) {
                 return to.hasRemaining() ? -1 : 0;
@@ -211,7 +211,7 @@
         @Override
         public FileChannel truncate(long length) throws IOException {
             if (length < size()) {
-                disk.length(file, length);
+                disk.setLength(file, length);
             }
             return this;
         }
--- a/storage/src/test/java/saltdale/storage/SingleStoreRecordStore.java
+++ b/storage/src/test/java/saltdale/storage/SingleStoreRecordStore.java
@@ -25,24 +25,24 @@
     SingleStoreRecordStore(String folder, Runnable syncFolder) throws RecordStoreException {
         this.folder = folder;
         this.syncFolder = syncFolder;
-        opened();
+        ensureOpen();
     }
 
     @Override
     public Map<String, byte[]> read() throws RecordStoreException {
-        opened();
+        ensureOpen();
         try {
             Map<String, byte[]> all = new LinkedHashMap<>();
             records.forEach((name, record) -> all.put(name, record.clone()));
             return all;
         } catch (RuntimeException e) {
-            throw failed("can't read", e);
+            throw failure("can't read", e);
         }
     }
 
     @Override
     public void write(Map<String, byte[]> changes) throws RecordStoreException {
-        opened();
+        ensureOpen();
         try {
             for (Map.Entry<String, byte[]> change : changes.entrySet()) {
                 if (change.getValue() == null) {
@@ -54,17 +54,17 @@
             store.commit();
             store.sync();
         } catch (RuntimeException e) {
-            throw failed("can't write", e);
+            throw failure("can't write", e);
         }
     }
 
     @Override
     public void close() {
         closed = true;
-        drop();
+        closeStore();
     }
 
-    private void opened() throws RecordStoreException {
+    private void ensureOpen() throws RecordStoreException {
         if (closed) {
             throw new IllegalStateException("closed");
         }
@@ -74,17 +74,17 @@
         try {
             FilePath file = FilePath.get(folder + "/" + NAME);
             if (!file.exists()) {
-                make(file);
+                createFile(file);
             }
-            store = store(file.toString());
+            store = openStore(file.toString());
             if (!store.hasMap(NAME)) {
                 throw new IOException("no record store: " + file);
             }
-            records = records(store);
+            records = openRecords(store);
             // Guards against trusting what an earlier process wrote and never synced.
             store.sync();
         } catch (IOException | RuntimeException e) {
-            throw failed("can't open", e);
+            throw failure("can't open", e);
         }
     }
 
@@ -92,12 +92,12 @@
      * A record store gets its name when it is whole and synced, so that one with this name that can't be read
      * was lost.
      */
-    private void make(FilePath file) {
+    private void createFile(FilePath file) {
         FilePath young = FilePath.get(file + ".new");
         young.delete();
-        MVStore made = store(young.toString());
+        MVStore made = openStore(young.toString());
         try {
-            records(made);
+            openRecords(made);
             made.commit();
             made.sync();
         } finally {
@@ -107,7 +107,7 @@
         syncFolder.run();
     }
 
-    private static MVStore store(String file) {
+    private static MVStore openStore(String file) {
         return new MVStore.Builder()
                 .fileName(file)
                 .autoCommitDisabled()
@@ -116,7 +116,7 @@
                 .open();
     }
 
-    private static MVMap<String, byte[]> records(MVStore store) {
+    private static MVMap<String, byte[]> openRecords(MVStore store) {
         return store.openMap(
                 NAME,
                 new MVMap.Builder<String, byte[]>()
@@ -124,13 +124,13 @@
                         .valueType(ByteArrayDataType.INSTANCE));
     }
 
-    private RecordStoreException failed(String what, Exception cause) {
-        drop();
+    private RecordStoreException failure(String what, Exception cause) {
+        closeStore();
         return new RecordStoreException(what + " " + folder, cause);
     }
 
     /** Lets go of the file as it is: what was synced needs no closing, and closing would write. */
-    private void drop() {
+    private void closeStore() {
         if (store != null) {
             try {
                 store.closeImmediately();
--- a/tools/src/main/java/saltdale/tools/Ceiling.java
+++ b/tools/src/main/java/saltdale/tools/Ceiling.java
@@ -57,7 +57,7 @@
                     server.loop,
                     server.sockets,
                     places.dispatcher(0),
-                    (connection, full) -> connection.owner(new AtOnce(connection)));
+                    (connection, full) -> connection.setHandler(new AtOnce(connection)));
             server.start();
             clients.start();
             Duration start = origin.now();
@@ -79,7 +79,7 @@
         }
     }
 
-    private static final class AtOnce implements Connection.Owner {
+    private static final class AtOnce implements Connection.Handler {
         private final Connection connection;
         private final HttpParser parser = new HttpParser(HttpParser.Kind.REQUEST);
 
@@ -89,15 +89,15 @@
 
         @Override
         public void received(ByteBuffer bytes) {
-            parser.take(bytes);
-            if (parser.whole()) {
-                parser.next();
+            parser.parse(bytes);
+            if (parser.isComplete()) {
+                parser.startNextMessage();
                 connection.send(ByteBuffer.wrap(ANSWER));
             }
         }
 
         @Override
-        public void ended(String cause) {
+        public void disconnected(String cause) {
             // a client has closed it
         }
     }
--- a/tools/src/main/java/saltdale/tools/MeasureNodes.java
+++ b/tools/src/main/java/saltdale/tools/MeasureNodes.java
@@ -21,8 +21,8 @@
 import saltdale.nodes.standin.NodeServer;
 import saltdale.nodes.wire.Event;
 import saltdale.nodes.wire.Fault;
-import saltdale.transport.Loop;
-import saltdale.transport.Sockets;
+import saltdale.transport.EventLoop;
+import saltdale.transport.SocketBudget;
 
 @Command(
         name = "measure-nodes",
@@ -44,8 +44,8 @@
     @Option(names = "--port", defaultValue = "7420")
     private int port;
 
-    private Loop loop;
-    private Sockets sockets;
+    private EventLoop loop;
+    private SocketBudget sockets;
     private final Map<String, Long> goneAt = new HashMap<>();
     private final Histogram late = new Histogram(60_000_000L, 3);
     private final List<Integer> up = new ArrayList<>();
@@ -53,8 +53,8 @@
 
     @Override
     public Integer call() throws IOException {
-        loop = new Loop();
-        sockets = new Sockets(loop, 100_000);
+        loop = new EventLoop();
+        sockets = new SocketBudget(loop, 100_000);
         InetSocketAddress at = new InetSocketAddress("127.0.0.1", port);
         NodeServer server = new NodeServer(loop, sockets, Duration.ofMillis(200), null, System::currentTimeMillis, 1);
         server.listen(at);
@@ -192,8 +192,8 @@
     }
 
     private void turn() throws IOException {
-        loop.after(Duration.ofMillis(5), () -> {});
-        loop.turn(() -> {});
+        loop.schedule(Duration.ofMillis(5), () -> {});
+        loop.runOnce(() -> {});
     }
 
     private void until(BooleanSupplier come) throws IOException {
--- a/tools/src/main/java/saltdale/tools/Register.java
+++ b/tools/src/main/java/saltdale/tools/Register.java
@@ -15,8 +15,8 @@
 import saltdale.nodes.wire.Paths;
 import saltdale.rig.plan.Misread;
 import saltdale.transport.Address;
-import saltdale.transport.Loop;
-import saltdale.transport.Sockets;
+import saltdale.transport.EventLoop;
+import saltdale.transport.SocketBudget;
 import sun.misc.Signal;
 
 @Command(
@@ -65,11 +65,11 @@
         }
         List<InetSocketAddress> servers = new ArrayList<>();
         to.forEach(each -> servers.add(StandInNodes.loopback("--to", each)));
-        Loop loop = new Loop();
+        EventLoop loop = new EventLoop();
         Box box = new Box(dial, site, kind, block, 1, born, false);
         Registration registration = new Registration(
                 loop,
-                new Sockets(loop, 64),
+                new SocketBudget(loop, 64),
                 servers,
                 StandInNodes.span("--session", session),
                 new SplittableRandom(System.nanoTime()),
@@ -78,9 +78,9 @@
         registration.begin();
         Signal.handle(
                 new Signal("USR2"),
-                s -> loop.fromOutside(() -> registration.says(new Box(dial, site, kind, block, 1, born, true))));
+                s -> loop.execute(() -> registration.says(new Box(dial, site, kind, block, 1, born, true))));
         for (String signal : List.of("TERM", "INT")) {
-            Signal.handle(new Signal(signal), s -> loop.fromOutside(() -> registration.close(loop::stop)));
+            Signal.handle(new Signal(signal), s -> loop.execute(() -> registration.close(loop::stop)));
         }
         say(loop, registration, null);
         loop.run(() -> {});
@@ -88,7 +88,7 @@
     }
 
     /** A line whenever it holds its node or does no more. */
-    private static void say(Loop loop, Registration registration, String last) {
+    private static void say(EventLoop loop, Registration registration, String last) {
         String now = registration.isHeld()
                 ? "its node is there"
                 : registration.trouble() == null
@@ -98,6 +98,6 @@
         if (!now.equals(last)) {
             LOG.info("{}", now);
         }
-        loop.after(Duration.ofMillis(100), () -> say(loop, registration, now));
+        loop.schedule(Duration.ofMillis(100), () -> say(loop, registration, now));
     }
 }
--- a/tools/src/main/java/saltdale/tools/StandIn.java
+++ b/tools/src/main/java/saltdale/tools/StandIn.java
@@ -101,9 +101,9 @@
                 default -> null;
             };
             if (turn.act() == TroubleSchedule.Act.MUTE || turn.act() == TroubleSchedule.Act.UNMUTE) {
-                loopThread.loop.after(turn.at(), () -> list.mute(turn.act() == TroubleSchedule.Act.MUTE));
+                loopThread.loop.schedule(turn.at(), () -> list.mute(turn.act() == TroubleSchedule.Act.MUTE));
             } else if (health != null) {
-                loopThread.loop.after(
+                loopThread.loop.schedule(
                         turn.at().plus(silent ? day.silentNotice : day.notice),
                         () -> turn.trouble()
                                 .runners()
--- a/tools/src/main/java/saltdale/tools/StandInNodes.java
+++ b/tools/src/main/java/saltdale/tools/StandInNodes.java
@@ -11,8 +11,8 @@
 import saltdale.rig.plan.Sheet;
 import saltdale.rig.standin.LoopbackAddresses;
 import saltdale.transport.Address;
-import saltdale.transport.Loop;
-import saltdale.transport.Sockets;
+import saltdale.transport.EventLoop;
+import saltdale.transport.SocketBudget;
 
 @Command(
         name = "stand-in-nodes",
@@ -49,10 +49,10 @@
 
     @Override
     public Integer call() throws Exception {
-        Loop loop = new Loop();
+        EventLoop loop = new EventLoop();
         NodeServer server = new NodeServer(
                 loop,
-                new Sockets(loop, 100_000),
+                new SocketBudget(loop, 100_000),
                 span("--tick", tick),
                 state,
                 System::currentTimeMillis,
@@ -63,7 +63,7 @@
             server.listen(at);
             System.out.println("nodes at " + LoopbackAddresses.text(at));
         }
-        loop.after(span("--for", length), loop::stop);
+        loop.schedule(span("--for", length), loop::stop);
         loop.run(() -> {});
         server.close();
         return 0;
