--- a/control/src/main/java/saltdale/control/Acceptor.java
+++ b/control/src/main/java/saltdale/control/Acceptor.java
@@ -47,7 +47,7 @@
      * Records that go with each vote until one is synced: the id, and the first voters. Guards against a vote that is
      * synced while their own write was refused: it would be lost with them.
      */
-    void writeWithVotes(Map<String, byte[]> records) {
+    void writeWithNextVote(Map<String, byte[]> records) {
         origin.putAll(records);
     }
 
@@ -77,26 +77,26 @@
                 .forEach(name -> written.add(name.substring(TEXT.length())));
     }
 
-    ReplicatedState state() {
+    ReplicatedState acceptedState() {
         return state;
     }
 
     /** The version of the state accepted last; -1 where none was. */
-    long version() {
+    long acceptedVersion() {
         return state == null ? -1 : state.version();
     }
 
     /** When a state of a version above that was first accepted; what was accepted of it and below is forgotten. */
-    long acceptedSince(long known) {
+    long undecidedSince(long known) {
         firstAccepted.headMap(known, true).clear();
         return firstAccepted.values().stream().min(Long::compare).orElse(Long.MAX_VALUE);
     }
 
-    byte[] text() {
+    byte[] acceptedText() {
         return text;
     }
 
-    Ballot promised() {
+    Ballot promisedBallot() {
         return promised;
     }
 
@@ -177,7 +177,7 @@
         records.putAll(origin);
         records.put(
                 RECORD,
-                Trees.cbor(Fields.tree(
+                Trees.toCbor(Fields.tree(
                         "p", promised.tree(), "a", accepted.tree(), "s", state == null ? null : state.tree())));
         if (!key.equals(writing)) {
             writing = key;
--- a/control/src/main/java/saltdale/control/Ballot.java
+++ b/control/src/main/java/saltdale/control/Ballot.java
@@ -3,16 +3,16 @@
 import java.util.List;
 
 /** The number of a ballot: no two processes, and no two lives of one, ever use the same. */
-public record Ballot(long round, String life) implements Comparable<Ballot> {
+public record Ballot(long round, String incarnation) implements Comparable<Ballot> {
     public static final Ballot NONE = new Ballot(0, "");
 
     @Override
     public int compareTo(Ballot other) {
-        return round != other.round ? Long.compare(round, other.round) : life.compareTo(other.life);
+        return round != other.round ? Long.compare(round, other.round) : incarnation.compareTo(other.incarnation);
     }
 
     public List<Object> tree() {
-        return List.of(round, life);
+        return List.of(round, incarnation);
     }
 
     static Ballot of(Fields fields, String name) throws MalformedMessage {
--- a/control/src/main/java/saltdale/control/Configuration.java
+++ b/control/src/main/java/saltdale/control/Configuration.java
@@ -44,7 +44,7 @@
     /** Reads and checks a configuration, as operators send it or as it is told between processes. */
     public Configuration(Fields from) throws InvalidConfiguration {
         try {
-            revision = from.whole("revision");
+            revision = from.integer("revision");
             if (revision <= 0) {
                 throw new InvalidConfiguration("revision must be above 0");
             }
@@ -143,7 +143,7 @@
     }
 
     private static long atLeast(Fields from, String name, long least, long otherwise) throws MalformedMessage {
-        long value = from.whole(name, otherwise);
+        long value = from.integer(name, otherwise);
         if (value < least || value > Integer.MAX_VALUE) {
             throw new MalformedMessage(name + " is out of its range");
         }
--- a/control/src/main/java/saltdale/control/ConfigurationCodec.java
+++ b/control/src/main/java/saltdale/control/ConfigurationCodec.java
@@ -37,14 +37,14 @@
     }
 
     static byte[] write(Map<String, Object> tree) {
-        return Trees.json(tree);
+        return Trees.toJson(tree);
     }
 
     /** The configuration with items set and removed by name, and a new revision. */
-    static Map<String, Object> amended(Map<String, Object> present, Fields change) throws InvalidConfiguration {
+    static Map<String, Object> amend(Map<String, Object> present, Fields change) throws InvalidConfiguration {
         Map<String, Object> next = new LinkedHashMap<>(present);
         try {
-            next.put("revision", change.whole("revision"));
+            next.put("revision", change.integer("revision"));
             Fields removed = change.has("remove_names") ? change.object("remove_names") : new Fields(Map.of());
             for (String list : removed.map().keySet()) {
                 List<String> names = removed.texts(list);
--- a/control/src/main/java/saltdale/control/ConfigurationHistory.java
+++ b/control/src/main/java/saltdale/control/ConfigurationHistory.java
@@ -22,7 +22,7 @@
 
     /** Takes the next configuration; items that did not change are kept once for all. */
     void add(ConfigurationTree next) throws MalformedMessage {
-        ConfigurationTree sharing = newest == null ? next : newest.changed(newest.changeTo(next));
+        ConfigurationTree sharing = newest == null ? next : newest.withChange(newest.changeTo(next));
         newest = sharing.digest().equals(next.digest()) ? sharing : next;
         changes.clear();
         trees.put(newest.revision(), newest);
--- a/control/src/main/java/saltdale/control/ConfigurationService.java
+++ b/control/src/main/java/saltdale/control/ConfigurationService.java
@@ -7,12 +7,12 @@
 class ConfigurationService {
     /** Makes the service of a control node. */
     interface Factory {
-        ConfigurationService of(
+        ConfigurationService create(
                 Environment environment, ControlNodeSettings settings, ReplicatedRegister register, PeerContacts peers);
     }
 
     /** An answer to an operator; {@code body} is null where it has none. */
-    record Reply(int status, String why, byte[] body) {}
+    record Reply(int status, String reason, byte[] body) {}
 
     private static final byte[] EMPTY =
             "{\"revision\":0,\"routes\":[],\"services\":[]}".getBytes(StandardCharsets.UTF_8);
@@ -46,7 +46,7 @@
     }
 
     /** A newer state was chosen. */
-    void chosen(ReplicatedState state, byte[] text) {
+    void onChosen(ReplicatedState state, byte[] text) {
         if (text == null || current != null && state.revision() <= current.revision()) {
             return;
         }
@@ -80,26 +80,27 @@
         if (base < 0) {
             answer.accept(new Reply(400, "X-Saltdale-Based-On-Version is missing or no number", null));
         } else {
-            ConfigurationOrder order = new ConfigurationOrder(amends, base, body);
+            ConfigurationUpdate order = new ConfigurationUpdate(amends, base, body);
             propose(order, reply -> answer.accept(checked(order, reply)));
         }
     }
 
-    void propose(ConfigurationOrder order, Consumer<Reply> answer) {
+    void propose(ConfigurationUpdate order, Consumer<Reply> answer) {
         register.propose(
-                (newest, text) -> step(order, newest, text),
+                (newest, text) -> applyUpdate(order, newest, text),
                 timeLimit(),
                 reply -> answer.accept(reply == null ? UNSETTLED : (Reply) reply));
     }
 
-    private Reply checked(ConfigurationOrder order, Reply reply) {
+    private Reply checked(ConfigurationUpdate order, Reply reply) {
         ReplicatedState chosen = register.chosen();
         boolean holdsIt = chosen != null
-                && chosen.recentChanges().find(order.base(), order.digest()) == RecentChanges.Finding.TAKEN;
+                && chosen.recentChanges().find(order.baseRevision(), order.digest())
+                        == RecentChanges.LookupResult.APPLIED;
         environment.check(
                 Invariant.ACKNOWLEDGED_IS_CHOSEN,
                 reply.status() != TAKEN.status() || holdsIt,
-                () -> "the order on " + order.base() + ", the newest state known to be chosen is " + chosen);
+                () -> "the order on " + order.baseRevision() + ", the newest state known to be chosen is " + chosen);
         return reply;
     }
 
@@ -108,42 +109,44 @@
      * its base or its content, may refuse an order that was taken. The proposer gives the answer once the state is
      * known to be chosen, so that a refusal holds for good.
      */
-    Proposer.Step step(ConfigurationOrder order, ReplicatedState newest, byte[] text) {
-        RecentChanges.Finding finding = newest.recentChanges().find(order.base(), order.digest());
-        if (finding == RecentChanges.Finding.TAKEN) {
-            return Proposer.Step.stay(TAKEN);
-        } else if (finding == RecentChanges.Finding.FORGOTTEN) {
-            return Proposer.Step.stay(new Reply(
+    Proposer.ChangeResult applyUpdate(ConfigurationUpdate order, ReplicatedState newest, byte[] text) {
+        RecentChanges.LookupResult finding = newest.recentChanges().find(order.baseRevision(), order.digest());
+        if (finding == RecentChanges.LookupResult.APPLIED) {
+            return Proposer.ChangeResult.unchanged(TAKEN);
+        } else if (finding == RecentChanges.LookupResult.FORGOTTEN) {
+            return Proposer.ChangeResult.unchanged(new Reply(
                     503,
                     "orders are remembered from revision "
                             + newest.recentChanges().coveredFrom() + " on",
                     null));
-        } else if (order.base() != newest.revision()) {
-            return Proposer.Step.stay(new Reply(412, "revision " + newest.revision() + " is in place", null));
+        } else if (order.baseRevision() != newest.revision()) {
+            return Proposer.ChangeResult.unchanged(
+                    new Reply(412, "revision " + newest.revision() + " is in place", null));
         }
         try {
             ConfigurationVersion next =
-                    order.appliedTo(order.amends() && text != null ? version(newest.textKey(), text) : null);
+                    order.applyTo(order.isAmendment() && text != null ? version(newest.textKey(), text) : null);
             if (next.revision() <= newest.revision()) {
                 throw new InvalidConfiguration("revision is not above " + newest.revision());
             }
             proposed = next;
-            return new Proposer.Step(newest.withText(next.revision(), next.key(), order.digest()), next.text(), TAKEN);
+            return new Proposer.ChangeResult(
+                    newest.withConfiguration(next.revision(), next.key(), order.digest()), next.text(), TAKEN);
         } catch (InvalidConfiguration e) {
-            return Proposer.Step.stay(new Reply(400, e.getMessage(), null));
+            return Proposer.ChangeResult.unchanged(new Reply(400, e.getMessage(), null));
         }
     }
 
     /** Tells the newest configuration, as a majority knows it. */
     void read(Consumer<Reply> answer) {
         register.propose(
-                (newest, text) -> Proposer.Step.stay(new Reply(200, "", text == null ? EMPTY : text)),
+                (newest, text) -> Proposer.ChangeResult.unchanged(new Reply(200, "", text == null ? EMPTY : text)),
                 timeLimit(),
                 reply -> answer.accept(reply == null ? UNSETTLED : (Reply) reply));
     }
 
     /** Who has no majority says so soon, so that the caller goes to another. */
     private long timeLimit() {
-        return peers.hasQuorum() ? settings.acknowledge() * 3 / 5 : settings.acknowledge() / 5;
+        return peers.hasQuorum() ? settings.acknowledgeTimeoutNanos() * 3 / 5 : settings.acknowledgeTimeoutNanos() / 5;
     }
 }
--- a/control/src/main/java/saltdale/control/ConfigurationSnapshot.java
+++ b/control/src/main/java/saltdale/control/ConfigurationSnapshot.java
@@ -8,7 +8,7 @@
 /** A whole configuration, compressed, as a proxy without a base fetches it part by part; the digest is of its bytes. */
 public record ConfigurationSnapshot(ConfigurationTree tree, String digest, byte[] bytes) {
     /** So many bytes a configuration may have, unpacked. */
-    public static final int MOST = 64 << 20;
+    public static final int MAX_UNPACKED_BYTES = 64 << 20;
 
     private static final int BLOCK = 16_384;
 
@@ -16,7 +16,7 @@
     public static ConfigurationSnapshot of(ConfigurationTree tree) {
         Deflater deflater = new Deflater();
         try {
-            deflater.setInput(Trees.cbor(tree.whole()));
+            deflater.setInput(Trees.toCbor(tree.toMap()));
             deflater.finish();
             ByteArrayOutputStream out = new ByteArrayOutputStream(BLOCK);
             byte[] block = new byte[BLOCK];
@@ -42,7 +42,7 @@
             byte[] block = new byte[BLOCK];
             while (!inflater.finished()) {
                 int count = inflater.inflate(block);
-                if (count == 0 && !inflater.finished() || out.size() + count > MOST) {
+                if (count == 0 && !inflater.finished() || out.size() + count > MAX_UNPACKED_BYTES) {
                     throw new MalformedMessage("configuration snapshot: cut short or too large");
                 }
                 out.write(block, 0, count);
--- a/control/src/main/java/saltdale/control/ConfigurationTree.java
+++ b/control/src/main/java/saltdale/control/ConfigurationTree.java
@@ -89,7 +89,7 @@
     }
 
     /** The whole configuration as one tree. */
-    public Map<String, Object> whole() {
+    public Map<String, Object> toMap() {
         Map<String, Object> whole = new LinkedHashMap<>(fields);
         lists.forEach((name, items) -> whole.put(name, new ArrayList<>(items.values())));
         return whole;
@@ -144,7 +144,7 @@
     }
 
     /** What comes out of this one by a change; the caller compares the digest. */
-    public ConfigurationTree changed(Map<String, Object> change) throws MalformedMessage {
+    public ConfigurationTree withChange(Map<String, Object> change) throws MalformedMessage {
         Fields parts = new Fields(change);
         Editor editor = new Editor();
         for (String name : parts.texts(DROPPED)) {
--- a/control/src/main/java/saltdale/control/ConfigurationOrder.java
+++ b/control/src/main/java/saltdale/control/ConfigurationUpdate.java
@@ -8,7 +8,7 @@
  * A change of the configuration as an operator sent it. One that is sent again as it was has the same digest. What it
  * comes to is worked out when it is needed and only once, however many ballots it takes.
  */
-final class ConfigurationOrder {
+final class ConfigurationUpdate {
     private final boolean amends;
     private final long base;
     private final byte[] body;
@@ -18,7 +18,7 @@
     private String resultOf; // the key of the version that an amendment was applied to
 
     /** {@code amends}: names single items, else a whole configuration; {@code base}: the revision it builds on. */
-    ConfigurationOrder(boolean amends, long base, byte[] body) {
+    ConfigurationUpdate(boolean amends, long base, byte[] body) {
         this.amends = amends;
         this.base = base;
         this.body = body;
@@ -27,7 +27,7 @@
         digest = Arrays.copyOf(ConfigurationCodec.digest(kind, basedOn, body), RecentChanges.DIGEST_BYTES);
     }
 
-    long base() {
+    long baseRevision() {
         return base;
     }
 
@@ -37,17 +37,17 @@
     }
 
     /** Whether what it comes to depends on the version that it builds on. */
-    boolean amends() {
+    boolean isAmendment() {
         return amends;
     }
 
     /** The version that follows this one by the order; {@code newest} is null for a whole configuration. */
-    ConfigurationVersion appliedTo(ConfigurationVersion newest) throws InvalidConfiguration {
+    ConfigurationVersion applyTo(ConfigurationVersion newest) throws InvalidConfiguration {
         String key = newest == null ? "" : newest.key();
         if (result == null || !key.equals(resultOf)) {
             tree = tree == null ? ConfigurationCodec.read(body) : tree;
             Map<String, Object> present = newest == null ? Map.of() : newest.tree();
-            result = ConfigurationVersion.of(amends ? ConfigurationCodec.amended(present, new Fields(tree)) : tree);
+            result = ConfigurationVersion.of(amends ? ConfigurationCodec.amend(present, new Fields(tree)) : tree);
             resultOf = key;
         }
         return result;
--- a/control/src/main/java/saltdale/control/ControlNode.java
+++ b/control/src/main/java/saltdale/control/ControlNode.java
@@ -30,14 +30,14 @@
  */
 public final class ControlNode {
     /** An answer to an operator; {@code body} is null where it has none. */
-    public record Reply(int status, String why, byte[] body) {
+    public record Reply(int status, String reason, byte[] body) {
         private static Reply of(ConfigurationService.Reply reply) {
-            return new Reply(reply.status(), reply.why(), reply.body());
+            return new Reply(reply.status(), reply.reason(), reply.body());
         }
     }
 
-    private static final long SOON = Environment.millis(5); // several changes that come at once are told of once
-    static final String IDENTITY = "identity"; // record of the id
+    private static final long SOON = Environment.millisToNanos(5); // several changes that come at once are told of once
+    static final String IDENTITY_RECORD = "identity"; // record of the id
     private static final String BEGUN = "begun"; // the state from which all began
 
     private final Environment environment;
@@ -60,15 +60,15 @@
     private boolean spreading;
 
     /** The parts of which tests bring wrong variants. */
-    record Parts(ConfigurationService.Factory configurations, VoterChanges.Factory voterChanges) {
-        static final Parts REAL = new Parts(ConfigurationService::new, VoterChanges::new);
+    record Components(ConfigurationService.Factory configurations, VoterChanges.Factory voterChanges) {
+        static final Components DEFAULT = new Components(ConfigurationService::new, VoterChanges::new);
     }
 
     /** {@code records} are those on disk; where there are none the control node is new, or has lost them. */
     public ControlNode(
             Environment environment, ControlNodeSettings nodeSettings, Platform platform, Map<String, byte[]> records)
             throws MalformedMessage {
-        this(environment, nodeSettings, platform, records, Parts.REAL);
+        this(environment, nodeSettings, platform, records, Components.DEFAULT);
     }
 
     ControlNode(
@@ -76,19 +76,19 @@
             ControlNodeSettings nodeSettings,
             Platform platform,
             Map<String, byte[]> records,
-            Parts parts)
+            Components parts)
             throws MalformedMessage {
         this.environment = environment;
         this.nodeSettings = nodeSettings;
-        String life = Long.toHexString(environment.chance().nextLong());
+        String life = Long.toHexString(environment.random().nextLong());
         boolean first = nodeSettings.firstStart()
                 && records.isEmpty()
                 && nodeSettings.seeds().contains(nodeSettings.host());
-        id = records.containsKey(IDENTITY)
-                ? new String(records.get(IDENTITY), StandardCharsets.UTF_8)
+        id = records.containsKey(IDENTITY_RECORD)
+                ? new String(records.get(IDENTITY_RECORD), StandardCharsets.UTF_8)
                 : first
-                        ? Voter.firstId(nodeSettings.host())
-                        : Long.toHexString(environment.chance().nextLong());
+                        ? Voter.initialId(nodeSettings.host())
+                        : Long.toHexString(environment.random().nextLong());
         register = new ReplicatedRegister(environment, id, life, this::chosen);
         peers = new PeerContacts(
                 environment,
@@ -96,11 +96,11 @@
                 new PeerIdentity(id, nodeSettings.name(), nodeSettings.host(), life),
                 register);
         election = new DutyElection(environment, nodeSettings, register, peers, id, life);
-        voterChanges = parts.voterChanges().of(environment, nodeSettings, peers, election, id);
-        configurations = parts.configurations().of(environment, nodeSettings, register, peers);
-        members = new MembershipTable(nodeSettings.memberLease() + nodeSettings.heartbeat() * 3 / 10);
-        instances = new InstanceTable(8 * nodeSettings.heartbeat(), 40 * nodeSettings.heartbeat());
-        demand = new DemandTable(3 * nodeSettings.heartbeat());
+        voterChanges = parts.voterChanges().create(environment, nodeSettings, peers, election, id);
+        configurations = parts.configurations().create(environment, nodeSettings, register, peers);
+        members = new MembershipTable(nodeSettings.memberLeaseNanos() + nodeSettings.heartbeatNanos() * 3 / 10);
+        instances = new InstanceTable(8 * nodeSettings.heartbeatNanos(), 40 * nodeSettings.heartbeatNanos());
+        demand = new DemandTable(3 * nodeSettings.heartbeatNanos());
         subscriptions = new Subscriptions(
                 environment, nodeSettings, configurations.history(), members, instances, peers::hasQuorum);
         instanceLifecycle = new InstanceLifecycle(environment, this, platform, nodeSettings);
@@ -110,23 +110,23 @@
     private void restore(Map<String, byte[]> records) throws MalformedMessage {
         register.restore(records);
         ReplicatedState begun = nodeSettings.firstStart()
-                ? ReplicatedState.first(nodeSettings.seeds().stream()
+                ? ReplicatedState.initial(nodeSettings.seeds().stream()
                         .sorted()
-                        .map(host -> new Voter(Voter.firstId(host), host, host))
+                        .map(host -> new Voter(Voter.initialId(host), host, host))
                         .toList())
                 : records.containsKey(BEGUN)
                         ? ReplicatedState.of(new Fields(Trees.fromCbor(records.get(BEGUN))))
                         : null;
         if (begun != null) {
-            register.first(begun);
+            register.initialize(begun);
         }
-        if (!records.containsKey(IDENTITY)) {
-            Map<String, byte[]> own = new HashMap<>(Map.of(IDENTITY, id.getBytes(StandardCharsets.UTF_8)));
+        if (!records.containsKey(IDENTITY_RECORD)) {
+            Map<String, byte[]> own = new HashMap<>(Map.of(IDENTITY_RECORD, id.getBytes(StandardCharsets.UTF_8)));
             if (begun != null) {
                 // Guards against all being killed before any has accepted a state: none would know whom to ask.
-                own.put(BEGUN, Trees.cbor(begun.tree()));
+                own.put(BEGUN, Trees.toCbor(begun.tree()));
             }
-            register.writeWithVotes(own);
+            register.writeWithNextVote(own);
             persistIdentity(own);
         }
     }
@@ -135,12 +135,12 @@
     private void persistIdentity(Map<String, byte[]> own) {
         environment.persist(own, whole -> {
             if (!whole) {
-                environment.after(nodeSettings.heartbeat(), () -> persistIdentity(own));
+                environment.schedule(nodeSettings.heartbeatNanos(), () -> persistIdentity(own));
             }
         });
     }
 
-    public void begin() {
+    public void start() {
         heartbeat();
         tick();
         instanceLifecycle.begin();
@@ -165,12 +165,14 @@
         return configurations.current();
     }
 
-    int voters() {
-        return register.basis() == null ? 1 : register.basis().voters().size();
+    int voterCount() {
+        return register.quorumState() == null
+                ? 1
+                : register.quorumState().voters().size();
     }
 
     /** Whether this control node holds the duty and knows that nobody can have taken it over. */
-    boolean holds() {
+    boolean holdsDuty() {
         return election.holds();
     }
 
@@ -187,18 +189,18 @@
 
     private void heartbeat() {
         sendHeartbeats();
-        environment.after(nodeSettings.heartbeat() / 3, this::heartbeat);
+        environment.schedule(nodeSettings.heartbeatNanos() / 3, this::heartbeat);
     }
 
     private void sendHeartbeats() {
-        peers.sendHeartbeats(ending, members.news(), members.over(environment.now()));
+        peers.sendHeartbeats(ending, members.takeUnreportedRenewals(), members.recentlyEnded(environment.now()));
     }
 
     /** Others hear soon who has come or gone: owners that know it at different times grant the same slots. */
     private void membersChanged() {
         if (!spreading) {
             spreading = true;
-            environment.after(SOON, () -> {
+            environment.schedule(SOON, () -> {
                 spreading = false;
                 publish();
                 sendHeartbeats();
@@ -208,41 +210,41 @@
 
     private void heard(Heartbeat heartbeat) {
         long edition = members.edition();
-        members.merge(heartbeat.renewals(), environment.now());
-        members.areOver(heartbeat.ended(), environment.now());
+        members.mergeRenewals(heartbeat.renewals(), environment.now());
+        members.markEnded(heartbeat.ended(), environment.now());
         if (members.edition() != edition) {
             publish();
         }
-        peers.heartbeat(heartbeat);
+        peers.onHeartbeat(heartbeat);
     }
 
     // Messages from other processes.
 
     /** Takes a message; {@code fromHost} is where its sender can be reached. */
-    public void message(String fromHost, Message message) throws MalformedMessage {
+    public void handleMessage(String fromHost, Message message) throws MalformedMessage {
         if (message instanceof BallotMessage ballot) {
-            register.message(fromHost, ballot);
+            register.handleMessage(fromHost, ballot);
         } else if (message instanceof Heartbeat heartbeat) {
             heard(heartbeat);
         } else if (message instanceof HeartbeatAck ack) {
-            peers.acknowledged(ack);
+            peers.onHeartbeatAck(ack);
         } else if (message instanceof LeaseRenewal renewal) {
             renewed(fromHost, renewal);
         } else if (message instanceof ContactProbe probe) {
             environment.send(fromHost, new ContactReply(probe.number(), hasMajority() && !ending, controlHosts()));
         } else if (message instanceof SnapshotRequest request) {
             if (hasMajority()) { // else it may be old
-                subscriptions.requested(request);
+                subscriptions.onSnapshotRequest(request);
             }
         } else if (message instanceof DemandReport report) {
             demanded(report);
         } else if (message instanceof InstanceReady ready) {
             Instance instance = instances.get(ready.instance());
             if (instance != null && instance.phase() == Instance.Phase.BOOTING) {
-                changed(List.of(instance.at(Instance.Phase.READY)), true);
+                mergeInstances(List.of(instance.at(Instance.Phase.READY)), true);
             }
         } else if (message instanceof InstanceUpdates updates) {
-            changed(updates.instances(), false);
+            mergeInstances(updates.instances(), false);
         } else if (message instanceof StartIntents intents) {
             instanceLifecycle.told(intents);
         } else {
@@ -251,12 +253,12 @@
     }
 
     /** Sends to all other control nodes. */
-    void tellControlNodes(Message message) {
-        peers.tellAll(message);
+    void sendToControlNodes(Message message) {
+        peers.broadcast(message);
     }
 
     /** Merges copies of instances; news of our own goes to the other control nodes too. */
-    void changed(List<Instance> copies, boolean tell) {
+    void mergeInstances(List<Instance> copies, boolean tell) {
         List<Instance> fresh = new ArrayList<>();
         for (Instance copy : copies) {
             if (instances.merge(copy, environment.now())) {
@@ -265,7 +267,7 @@
         }
         if (!fresh.isEmpty()) {
             if (tell) {
-                tellControlNodes(new InstanceUpdates(fresh));
+                sendToControlNodes(new InstanceUpdates(fresh));
             }
             publish();
         }
@@ -286,17 +288,17 @@
         Member member = renewal.member();
         long now = environment.now();
         long edition = members.edition();
-        members.renewed(member, renewal.count(), now, true);
+        members.renew(member, renewal.count(), now, true);
         if (members.edition() != edition) {
             membersChanged();
         }
-        if (members.of(member.life()) == null) {
-            subscriptions.end(member.life());
+        if (members.member(member.incarnation()) == null) {
+            subscriptions.endSession(member.incarnation());
             environment.send(fromHost, new LeaseOver(renewal.count()));
             return;
         }
-        long newsSent = subscriptions.renewed(fromHost, renewal);
-        long validMillis = Math.max(0, (peers.quorumContactAt() - now + nodeSettings.memberLease()) / 1_000_000);
+        long newsSent = subscriptions.onRenewal(fromHost, renewal);
+        long validMillis = Math.max(0, (peers.quorumContactAt() - now + nodeSettings.memberLeaseNanos()) / 1_000_000);
         environment.send(
                 fromHost,
                 new LeaseGrant(
@@ -305,7 +307,7 @@
 
     /** Where proxies find control nodes. */
     private List<String> controlHosts() {
-        ReplicatedState basis = register.basis();
+        ReplicatedState basis = register.quorumState();
         return basis == null
                 ? List.of(nodeSettings.host())
                 : basis.voters().stream().map(Voter::host).toList();
@@ -318,30 +320,30 @@
     // The configuration.
 
     private void chosen(ReplicatedState state, byte[] text) {
-        environment.note("chosen " + state.version() + ": revision " + state.revision() + ", voters "
+        environment.log("chosen " + state.version() + ": revision " + state.revision() + ", voters "
                 + state.voters().stream().map(Voter::host).toList() + (state.isJoint() ? " (joint)" : "") + ", "
                 + state.duties());
-        configurations.chosen(state, text);
+        configurations.onChosen(state, text);
         publish();
         instanceLifecycle.look();
     }
 
     /** Replaces the whole configuration, or amends it. */
-    public void change(boolean amends, String basedOn, byte[] body, Consumer<Reply> answer) {
+    public void changeConfiguration(boolean amends, String basedOn, byte[] body, Consumer<Reply> answer) {
         configurations.change(amends, basedOn, body, reply -> answer.accept(Reply.of(reply)));
     }
 
     /** Tells the newest configuration, as a majority knows it. */
-    public void read(Consumer<Reply> answer) {
+    public void readConfiguration(Consumer<Reply> answer) {
         configurations.read(reply -> answer.accept(Reply.of(reply)));
     }
 
     // Duties and voters.
 
     private void tick() {
-        environment.after(nodeSettings.heartbeat() / 6, this::tick);
+        environment.schedule(nodeSettings.heartbeatNanos() / 6, this::tick);
         long now = environment.now();
-        boolean had = peers.watchQuorum();
+        boolean had = peers.updateQuorum();
         long edition = members.edition();
         // Guards against a control node that stood still or was cut off: all renewals it missed come to it first.
         if (peers.hasSteadyQuorum()) {
@@ -351,14 +353,14 @@
             membersChanged();
         }
         if (had && !hasMajority()) {
-            environment.counters().count(Counter.QUORUM_LOSSES);
-            environment.note("the quorum is lost");
-            subscriptions.tellAll(new QuorumLost());
+            environment.counters().increment(Counter.QUORUM_LOSSES);
+            environment.log("the quorum is lost");
+            subscriptions.broadcast(new QuorumLost());
         } else if (!had && hasMajority()) {
-            environment.note("there is a quorum");
+            environment.log("there is a quorum");
             publish();
         }
-        if (!proposing && register.basis() != null) {
+        if (!proposing && register.quorumState() != null) {
             proposeWhatIsDue();
         }
         leaveIfDispensable();
@@ -369,13 +371,13 @@
         if (state == null || leavesUndecided()) {
             // What is chosen is known only once a majority was asked: after a start, and where whoever had a state
             // accepted may have gone before it told that it was chosen.
-            propose((newest, text) -> Proposer.Step.stay(Boolean.TRUE));
+            propose((newest, text) -> Proposer.ChangeResult.unchanged(Boolean.TRUE));
         } else if (hasMajority()) {
             if (!ending && election.mayClaim(state)) {
                 propose(election.claim(state));
                 return;
             }
-            Proposer.Change change = voterChanges.due(state, holds() || election.isVacant(state), ending);
+            Proposer.Change change = voterChanges.nextChange(state, holdsDuty() || election.isVacant(state), ending);
             if (change != null) {
                 propose(change);
             }
@@ -383,33 +385,33 @@
     }
 
     private boolean leavesUndecided() {
-        return register.isUndecided()
-                && environment.now() - register.undecidedSince() > nodeSettings.heartbeat() / 2
+        return register.hasUndecidedState()
+                && environment.now() - register.undecidedSince() > nodeSettings.heartbeatNanos() / 2
                 && peers.reachesMajority();
     }
 
     private void propose(Proposer.Change change) {
         proposing = true;
         // Guards against all control nodes at once: the first one's ballot spares the others theirs.
-        environment.after(
-                (long) (nodeSettings.heartbeat() / 8 * environment.chance().nextDouble()),
-                () -> register.proposeFirst(change, nodeSettings.heartbeat(), done -> proposing = false));
+        environment.schedule(
+                (long) (nodeSettings.heartbeatNanos() / 8 * environment.random().nextDouble()),
+                () -> register.proposeWithPriority(change, nodeSettings.heartbeatNanos(), done -> proposing = false));
     }
 
     /** The settings, read again, name these control nodes. */
-    public void seeds(List<String> hosts) {
-        peers.seeds(hosts);
+    public void setSeeds(List<String> hosts) {
+        peers.setSeeds(hosts);
     }
 
     /**
      * Ends in order: others may take over its duties at once. While another control node can take its place among the
      * voters, this one goes on voting until that has been agreed, but no longer than {@code within}.
      */
-    public void end(long within, Runnable done) {
+    public void shutDown(long within, Runnable done) {
         ending = true;
-        subscriptions.tellAll(new ControlNodeLeaves());
+        subscriptions.broadcast(new ControlNodeLeaves());
         sendHeartbeats();
-        environment.after(within, () -> leave(done));
+        environment.schedule(within, () -> leave(done));
         election.resign(answer -> {
             onLeft = done;
             leaveIfDispensable();
--- a/control/src/main/java/saltdale/control/ControlNodeSettings.java
+++ b/control/src/main/java/saltdale/control/ControlNodeSettings.java
@@ -10,22 +10,22 @@
         List<String> seeds,
         boolean firstStart,
         ToleratedLosses toleratedLosses,
-        long heartbeat,
-        long acknowledge,
-        long drain,
+        long heartbeatNanos,
+        long acknowledgeTimeoutNanos,
+        long drainNanos,
         Platform.Rates rates) {
-    /** See {@link LeaseTimes#quorumLease}. */
-    long lease() {
-        return LeaseTimes.quorumLease(heartbeat);
+    /** See {@link LeaseTimes#quorumLeaseNanos}. */
+    long quorumLeaseNanos() {
+        return LeaseTimes.quorumLeaseNanos(heartbeatNanos);
     }
 
-    /** See {@link LeaseTimes#memberLease}. */
-    long memberLease() {
-        return LeaseTimes.memberLease(heartbeat);
+    /** See {@link LeaseTimes#memberLeaseNanos}. */
+    long memberLeaseNanos() {
+        return LeaseTimes.memberLeaseNanos(heartbeatNanos);
     }
 
-    /** See {@link LeaseTimes#vacancy}. */
-    long vacancy() {
-        return LeaseTimes.vacancy(heartbeat);
+    /** See {@link LeaseTimes#vacancyTimeoutNanos}. */
+    long vacancyTimeoutNanos() {
+        return LeaseTimes.vacancyTimeoutNanos(heartbeatNanos);
     }
 }
--- a/control/src/main/java/saltdale/control/Counter.java
+++ b/control/src/main/java/saltdale/control/Counter.java
@@ -24,7 +24,7 @@
     QUORUM_LOSSES;
 
     /** The name under which it is told, in lower case. */
-    public String label() {
+    public String metricName() {
         return name().toLowerCase(Locale.ROOT);
     }
 }
--- a/control/src/main/java/saltdale/control/Counters.java
+++ b/control/src/main/java/saltdale/control/Counters.java
@@ -17,7 +17,7 @@
         }
     }
 
-    public void count(Counter counter) {
+    public void increment(Counter counter) {
         counts.merge(counter, 1L, Long::sum);
     }
 
@@ -25,7 +25,7 @@
         return counts.get(counter);
     }
 
-    void violated(Invariant invariant) {
+    void countViolation(Invariant invariant) {
         violations.merge(invariant, 1L, Long::sum);
     }
 
@@ -35,10 +35,10 @@
     }
 
     /** All of them, a line each: the name and the figure. */
-    public String text() {
+    public String toText() {
         StringBuilder all = new StringBuilder();
-        counts.forEach((counter, count) -> line(all, counter.label(), count));
-        violations.forEach((invariant, count) -> line(all, invariant.label(), count));
+        counts.forEach((counter, count) -> line(all, counter.metricName(), count));
+        violations.forEach((invariant, count) -> line(all, invariant.metricName(), count));
         return all.toString();
     }
 
--- a/control/src/main/java/saltdale/control/DutyElection.java
+++ b/control/src/main/java/saltdale/control/DutyElection.java
@@ -52,7 +52,7 @@
     PeerContacts.Peer holder() {
         ReplicatedState state = register.chosen();
         String holder = state == null ? null : state.duty(STARTING).holder();
-        for (PeerContacts.Peer peer : peers.all()) {
+        for (PeerContacts.Peer peer : peers.peers()) {
             if (peer.identity != null && peer.holderName().equals(holder)) {
                 return peer;
             }
@@ -70,8 +70,8 @@
     Proposer.Change claim(ReplicatedState state) {
         DutyLease seen = state.duty(STARTING);
         return (newest, text) -> newest.duty(STARTING).fence() != seen.fence()
-                ? Proposer.Step.stay(null)
-                : new Proposer.Step(
+                ? Proposer.ChangeResult.unchanged(null)
+                : new Proposer.ChangeResult(
                         newest.withDuty(STARTING, new DutyLease(ownName(), settings.name(), seen.fence() + 1)),
                         null,
                         Boolean.TRUE);
@@ -87,10 +87,10 @@
         DutyLease mine = state.duty(STARTING);
         register.propose(
                 (newest, text) -> !mine.equals(newest.duty(STARTING))
-                        ? Proposer.Step.stay(null)
-                        : new Proposer.Step(
+                        ? Proposer.ChangeResult.unchanged(null)
+                        : new Proposer.ChangeResult(
                                 newest.withDuty(STARTING, new DutyLease(null, null, mine.fence())), null, Boolean.TRUE),
-                settings.heartbeat(),
+                settings.heartbeatNanos(),
                 done);
     }
 
@@ -102,9 +102,9 @@
         } else if (holder.startsWith(id + "/")) {
             return !holder.equals(ownName());
         }
-        for (PeerContacts.Peer peer : peers.all()) {
+        for (PeerContacts.Peer peer : peers.peers()) {
             if (peer.identity != null && holder.startsWith(peer.identity.id() + "/")) {
-                return !holder.equals(peer.holderName()) || unheard(peer.heardAt);
+                return !holder.equals(peer.holderName()) || unheard(peer.lastHeardAt);
             }
         }
         return unheard(startedAt);
@@ -112,6 +112,7 @@
 
     /** Whether so long has passed since then that its lease is over, and we could have heard it. */
     boolean unheard(long heardAt) {
-        return environment.now() - Math.max(heardAt, startedAt) > settings.vacancy() && peers.hasSteadyQuorum();
+        return environment.now() - Math.max(heardAt, startedAt) > settings.vacancyTimeoutNanos()
+                && peers.hasSteadyQuorum();
     }
 }
--- a/control/src/main/java/saltdale/control/Environment.java
+++ b/control/src/main/java/saltdale/control/Environment.java
@@ -14,10 +14,10 @@
     /** The steady clock, in nanoseconds. */
     long now();
 
-    SplittableRandom chance();
+    SplittableRandom random();
 
     /** Does this after so many nanoseconds; what is returned takes it back. */
-    Runnable after(long nanos, Runnable what);
+    Runnable schedule(long nanos, Runnable what);
 
     /** Sends to the process at this host, if it can be reached; nothing tells whether it came. */
     void send(String host, Message message);
@@ -26,23 +26,23 @@
     void persist(Map<String, byte[]> records, Consumer<Boolean> done);
 
     /** Notes what is worth reading after something went wrong. */
-    void note(String what);
+    void log(String what);
 
     /** What this process counts. */
     Counters counters();
 
     /** An invariant does not hold: it is written out, with what led to it; tests fail by it. */
-    void violated(Invariant invariant, String detail);
+    void reportViolation(Invariant invariant, String detail);
 
     /** Counts and reports a violation unless this holds. */
     default void check(Invariant invariant, boolean holds, Supplier<String> detail) {
         if (!holds) {
-            counters().violated(invariant);
-            violated(invariant, detail.get());
+            counters().countViolation(invariant);
+            reportViolation(invariant, detail.get());
         }
     }
 
-    static long millis(long ms) {
+    static long millisToNanos(long ms) {
         return ms * 1_000_000;
     }
 }
--- a/control/src/main/java/saltdale/control/Fields.java
+++ b/control/src/main/java/saltdale/control/Fields.java
@@ -51,15 +51,15 @@
         return has(name) ? text(name) : otherwise;
     }
 
-    public long whole(String name) throws MalformedMessage {
+    public long integer(String name) throws MalformedMessage {
         if (map.get(name) instanceof Long number) {
             return number;
         }
         throw new MalformedMessage(name + " is no whole number");
     }
 
-    public long whole(String name, long otherwise) throws MalformedMessage {
-        return has(name) ? whole(name) : otherwise;
+    public long integer(String name, long otherwise) throws MalformedMessage {
+        return has(name) ? integer(name) : otherwise;
     }
 
     public double number(String name) throws MalformedMessage {
@@ -73,7 +73,7 @@
         return has(name) ? number(name) : otherwise;
     }
 
-    public boolean flag(String name) throws MalformedMessage {
+    public boolean bool(String name) throws MalformedMessage {
         if (has(name) && !(map.get(name) instanceof Boolean)) {
             throw new MalformedMessage(name + " is neither true nor false");
         }
--- a/control/src/main/java/saltdale/control/InstanceLifecycle.java
+++ b/control/src/main/java/saltdale/control/InstanceLifecycle.java
@@ -52,7 +52,7 @@
         this.platform = platform;
         this.nodeSettings = nodeSettings;
         listReader = new InstanceListReader(environment, controlNode, platform, nodeSettings, this::look);
-        workers = new WorkerTable(environment, platform, nodeSettings.heartbeat());
+        workers = new WorkerTable(environment, platform, nodeSettings.heartbeatNanos());
     }
 
     void begin() {
@@ -71,10 +71,10 @@
         List<StartIntent> starts =
                 intents.values().stream().map(intent -> intent.start).toList();
         if (!underWay.isEmpty()) {
-            controlNode.tellControlNodes(new InstanceUpdates(underWay));
+            controlNode.sendToControlNodes(new InstanceUpdates(underWay));
         }
         if (!starts.isEmpty()) {
-            controlNode.tellControlNodes(new StartIntents(starts, List.of()));
+            controlNode.sendToControlNodes(new StartIntents(starts, List.of()));
         }
     }
 
@@ -87,7 +87,7 @@
     void look() {
         if (!looking) {
             looking = true;
-            environment.after(Math.max(0, plannedAt + planGap() - environment.now()), () -> {
+            environment.schedule(Math.max(0, plannedAt + planGap() - environment.now()), () -> {
                 looking = false;
                 act();
             });
@@ -95,30 +95,30 @@
     }
 
     private long planGap() {
-        return nodeSettings.heartbeat() / 48;
+        return nodeSettings.heartbeatNanos() / 48;
     }
 
     private void turn() {
         act();
-        environment.after(nodeSettings.heartbeat() / 12, this::turn);
+        environment.schedule(nodeSettings.heartbeatNanos() / 12, this::turn);
     }
 
     private void act() {
-        if (!controlNode.holds()) {
+        if (!controlNode.holdsDuty()) {
             fence = -1;
             return;
         }
         long now = environment.now();
         if (fence != controlNode.fence()) { // newly won: what another had begun is asked for again, and so learnt
             fence = controlNode.fence();
-            scaler = new Scaler(nodeSettings.heartbeat() * 7 / 2, now);
+            scaler = new Scaler(nodeSettings.heartbeatNanos() * 7 / 2, now);
             intents.values().forEach(i -> i.asked = false);
             workers.expire();
             controlNode.instances().all().stream()
                     .filter(r -> r.phase() == Instance.Phase.LEAVING && !listReader.isDrained(r.id()))
                     .forEach(r -> leaving.putIfAbsent(r.id(), now));
         }
-        if (now - toldAt > nodeSettings.heartbeat()) {
+        if (now - toldAt > nodeSettings.heartbeatNanos()) {
             toldAt = now;
             tellUnderWay();
         }
@@ -127,11 +127,11 @@
                 .removeIf(id -> controlNode.instances().get(id) == null
                         || listReader.isDrained(id)
                         || controlNode.instances().get(id).phase() == Instance.Phase.GONE);
-        intents.values().removeIf(i -> !i.asked && now - i.at > 20 * nodeSettings.heartbeat());
+        intents.values().removeIf(i -> !i.asked && now - i.at > 20 * nodeSettings.heartbeatNanos());
         workers.refresh(now, controlNode.configuration() != null);
         for (Intent intent : List.copyOf(intents.values())) {
             if (!intent.asked
-                    && (intent.tries == 0 || now - intent.at > nodeSettings.heartbeat() / 4)
+                    && (intent.tries == 0 || now - intent.at > nodeSettings.heartbeatNanos() / 4)
                     && mayCall(now)) {
                 ask(intent, now);
             }
@@ -141,7 +141,7 @@
         }
         for (Map.Entry<String, Long> each : List.copyOf(leaving.entrySet())) {
             // Proxies have had the time to send nothing more there.
-            if (now - each.getValue() > nodeSettings.heartbeat() / 2 && mayCall(now)) {
+            if (now - each.getValue() > nodeSettings.heartbeatNanos() / 2 && mayCall(now)) {
                 leaving.put(each.getKey(), now);
                 stop(each.getKey());
             }
@@ -192,7 +192,7 @@
             news.add(intent.start);
         }
         if (!news.isEmpty()) {
-            controlNode.tellControlNodes(new StartIntents(news, List.of()));
+            controlNode.sendToControlNodes(new StartIntents(news, List.of()));
             for (Intent intent : List.copyOf(intents.values())) {
                 if (!intent.asked && intent.tries == 0 && mayCall(now)) {
                     ask(intent, now);
@@ -200,7 +200,7 @@
             }
         }
         if (!plan.starts().isEmpty() || !plan.stops().isEmpty()) {
-            environment.note("starts "
+            environment.log("starts "
                     + plan.starts().stream()
                             .map(s -> s.service() + "@" + s.zone())
                             .toList() + ", stops "
@@ -210,7 +210,7 @@
         }
         for (Instance r : plan.stops()) {
             leaving.put(r.id(), now);
-            controlNode.changed(List.of(r.at(Instance.Phase.LEAVING)), true);
+            controlNode.mergeInstances(List.of(r.at(Instance.Phase.LEAVING)), true);
         }
     }
 
@@ -228,7 +228,7 @@
                 answer -> {
                     intent.asked = false;
                     intent.at = environment.now();
-                    boolean holds = controlNode.holds() && controlNode.fence() == askedWith;
+                    boolean holds = controlNode.holdsDuty() && controlNode.fence() == askedWith;
                     if (answer == null || answer.status() == 429 || answer.status() >= 500) {
                         if (intent.tries > 8 && holds) {
                             over(intent);
@@ -240,14 +240,14 @@
                     over(intent);
                     if (answer.status() != 200 || answer.body() == null) {
                         workers.startRefused();
-                        environment.note("start of " + intent.start.service() + " on " + intent.start.worker() + ": "
+                        environment.log("start of " + intent.start.service() + " on " + intent.start.worker() + ": "
                                 + answer.status());
                         return;
                     }
                     workers.startTaken();
                     try {
                         Fields body = new Fields(answer.body());
-                        controlNode.changed(
+                        controlNode.mergeInstances(
                                 List.of(new Instance(
                                         body.text("identifier"),
                                         intent.start.service(),
@@ -258,14 +258,14 @@
                                         intent.start.slots())),
                                 true);
                     } catch (MalformedMessage e) {
-                        environment.note("an answer to a start cannot be read: " + e.getMessage());
+                        environment.log("an answer to a start cannot be read: " + e.getMessage());
                     }
                 });
     }
 
     private void over(Intent intent) {
         intents.remove(intent.start.nonce());
-        controlNode.tellControlNodes(new StartIntents(List.of(), List.of(intent.start.nonce())));
+        controlNode.sendToControlNodes(new StartIntents(List.of(), List.of(intent.start.nonce())));
     }
 
     private void stop(String id) {
--- a/control/src/main/java/saltdale/control/InstanceListReader.java
+++ b/control/src/main/java/saltdale/control/InstanceListReader.java
@@ -52,23 +52,23 @@
     void read() {
         long now = environment.now();
         if (!reading && now - pageAt < pageGap()) {
-            environment.after(pageAt + pageGap() - now, this::read); // a first page is a page too
+            environment.schedule(pageAt + pageGap() - now, this::read); // a first page is a page too
             return;
         }
         // Guards against lists of many pages that overlap; one of which no answer ever came does not hold up the next.
-        if (!reading || now - pageAt > PAGE_LOST * nodeSettings.heartbeat()) {
+        if (!reading || now - pageAt > PAGE_LOST * nodeSettings.heartbeatNanos()) {
             reading = true;
             page(null, new ArrayList<>(), 1, now);
         }
-        double atLeast = controlNode.voters()
+        double atLeast = controlNode.voterCount()
                 * (pages + 1)
                 / (SHARE_OF_RATE * nodeSettings.rates().listsPerSecond());
-        environment.after(Math.max(nodeSettings.heartbeat() / 2, (long) (atLeast * 1e9)), this::read);
+        environment.schedule(Math.max(nodeSettings.heartbeatNanos() / 2, (long) (atLeast * 1e9)), this::read);
     }
 
     private long pageGap() {
         return (long)
-                (controlNode.voters() / (MOST_OF_RATE * nodeSettings.rates().listsPerSecond()) * 1e9);
+                (controlNode.voterCount() / (MOST_OF_RATE * nodeSettings.rates().listsPerSecond()) * 1e9);
     }
 
     private void page(String token, List<Instance> soFar, int page, long askedAt) {
@@ -89,11 +89,11 @@
                     String next = body.text("next_page_token");
                     reading = true;
                     // Guards against bursts: pages follow one another no faster than all may ask together.
-                    environment.after(pageGap(), () -> page(next, soFar, page + 1, askedAt));
+                    environment.schedule(pageGap(), () -> page(next, soFar, page + 1, askedAt));
                     return;
                 }
             } catch (MalformedMessage e) {
-                environment.note("the platform's list cannot be read: " + e.getMessage());
+                environment.log("the platform's list cannot be read: " + e.getMessage());
                 return;
             }
             pages = page;
@@ -114,7 +114,7 @@
                 from.text("zone"),
                 from.text("worker_machine", ""),
                 ready ? Instance.Phase.READY : Instance.Phase.LEAVING,
-                (int) Math.max(1, from.whole("concurrency_slots", 1)));
+                (int) Math.max(1, from.integer("concurrency_slots", 1)));
     }
 
     private void listed(List<Instance> list, long askedAt) {
@@ -135,7 +135,7 @@
                 .filter(instance -> instance.phase().compareTo(Instance.Phase.LEAVING) >= 0)
                 .toList();
         if (!ends.isEmpty()) {
-            controlNode.tellControlNodes(new InstanceUpdates(ends));
+            controlNode.sendToControlNodes(new InstanceUpdates(ends));
         }
     }
 }
--- a/control/src/main/java/saltdale/control/Invariant.java
+++ b/control/src/main/java/saltdale/control/Invariant.java
@@ -20,7 +20,7 @@
     SERVING_NODE_TAKEN;
 
     /** The name under which its violations are told, in lower case. */
-    public String label() {
+    public String metricName() {
         return "invariant_violations_" + name().toLowerCase(Locale.ROOT);
     }
 }
--- a/control/src/main/java/saltdale/control/LeaseTimes.java
+++ b/control/src/main/java/saltdale/control/LeaseTimes.java
@@ -8,7 +8,7 @@
     private LeaseTimes() {}
 
     /** A control node that heard of no majority for so long answers nothing, and a duty's holder does nothing. */
-    static long quorumLease(long heartbeat) {
+    static long quorumLeaseNanos(long heartbeat) {
         return heartbeat + heartbeat / 4;
     }
 
@@ -16,7 +16,7 @@
      * A proxy may act as a member for so long after a majority could have heard of it; control nodes count a little
      * longer.
      */
-    public static long memberLease(long heartbeat) {
+    public static long memberLeaseNanos(long heartbeat) {
         return heartbeat + heartbeat / 2;
     }
 
@@ -24,7 +24,7 @@
      * A control node unheard for so long has lost its duties; longer than the quorum lease, however late its last word
      * came.
      */
-    static long vacancy(long heartbeat) {
-        return quorumLease(heartbeat) + heartbeat / 2;
+    static long vacancyTimeoutNanos(long heartbeat) {
+        return quorumLeaseNanos(heartbeat) + heartbeat / 2;
     }
 }
--- a/control/src/main/java/saltdale/control/Member.java
+++ b/control/src/main/java/saltdale/control/Member.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /** A dispatcher that carries calls, in one life of its process, while its lease is renewed. */
-public record Member(String life, String name, String zone, String host, boolean leaving) {
+public record Member(String incarnation, String name, String zone, String host, boolean leaving) {
     public List<Object> tree() {
-        return List.of(life, name, zone, host, leaving);
+        return List.of(incarnation, name, zone, host, leaving);
     }
 
     public static Member of(Object tree) throws MalformedMessage {
--- a/control/src/main/java/saltdale/control/MembershipTable.java
+++ b/control/src/main/java/saltdale/control/MembershipTable.java
@@ -43,7 +43,7 @@
         return edition;
     }
 
-    Collection<Member> all() {
+    Collection<Member> members() {
         return view().byLife().values();
     }
 
@@ -52,7 +52,7 @@
         if (view.edition() != edition) {
             Map<String, Member> byLife = new TreeMap<>();
             leases.forEach((life, lease) -> byLife.put(life, lease.member));
-            digest = digest.changed(view.byLife(), byLife);
+            digest = digest.updated(view.byLife(), byLife);
             view = new View(byLife, digest.text(), edition);
             views.put(view.digest(), view);
             if (views.size() > MOST_VIEWS) {
@@ -63,28 +63,28 @@
     }
 
     /** Members as they were of late by their digest; null where that is not known. */
-    View known(String digest) {
+    View recentView(String digest) {
         return view().digest().equals(digest) ? view : views.get(digest);
     }
 
-    Member of(String life) {
+    Member member(String life) {
         Lease lease = leases.get(life);
         return lease == null ? null : lease.member;
     }
 
     /** A renewal, heard from the member itself or of another control node. */
-    void renewed(Member member, long count, long now, boolean itself) {
-        if (ended.containsKey(member.life())) {
+    void renew(Member member, long count, long now, boolean itself) {
+        if (ended.containsKey(member.incarnation())) {
             return;
         }
-        Lease lease = leases.get(member.life());
+        Lease lease = leases.get(member.incarnation());
         if (lease == null) {
             // Another life of the same name is over: a machine runs one at a time, and the later one is heard anew.
             leases.values().removeIf(other -> other.member.name().equals(member.name()) && end(other, now));
             lease = new Lease();
             lease.member = member;
             lease.count = -1;
-            leases.put(member.life(), lease);
+            leases.put(member.incarnation(), lease);
             edition++;
         }
         if (count > lease.count) {
@@ -97,7 +97,7 @@
     }
 
     private boolean end(Lease lease, long now) {
-        ended.put(lease.member.life(), now);
+        ended.put(lease.member.incarnation(), now);
         return true;
     }
 
@@ -112,7 +112,7 @@
     }
 
     /** The lives that are over of late, by what this control node knows. */
-    List<String> over(long now) {
+    List<String> recentlyEnded(long now) {
         return ended.entrySet().stream()
                 .filter(e -> now - e.getValue() < length)
                 .map(Map.Entry::getKey)
@@ -120,7 +120,7 @@
     }
 
     /** Lives that are over by what another control node knows: agreed, or both would count other owners. */
-    void areOver(List<String> lives, long now) {
+    void markEnded(List<String> lives, long now) {
         for (String life : lives) {
             if (ended.putIfAbsent(life, now) == null && leases.remove(life) != null) {
                 edition++;
@@ -129,7 +129,7 @@
     }
 
     /** What has been heard from members themselves since the last time this was asked. */
-    List<Renewal> news() {
+    List<Renewal> takeUnreportedRenewals() {
         List<Renewal> all = new ArrayList<>();
         for (Lease lease : leases.values()) {
             if (lease.untold) {
@@ -140,7 +140,7 @@
         return all;
     }
 
-    void merge(List<Renewal> renewals, long now) {
-        renewals.forEach(renewal -> renewed(renewal.member(), renewal.count(), now, false));
+    void mergeRenewals(List<Renewal> renewals, long now) {
+        renewals.forEach(renewal -> renew(renewal.member(), renewal.count(), now, false));
     }
 }
--- a/control/src/main/java/saltdale/control/PeerContacts.java
+++ b/control/src/main/java/saltdale/control/PeerContacts.java
@@ -31,7 +31,7 @@
         final String host;
         PeerIdentity identity;
         boolean leaving;
-        long heardAt;
+        long lastHeardAt;
         private long reachedAt = NEVER; // when the newest heartbeat was sent that it has acknowledged
         private long agreedAt = NEVER; // the same, of those after which it had accepted nothing unknown to us
         private final List<Answer> ahead = new ArrayList<>(); // by which it had accepted what we do not know yet
@@ -41,11 +41,11 @@
             this.host = host;
         }
 
-        boolean is(String id) {
+        boolean hasId(String id) {
             return identity != null && identity.id().equals(id);
         }
 
-        void forgetContact() {
+        void clearContact() {
             reachedAt = NEVER;
             agreedAt = NEVER;
             ahead.clear();
@@ -77,21 +77,21 @@
         this.own = own;
         this.register = register;
         quorumSince = environment.now();
-        seeds(settings.seeds());
+        setSeeds(settings.seeds());
     }
 
     /** The settings name these control nodes now; none of them is forgotten. */
-    void seeds(List<String> hosts) {
+    void setSeeds(List<String> hosts) {
         seeds = List.copyOf(hosts);
         seeds.stream().filter(host -> !host.equals(own.host())).forEach(this::peer);
     }
 
-    Collection<Peer> all() {
+    Collection<Peer> peers() {
         return peers.values();
     }
 
     /** The peer at this host, known or not. */
-    Peer at(String host) {
+    Peer peerAt(String host) {
         return peers.get(host);
     }
 
@@ -100,7 +100,7 @@
     }
 
     /** Sends to all other control nodes. */
-    void tellAll(Message message) {
+    void broadcast(Message message) {
         peers.keySet().forEach(host -> environment.send(host, message));
     }
 
@@ -108,57 +108,60 @@
     void sendHeartbeats(boolean leaving, List<Renewal> renewals, List<String> ended) {
         heartbeats++;
         long now = environment.now();
-        ReplicatedState basis = register.basis();
+        ReplicatedState basis = register.quorumState();
         Set<String> to = new LinkedHashSet<>(peers.keySet());
         if (basis != null) {
-            basis.quorums().forEach(set -> set.forEach(voter -> to.add(voter.host())));
+            basis.voterSets().forEach(set -> set.forEach(voter -> to.add(voter.host())));
         }
         to.remove(own.host());
         for (String host : to) {
             Peer peer = peer(host);
             peer.sentAt.put(heartbeats, now);
-            peer.sentAt.values().removeIf(at -> now - at > REMEMBERED_HEARTBEATS * settings.heartbeat());
-            environment.send(host, new Heartbeat(own, heartbeats, register.version(), leaving, renewals, ended));
+            peer.sentAt.values().removeIf(at -> now - at > REMEMBERED_HEARTBEATS * settings.heartbeatNanos());
+            environment.send(host, new Heartbeat(own, heartbeats, register.chosenVersion(), leaving, renewals, ended));
         }
         peers.values().removeIf(peer -> isForgotten(peer, basis, now));
     }
 
     private boolean isForgotten(Peer peer, ReplicatedState basis, long now) {
         boolean votes = basis != null
-                && basis.quorums().stream()
+                && basis.voterSets().stream()
                         .flatMap(List::stream)
                         .anyMatch(v -> v.host().equals(peer.host));
-        return !votes && !seeds.contains(peer.host) && now - peer.heardAt > FORGOTTEN_AFTER * settings.heartbeat();
+        return !votes
+                && !seeds.contains(peer.host)
+                && now - peer.lastHeardAt > FORGOTTEN_AFTER * settings.heartbeatNanos();
     }
 
     /** Takes note of another's heartbeat and acknowledges it. */
-    void heartbeat(Heartbeat heartbeat) {
+    void onHeartbeat(Heartbeat heartbeat) {
         Peer peer = heard(heartbeat.from(), heartbeat.version());
         peer.leaving = heartbeat.leaving();
         environment.send(
-                peer.host, new HeartbeatAck(own, heartbeat.number(), register.version(), register.acceptedVersion()));
+                peer.host,
+                new HeartbeatAck(own, heartbeat.number(), register.chosenVersion(), register.acceptedVersion()));
     }
 
-    void acknowledged(HeartbeatAck ack) {
+    void onHeartbeatAck(HeartbeatAck ack) {
         Peer peer = heard(ack.from(), ack.version());
         Long sent = peer.sentAt.remove(ack.number());
         if (sent != null) {
             peer.reachedAt = Math.max(peer.reachedAt, sent);
             peer.ahead.removeIf(
-                    answer -> environment.now() - answer.sentAt > REMEMBERED_HEARTBEATS * settings.heartbeat());
+                    answer -> environment.now() - answer.sentAt > REMEMBERED_HEARTBEATS * settings.heartbeatNanos());
             peer.ahead.add(new Answer(sent, ack.accepted()));
         }
     }
 
     private Peer heard(PeerIdentity identity, long version) {
         Peer peer = peer(identity.host());
-        if (!peer.is(identity.id())) {
-            peer.forgetContact(); // what another disk at this address answered counts for nothing
+        if (!peer.hasId(identity.id())) {
+            peer.clearContact(); // what another disk at this address answered counts for nothing
         }
         peer.identity = identity;
-        peer.heardAt = environment.now();
-        if (version > register.version()) {
-            register.fetch(peer.host); // the sweep: whoever is behind fetches what it missed
+        peer.lastHeardAt = environment.now();
+        if (version > register.chosenVersion()) {
+            register.fetchFrom(peer.host); // the sweep: whoever is behind fetches what it missed
         }
         return peer;
     }
@@ -168,7 +171,7 @@
      * here. Computed from the clock at each call: a process that stood still has none when it wakes.
      */
     boolean hasQuorum() {
-        return quorumContactAt() > environment.now() - settings.lease();
+        return quorumContactAt() > environment.now() - settings.quorumLeaseNanos();
     }
 
     /**
@@ -181,7 +184,7 @@
     }
 
     /** Takes note, now and then, of whether there is a quorum; returns what was noted before. */
-    boolean watchQuorum() {
+    boolean updateQuorum() {
         boolean had = hadQuorum;
         hadQuorum = hasQuorum();
         quorumSince = had ? quorumSince : environment.now();
@@ -193,21 +196,21 @@
      * stood still or was cut off takes its own silence for theirs until then.
      */
     boolean hasSteadyQuorum() {
-        return hadQuorum && hasQuorum() && environment.now() - quorumSince > settings.heartbeat();
+        return hadQuorum && hasQuorum() && environment.now() - quorumSince > settings.heartbeatNanos();
     }
 
     /** Whether a majority answers at all, though it may have accepted what is unknown here. */
     boolean reachesMajority() {
-        return majorityAt(this::reachedAt) > environment.now() - settings.lease();
+        return majorityAt(this::reachedAt) > environment.now() - settings.quorumLeaseNanos();
     }
 
     private long majorityAt(ToLongFunction<Voter> contactAt) {
-        ReplicatedState basis = register.basis();
+        ReplicatedState basis = register.quorumState();
         if (basis == null) {
             return NEVER;
         }
         long at = environment.now();
-        for (List<Voter> set : basis.quorums()) {
+        for (List<Voter> set : basis.voterSets()) {
             long[] contacts = set.stream().mapToLong(contactAt).sorted().toArray();
             at = Math.min(at, contacts[(contacts.length - 1) / 2]);
         }
@@ -226,7 +229,7 @@
     }
 
     private long agreedAt(Peer peer) {
-        long known = register.version();
+        long known = register.chosenVersion();
         for (Answer answer : peer.ahead) {
             if (answer.accepted <= known) {
                 peer.agreedAt = Math.max(peer.agreedAt, answer.sentAt);
@@ -238,7 +241,7 @@
 
     private long latest(Voter voter, ToLongFunction<Peer> contactAt) {
         return peers.values().stream()
-                .filter(peer -> peer.is(voter.id()))
+                .filter(peer -> peer.hasId(voter.id()))
                 .mapToLong(contactAt)
                 .max()
                 .orElse(NEVER);
--- a/control/src/main/java/saltdale/control/Proposer.java
+++ b/control/src/main/java/saltdale/control/Proposer.java
@@ -24,31 +24,31 @@
 final class Proposer {
     /** Makes the next state of the newest one; may refuse, and may find that there is nothing to be done. */
     interface Change {
-        Step on(ReplicatedState newest, byte[] text);
+        ChangeResult apply(ReplicatedState newest, byte[] text);
     }
 
     /**
      * What a change comes to: the next state (null: stays as it is), with its text where that is new, and the
      * answer.
      */
-    record Step(ReplicatedState next, byte[] text, Object answer) {
-        static Step stay(Object answer) {
-            return new Step(null, null, answer);
+    record ChangeResult(ReplicatedState next, byte[] text, Object answer) {
+        static ChangeResult unchanged(Object answer) {
+            return new ChangeResult(null, null, answer);
         }
     }
 
     /** Told of each state that is chosen for certain. */
-    interface Chosen {
-        void chosen(Ballot ballot, ReplicatedState state, byte[] text);
+    interface ChosenListener {
+        void onChosen(Ballot ballot, ReplicatedState state, byte[] text);
     }
 
     private record Waiting(Change change, long until, Consumer<Object> answer) {}
 
     private static final long TRY =
-            Environment.millis(400); // for both questions of a ballot, disks and crossings included
+            Environment.millisToNanos(400); // for both questions of a ballot, disks and crossings included
     private static final int LONGEST_TRY = 4; // times as long, after tries that no majority answered in time
     /** The least pause after a try that another ballot overtook; doubled with each. */
-    private static final long PAUSE = Environment.millis(12);
+    private static final long PAUSE = Environment.millisToNanos(12);
 
     private static final long LONGEST_PAUSE = 32 * PAUSE; // unless the disks are slow
 
@@ -56,7 +56,7 @@
     private final String life;
     private final Acceptor own;
     private final Function<String, Boolean> isSelf;
-    private final Chosen chosen;
+    private final ChosenListener chosen;
     private final Deque<Waiting> waiting = new ArrayDeque<>();
     private Waiting current;
     private Round round;
@@ -70,7 +70,12 @@
     private byte[] knownText;
     private boolean knownIsChosen;
 
-    Proposer(Environment environment, String life, Acceptor own, Function<String, Boolean> isSelf, Chosen chosen) {
+    Proposer(
+            Environment environment,
+            String life,
+            Acceptor own,
+            Function<String, Boolean> isSelf,
+            ChosenListener chosen) {
         this.environment = environment;
         this.life = life;
         this.own = own;
@@ -79,7 +84,7 @@
     }
 
     /** {@code certain}: it is chosen; else it may be, and serves only to find voters until something is certain. */
-    void knows(ReplicatedState state, byte[] text, boolean certain) {
+    void learn(ReplicatedState state, byte[] text, boolean certain) {
         if (known == null || certain && !knownIsChosen || certain && state.version() > known.version()) {
             known = state;
             knownText = text;
@@ -87,7 +92,7 @@
         }
     }
 
-    ReplicatedState basis() {
+    ReplicatedState knownState() {
         return known;
     }
 
@@ -98,7 +103,7 @@
     }
 
     /** The same, ahead of all that waits: a repair must not wait for orders. */
-    void proposeFirst(Change change, long within, Consumer<Object> answer) {
+    void proposeWithPriority(Change change, long within, Consumer<Object> answer) {
         waiting.addFirst(new Waiting(change, environment.now() + within, answer));
         next();
     }
@@ -117,7 +122,7 @@
             return;
         }
         // What was promised here to another would refuse this one at once.
-        highest = Math.max(highest, own.promised().round()) + 1;
+        highest = Math.max(highest, own.promisedBallot().round()) + 1;
         round = new Round(new Ballot(highest, life));
         round.prepare();
     }
@@ -139,8 +144,8 @@
         long most = Math.min(phase << overtaken, Math.max(LONGEST_PAUSE, 4 * phase));
         // Another try must fit into the time that is left, however slow the voters were of late.
         long left = current.until() - environment.now();
-        long pause = Math.min((long) (most * (0.3 + environment.chance().nextDouble())), Math.max(PAUSE, left / 3));
-        environment.after(pause, () -> {
+        long pause = Math.min((long) (most * (0.3 + environment.random().nextDouble())), Math.max(PAUSE, left / 3));
+        environment.schedule(pause, () -> {
             if (round == null && current != null) {
                 begin();
             }
@@ -159,7 +164,7 @@
     }
 
     /** A voter's reply; those to ballots that are over mean nothing any more. */
-    void reply(Reply reply) {
+    void handleReply(Reply reply) {
         if (reply instanceof Refusal refusal) {
             highest = Math.max(highest, refusal.promised().round());
         }
@@ -193,7 +198,7 @@
 
         Round(Ballot ballot) {
             this.ballot = ballot;
-            limit = environment.after(tryFor, () -> late(this));
+            limit = environment.schedule(tryFor, () -> late(this));
         }
 
         void over() {
@@ -201,7 +206,7 @@
         }
 
         void prepare() {
-            for (List<Voter> set : newest.quorums()) {
+            for (List<Voter> set : newest.voterSets()) {
                 for (Voter voter : set) {
                     if (round == this && put == null && asked.add(voter.id())) {
                         ask(voter);
@@ -212,7 +217,7 @@
 
         private void ask(Voter voter) {
             if (isSelf.apply(voter.id())) {
-                own.prepare(ballot, base.textKey(), Proposer.this::reply);
+                own.prepare(ballot, base.textKey(), Proposer.this::handleReply);
             } else {
                 environment.send(voter.host(), new Prepare(ballot, base.textKey(), voter.id()));
             }
@@ -256,15 +261,15 @@
         }
 
         private void put() {
-            boolean certain = newest.quorums().stream()
+            boolean certain = newest.voterSets().stream()
                     .allMatch(set -> set.stream()
                                     .filter(v -> newestBallot.equals(promises.get(v.id())))
                                     .count()
                             > set.size() / 2);
-            Step step = current.change.on(newest, newestText);
+            ChangeResult step = current.change.apply(newest, newestText);
             answer = step.answer();
             if (step.next() == null && certain) {
-                chosen.chosen(newestBallot, newest, newestText);
+                chosen.onChosen(newestBallot, newest, newestText);
                 settle(newest);
                 finish(answer);
                 return;
@@ -282,9 +287,9 @@
         }
 
         private List<List<Voter>> quorumsOfPut() {
-            return put.equals(newest) || put.quorums().equals(newest.quorums())
-                    ? put.quorums()
-                    : List.of(newest.before(), newest.voters(), put.voters());
+            return put.equals(newest) || put.voterSets().equals(newest.voterSets())
+                    ? put.voterSets()
+                    : List.of(newest.previousVoters(), newest.voters(), put.voters());
         }
 
         private Voter voterOf(String id) {
@@ -297,7 +302,7 @@
 
         private void send(Voter voter, byte[] text) {
             if (isSelf.apply(voter.id())) {
-                own.accept(ballot, put, putText, Proposer.this::reply);
+                own.accept(ballot, put, putText, Proposer.this::handleReply);
             } else {
                 environment.send(voter.host(), new Accept(ballot, put, text, voter.id()));
             }
@@ -309,7 +314,7 @@
                     return;
                 }
             }
-            chosen.chosen(ballot, put, putText);
+            chosen.onChosen(ballot, put, putText);
             tryFor = Math.max(TRY, tryFor / 2);
             settle(put);
             finish(answer);
@@ -318,12 +323,12 @@
         /** Once a joint state is known to be chosen, by majorities of both, the old voters are needed no longer. */
         private void settle(ReplicatedState joint) {
             if (joint.isJoint()) {
-                waiting.addFirst(new Waiting(settling(joint), environment.now() + 4 * TRY, done -> {}));
+                waiting.addFirst(new Waiting(completeVoterChange(joint), environment.now() + 4 * TRY, done -> {}));
             }
         }
 
         private boolean majority(Set<String> who, ReplicatedState of) {
-            return of.quorums().stream()
+            return of.voterSets().stream()
                     .allMatch(set ->
                             set.stream().filter(v -> who.contains(v.id())).count() > set.size() / 2);
         }
@@ -333,8 +338,9 @@
      * Ends a change of voters; {@code joint} must be known to be chosen. One that was only accepted here and there may
      * not be ended: a majority of the old voters need not know of it.
      */
-    static Change settling(ReplicatedState joint) {
-        return (newest, text) ->
-                newest.equals(joint) ? new Step(newest.settled(), null, Boolean.TRUE) : Step.stay(null);
+    static Change completeVoterChange(ReplicatedState joint) {
+        return (newest, text) -> newest.equals(joint)
+                ? new ChangeResult(newest.withVoterChangeCompleted(), null, Boolean.TRUE)
+                : ChangeResult.unchanged(null);
     }
 }
--- a/control/src/main/java/saltdale/control/RecentChanges.java
+++ b/control/src/main/java/saltdale/control/RecentChanges.java
@@ -10,11 +10,11 @@
  */
 public final class RecentChanges {
     /** What is known of an order. */
-    enum Finding {
+    enum LookupResult {
         /** This very order made the revision that follows its base. */
-        TAKEN,
+        APPLIED,
         /** No such order was taken. */
-        NOT_TAKEN,
+        NOT_APPLIED,
         /** Its base is older than what is remembered: it may have been taken. */
         FORGOTTEN
     }
@@ -23,7 +23,7 @@
      * So many orders are remembered: the hundreds of a day. An entry takes {@link #DIGEST_BYTES} and one byte more for
      * usual steps, so that a whole memory takes 3.5 KB of each message that bears a state.
      */
-    static final int MOST = 512;
+    static final int MAX_ENTRIES = 512;
 
     /** A digest is compared with that of one order alone: it errs once in 2^48 orders that lost their race. */
     static final int DIGEST_BYTES = 6;
@@ -40,7 +40,7 @@
     }
 
     /** Nothing is known of orders that were based on a revision below this one. */
-    static RecentChanges from(long revision) {
+    static RecentChanges startingAt(long revision) {
         return new RecentChanges(revision, new byte[0]);
     }
 
@@ -74,7 +74,7 @@
             throw new IllegalArgumentException("no change from " + base + " to " + made);
         }
         Reader oldest = new Reader(coveredFrom, entries);
-        boolean full = count() >= MOST && oldest.next();
+        boolean full = count() >= MAX_ENTRIES && oldest.next();
         ByteArrayOutputStream all = new ByteArrayOutputStream(entries.length + DIGEST_BYTES + 2);
         all.write(entries, oldest.at, entries.length - oldest.at);
         all.writeBytes(digest);
@@ -97,17 +97,17 @@
     }
 
     /** Looks up the order with this digest among those that were based on this revision. */
-    Finding find(long base, byte[] digest) {
+    LookupResult find(long base, byte[] digest) {
         if (base < coveredFrom) {
-            return Finding.FORGOTTEN;
+            return LookupResult.FORGOTTEN;
         }
         Reader reader = new Reader(coveredFrom, entries);
         while (reader.next() && reader.base <= base) {
             if (reader.base == base && reader.holds(digest)) {
-                return Finding.TAKEN;
+                return LookupResult.APPLIED;
             }
         }
-        return Finding.NOT_TAKEN;
+        return LookupResult.NOT_APPLIED;
     }
 
     @Override
--- a/control/src/main/java/saltdale/control/ReplicatedRegister.java
+++ b/control/src/main/java/saltdale/control/ReplicatedRegister.java
@@ -12,7 +12,7 @@
 public final class ReplicatedRegister {
     /** Told whenever a newer state is known to be chosen. */
     interface Listener {
-        void chosen(ReplicatedState state, byte[] text);
+        void onChosen(ReplicatedState state, byte[] text);
     }
 
     private final Environment environment;
@@ -36,21 +36,21 @@
 
     void restore(Map<String, byte[]> records) throws MalformedMessage {
         acceptor.restore(records);
-        if (acceptor.state() != null) {
+        if (acceptor.acceptedState() != null) {
             // Not known to be chosen, but whoever is asked for promises is found by it.
-            proposer.knows(acceptor.state(), acceptor.text(), false);
+            proposer.learn(acceptor.acceptedState(), acceptor.acceptedText(), false);
         }
     }
 
-    /** See {@link Acceptor#writeWithVotes}. */
-    void writeWithVotes(Map<String, byte[]> records) {
-        acceptor.writeWithVotes(records);
+    /** See {@link Acceptor#writeWithNextVote}. */
+    void writeWithNextVote(Map<String, byte[]> records) {
+        acceptor.writeWithNextVote(records);
     }
 
     /** The first start of all, whose voters all know. */
-    void first(ReplicatedState state) {
-        if (acceptor.state() == null) {
-            proposer.knows(state, null, true);
+    void initialize(ReplicatedState state) {
+        if (acceptor.acceptedState() == null) {
+            proposer.learn(state, null, true);
         }
     }
 
@@ -59,33 +59,33 @@
         return chosen;
     }
 
-    public byte[] text() {
+    public byte[] chosenText() {
         return text;
     }
 
     /** The version of the newest state known to be chosen; -1 where none is. */
-    long version() {
+    long chosenVersion() {
         return chosen == null ? -1 : chosen.version();
     }
 
     /** The version of the newest state accepted here, which may have been chosen unknown to us; -1 where none is. */
     long acceptedVersion() {
-        return acceptor.version();
+        return acceptor.acceptedVersion();
     }
 
     /** Whether a state was accepted here of which it is not known whether it, or another in its place, was chosen. */
-    boolean isUndecided() {
-        return acceptor.version() > version();
+    boolean hasUndecidedState() {
+        return acceptor.acceptedVersion() > chosenVersion();
     }
 
     /** Since when that is so. */
     long undecidedSince() {
-        return acceptor.acceptedSince(version());
+        return acceptor.undecidedSince(chosenVersion());
     }
 
     /** The state whose voters are asked: chosen, or the newest that may be. */
-    ReplicatedState basis() {
-        return chosen != null ? chosen : proposer.basis();
+    ReplicatedState quorumState() {
+        return chosen != null ? chosen : proposer.knownState();
     }
 
     void propose(Proposer.Change change, long within, Consumer<Object> answer) {
@@ -93,12 +93,12 @@
     }
 
     /** The same, ahead of all that waits. */
-    void proposeFirst(Proposer.Change change, long within, Consumer<Object> answer) {
-        proposer.proposeFirst(change, within, answer);
+    void proposeWithPriority(Proposer.Change change, long within, Consumer<Object> answer) {
+        proposer.proposeWithPriority(change, within, answer);
     }
 
     /** Takes part in a ballot, or hears of its end. */
-    void message(String fromHost, BallotMessage message) {
+    void handleMessage(String fromHost, BallotMessage message) {
         if (message instanceof Prepare prepare) {
             if (prepare.voter().equals(id)) {
                 acceptor.prepare(prepare.ballot(), prepare.knownText(), reply -> environment.send(fromHost, reply));
@@ -109,7 +109,7 @@
                         accept.ballot(), accept.state(), accept.text(), reply -> environment.send(fromHost, reply));
             }
         } else if (message instanceof BallotMessage.Reply reply) {
-            proposer.reply(reply);
+            proposer.handleReply(reply);
         } else if (message instanceof Chosen news) {
             heard(fromHost, news);
         } else if (message instanceof Fetch fetch && chosen != null) {
@@ -125,7 +125,7 @@
         }
         byte[] with = news.text() != null ? news.text() : textOf(state);
         if (with == null && !state.textKey().isEmpty()) {
-            fetch(fromHost);
+            fetchFrom(fromHost);
             return;
         }
         learnt(state, with);
@@ -135,11 +135,14 @@
         if (chosen != null && chosen.textKey().equals(state.textKey())) {
             return text;
         }
-        return acceptor.state() != null && acceptor.state().textKey().equals(state.textKey()) ? acceptor.text() : null;
+        return acceptor.acceptedState() != null
+                        && acceptor.acceptedState().textKey().equals(state.textKey())
+                ? acceptor.acceptedText()
+                : null;
     }
 
     /** Asks another control node for the newest chosen state. */
-    void fetch(String host) {
+    void fetchFrom(String host) {
         environment.send(host, new Fetch(chosen == null ? "" : chosen.textKey()));
     }
 
@@ -155,8 +158,8 @@
                         + before.version() + " has " + before.revision());
         chosen = state;
         text = state.textKey().isEmpty() ? null : newText;
-        proposer.knows(state, text, true);
-        listener.chosen(state, text);
+        proposer.learn(state, text, true);
+        listener.onChosen(state, text);
     }
 
     private void tell() {
--- a/control/src/main/java/saltdale/control/ReplicatedState.java
+++ b/control/src/main/java/saltdale/control/ReplicatedState.java
@@ -14,24 +14,24 @@
  */
 public record ReplicatedState(
         long version,
-        List<Voter> before,
+        List<Voter> previousVoters,
         List<Voter> voters,
         Map<String, DutyLease> duties,
         long revision,
         String textKey,
         RecentChanges recentChanges) {
     /** The state from which all begin who are told that this is the first start. */
-    public static ReplicatedState first(List<Voter> voters) {
-        return new ReplicatedState(0, voters, voters, Map.of(), 0, "", RecentChanges.from(0));
+    public static ReplicatedState initial(List<Voter> voters) {
+        return new ReplicatedState(0, voters, voters, Map.of(), 0, "", RecentChanges.startingAt(0));
     }
 
     public boolean isJoint() {
-        return !before.equals(voters);
+        return !previousVoters.equals(voters);
     }
 
     /** The sets of which a majority each is needed. */
-    public List<List<Voter>> quorums() {
-        return isJoint() ? List.of(before, voters) : List.of(voters);
+    public List<List<Voter>> voterSets() {
+        return isJoint() ? List.of(previousVoters, voters) : List.of(voters);
     }
 
     public boolean isVoter(String id) {
@@ -47,21 +47,21 @@
     }
 
     /** The change of voters is over: all later ballots need the new ones alone. */
-    public ReplicatedState settled() {
+    public ReplicatedState withVoterChangeCompleted() {
         return new ReplicatedState(version + 1, voters, voters, duties, revision, textKey, recentChanges);
     }
 
     public ReplicatedState withDuty(String name, DutyLease tenure) {
         Map<String, DutyLease> all = new TreeMap<>(duties);
         all.put(name, tenure);
-        return new ReplicatedState(version + 1, before, voters, all, revision, textKey, recentChanges);
+        return new ReplicatedState(version + 1, previousVoters, voters, all, revision, textKey, recentChanges);
     }
 
     /** A new revision of the configuration, its text named by this key, made by the order with this digest. */
-    public ReplicatedState withText(long newRevision, String key, byte[] orderDigest) {
+    public ReplicatedState withConfiguration(long newRevision, String key, byte[] orderDigest) {
         return new ReplicatedState(
                 version + 1,
-                before,
+                previousVoters,
                 voters,
                 duties,
                 newRevision,
@@ -76,7 +76,7 @@
                 "v",
                 version,
                 "b",
-                isJoint() ? before.stream().map(Voter::tree).toList() : null,
+                isJoint() ? previousVoters.stream().map(Voter::tree).toList() : null,
                 "m",
                 voters.stream().map(Voter::tree).toList(),
                 "d",
@@ -102,11 +102,11 @@
         Fields all = from.object("d");
         for (String name : all.map().keySet()) {
             Fields one = all.object(name);
-            duties.put(name, new DutyLease(one.text("h", null), one.text("n", null), one.whole("f")));
+            duties.put(name, new DutyLease(one.text("h", null), one.text("n", null), one.integer("f")));
         }
-        long revision = from.whole("r");
+        long revision = from.integer("r");
         return new ReplicatedState(
-                from.whole("v"),
+                from.integer("v"),
                 from.has("b") ? voters(from, "b") : voters,
                 voters,
                 duties,
@@ -121,9 +121,9 @@
      */
     private static RecentChanges recentChanges(Fields from, long revision) throws MalformedMessage {
         if (!from.has("f")) {
-            return RecentChanges.from(revision);
+            return RecentChanges.startingAt(revision);
         }
-        return RecentChanges.of(from.whole("f"), from.bytes("c"), revision);
+        return RecentChanges.of(from.integer("f"), from.bytes("c"), revision);
     }
 
     private static List<Voter> voters(Fields from, String name) throws MalformedMessage {
--- a/control/src/main/java/saltdale/control/SetDigest.java
+++ b/control/src/main/java/saltdale/control/SetDigest.java
@@ -14,24 +14,24 @@
 
     /** With this part, a tree as {@link Trees} writes it. */
     public SetDigest plus(Object part) {
-        ByteBuffer hash = ByteBuffer.wrap(sha256(Trees.cbor(part)));
+        ByteBuffer hash = ByteBuffer.wrap(sha256(Trees.toCbor(part)));
         return new SetDigest(high + hash.getLong(), low + hash.getLong());
     }
 
     /** Without this part. */
     public SetDigest minus(Object part) {
-        ByteBuffer hash = ByteBuffer.wrap(sha256(Trees.cbor(part)));
+        ByteBuffer hash = ByteBuffer.wrap(sha256(Trees.toCbor(part)));
         return new SetDigest(high - hash.getLong(), low - hash.getLong());
     }
 
     /** The digest of members, by life, that were these and are those. */
-    public SetDigest changed(Map<String, Member> before, Map<String, Member> after) {
+    public SetDigest updated(Map<String, Member> before, Map<String, Member> after) {
         SetDigest digest = this;
         for (Member was : before.values()) {
-            digest = was.equals(after.get(was.life())) ? digest : digest.minus(was.tree());
+            digest = was.equals(after.get(was.incarnation())) ? digest : digest.minus(was.tree());
         }
         for (Member is : after.values()) {
-            digest = is.equals(before.get(is.life())) ? digest : digest.plus(is.tree());
+            digest = is.equals(before.get(is.incarnation())) ? digest : digest.plus(is.tree());
         }
         return digest;
     }
--- a/control/src/main/java/saltdale/control/Subscriptions.java
+++ b/control/src/main/java/saltdale/control/Subscriptions.java
@@ -79,14 +79,14 @@
     }
 
     /** A member has renewed its lease here; returns how many pieces of news its session was sent. */
-    long renewed(String fromHost, LeaseRenewal renewal) {
-        String life = renewal.member().life();
+    long onRenewal(String fromHost, LeaseRenewal renewal) {
+        String life = renewal.member().incarnation();
         Subscriber subscriber = subscribers.get(life);
         if (subscriber == null || !subscriber.session.equals(renewal.session())) {
             subscriber = new Subscriber(fromHost, renewal.session());
             subscriber.revision = renewal.revision();
             subscriber.digest = renewal.digest();
-            subscriber.members = members.known(renewal.membersDigest());
+            subscriber.members = members.recentView(renewal.membersDigest());
             subscribers.put(life, subscriber);
         }
         subscriber.member = renewal.member();
@@ -96,7 +96,7 @@
     }
 
     /** Sends the part of a snapshot that a proxy asks for, and behind the last part what has changed since. */
-    void requested(SnapshotRequest request) {
+    void onSnapshotRequest(SnapshotRequest request) {
         Subscriber to = subscribers.get(request.life());
         boolean known = to != null && to.session.equals(request.session());
         // Without a majority nothing old is handed out: the proxy asks again, here or elsewhere.
@@ -122,19 +122,19 @@
     }
 
     /** The life is over: it takes no more news. */
-    void end(String life) {
+    void endSession(String life) {
         subscribers.remove(life);
     }
 
     /** Sends this to all: that this control node may not know the newest any more, or that it ends. */
-    void tellAll(SessionMessage message) {
+    void broadcast(SessionMessage message) {
         subscribers.values().forEach(subscriber -> environment.send(subscriber.host, message));
     }
 
     /** Sends each what has changed for it. */
     void publish() {
         long now = environment.now();
-        subscribers.values().removeIf(subscriber -> now - subscriber.heardAt > 4 * settings.heartbeat());
+        subscribers.values().removeIf(subscriber -> now - subscriber.heardAt > 4 * settings.heartbeatNanos());
         subscribers.values().forEach(this::publish);
     }
 
@@ -181,7 +181,7 @@
         Map<String, Member> before = to.members == null ? Map.of() : to.members.byLife();
         to.members = present;
         List<Member> changed = present.byLife().values().stream()
-                .filter(member -> !member.equals(before.get(member.life())))
+                .filter(member -> !member.equals(before.get(member.incarnation())))
                 .toList();
         List<String> gone = before.keySet().stream()
                 .filter(life -> !present.byLife().containsKey(life))
@@ -223,10 +223,10 @@
             owners.clear();
         }
         String owner = owners.computeIfAbsent(service + "@" + zone, key -> {
-            Member found = ServiceOwnership.of(service, zone, members.all());
-            return found == null ? "" : found.life();
+            Member found = ServiceOwnership.of(service, zone, members.members());
+            return found == null ? "" : found.incarnation();
         });
-        return owner.equals(who.member.life());
+        return owner.equals(who.member.incarnation());
     }
 
     private void tell(Subscriber to, Numbered numbered) {
--- a/control/src/main/java/saltdale/control/Trees.java
+++ b/control/src/main/java/saltdale/control/Trees.java
@@ -26,11 +26,11 @@
         static final JsonFactory FACTORY = new JsonFactory();
     }
 
-    public static byte[] cbor(Object tree) {
+    public static byte[] toCbor(Object tree) {
         return written(Cbor.FACTORY, tree);
     }
 
-    public static byte[] json(Object tree) {
+    public static byte[] toJson(Object tree) {
         return written(Json.FACTORY, tree);
     }
 
--- a/control/src/main/java/saltdale/control/Voter.java
+++ b/control/src/main/java/saltdale/control/Voter.java
@@ -20,7 +20,7 @@
     }
 
     /** The id of a control node of the first start of all, which all can tell from its address. */
-    static String firstId(String host) {
+    static String initialId(String host) {
         return "first:" + host;
     }
 }
--- a/control/src/main/java/saltdale/control/VoterChanges.java
+++ b/control/src/main/java/saltdale/control/VoterChanges.java
@@ -9,7 +9,7 @@
 class VoterChanges {
     /** Makes the voter changes of a control node. */
     interface Factory {
-        VoterChanges of(
+        VoterChanges create(
                 Environment environment,
                 ControlNodeSettings settings,
                 PeerContacts peers,
@@ -52,9 +52,9 @@
      * What is to be put forward now, null where nothing is; {@code elected}: this control node holds the duty, or
      * nobody does; {@code leaving}: it is about to end.
      */
-    Proposer.Change due(ReplicatedState state, boolean elected, boolean leaving) {
+    Proposer.Change nextChange(ReplicatedState state, boolean elected, boolean leaving) {
         if (state.isJoint()) {
-            return finishes(state, elected) ? Proposer.settling(state) : null;
+            return shouldComplete(state, elected) ? Proposer.completeVoterChange(state) : null;
         }
         List<PeerContacts.Peer> candidates = candidates(state);
         boolean replacesItself = leaving && state.isVoter(id) && !candidates.isEmpty();
@@ -69,17 +69,17 @@
      * Whether this control node ends a change of voters that is known to be chosen. Any may, whoever holds the duty,
      * but who proposed it, or holds the duty, goes first: ballots that overtake each other are slow.
      */
-    boolean finishes(ReplicatedState joint, boolean elected) {
+    boolean shouldComplete(ReplicatedState joint, boolean elected) {
         if (joint.version() != jointVersion) {
             jointVersion = joint.version();
             jointSince = environment.now();
         }
-        return elected || environment.now() - jointSince > settings.heartbeat() / 2;
+        return elected || environment.now() - jointSince > settings.heartbeatNanos() / 2;
     }
 
     /** Whether this control node, about to end, should wait: another can take its place but has not yet done so. */
     boolean isAwaitingSuccessor(ReplicatedState state) {
-        boolean votes = state.quorums().stream()
+        boolean votes = state.voterSets().stream()
                 .flatMap(List::stream)
                 .anyMatch(voter -> voter.id().equals(id));
         return votes && (state.isJoint() || !candidates(state).isEmpty());
@@ -119,12 +119,12 @@
      * stay in the majority to be had.
      */
     private boolean mayGrow(List<Voter> voters, List<PeerContacts.Peer> candidates) {
-        if (voters.size() + 2 <= settings.toleratedLosses().votersForMachines()) {
+        if (voters.size() + 2 <= settings.toleratedLosses().requiredVoters()) {
             return true;
         }
         long pairSince = Math.max(spareSince(candidates.get(0)), spareSince(candidates.get(1)));
-        int spareFor = settings.toleratedLosses().includesPlaces() ? SPARE_FOR_PLACES : SPARE_FOR;
-        return voters.size() + 2 <= MOST_VOTERS && environment.now() - pairSince > spareFor * settings.heartbeat();
+        int spareFor = settings.toleratedLosses().includesZonesOrRegions() ? SPARE_FOR_PLACES : SPARE_FOR;
+        return voters.size() + 2 <= MOST_VOTERS && environment.now() - pairSince > spareFor * settings.heartbeatNanos();
     }
 
     /**
@@ -135,8 +135,8 @@
         List<Voter> gone =
                 voters.stream().filter(voter -> isGone(voter, leaving)).toList();
         if (gone.size() >= 2
-                && !settings.toleratedLosses().includesPlaces()
-                && voters.size() - 2 >= settings.toleratedLosses().votersForMachines()) {
+                && !settings.toleratedLosses().includesZonesOrRegions()
+                && voters.size() - 2 >= settings.toleratedLosses().requiredVoters()) {
             voters.removeAll(gone.subList(0, 2));
         }
     }
@@ -147,10 +147,10 @@
 
     private List<PeerContacts.Peer> candidates(ReplicatedState state) {
         long now = environment.now();
-        List<PeerContacts.Peer> candidates = new ArrayList<>(peers.all().stream()
+        List<PeerContacts.Peer> candidates = new ArrayList<>(peers.peers().stream()
                 .filter(peer -> peer.identity != null
                         && !peer.leaving
-                        && now - peer.heardAt < settings.lease()
+                        && now - peer.lastHeardAt < settings.quorumLeaseNanos()
                         && !state.isVoter(peer.identity.id()))
                 .toList());
         List<String> ids = candidates.stream().map(peer -> peer.identity.id()).toList();
@@ -163,14 +163,14 @@
         if (voter.id().equals(id)) {
             return leaving;
         }
-        PeerContacts.Peer peer = peers.at(voter.host());
-        return peer == null || peer.leaving || election.unheard(peer.is(voter.id()) ? peer.heardAt : 0);
+        PeerContacts.Peer peer = peers.peerAt(voter.host());
+        return peer == null || peer.leaving || election.unheard(peer.hasId(voter.id()) ? peer.lastHeardAt : 0);
     }
 
     /** Puts these voters forward, unless others are by now. */
     private static Proposer.Change change(ReplicatedState seen, List<Voter> next) {
         return (newest, text) -> newest.isJoint() || !newest.voters().equals(seen.voters())
-                ? Proposer.Step.stay(null)
-                : new Proposer.Step(newest.withVoters(next), null, Boolean.TRUE);
+                ? Proposer.ChangeResult.unchanged(null)
+                : new Proposer.ChangeResult(newest.withVoters(next), null, Boolean.TRUE);
     }
 }
--- a/control/src/main/java/saltdale/control/WorkerTable.java
+++ b/control/src/main/java/saltdale/control/WorkerTable.java
@@ -65,7 +65,7 @@
             toldFreeMb.clear();
             all.forEach(worker -> toldFreeMb.put(worker.name, worker.freeMb));
         } catch (MalformedMessage e) {
-            environment.note("the platform's workers cannot be read: " + e.getMessage());
+            environment.log("the platform's workers cannot be read: " + e.getMessage());
         }
     }
 
--- a/control/src/main/java/saltdale/control/message/MessageCodec.java
+++ b/control/src/main/java/saltdale/control/message/MessageCodec.java
@@ -13,7 +13,7 @@
 
     /** The message as it goes to another process. */
     public static byte[] encode(Message message) {
-        return Trees.cbor(tree(message));
+        return Trees.toCbor(tree(message));
     }
 
     /** The message that these bytes hold, whole and of the right types, or an error that names kind and field. */
--- a/control/src/main/java/saltdale/control/message/SessionMessage.java
+++ b/control/src/main/java/saltdale/control/message/SessionMessage.java
@@ -211,7 +211,7 @@
                     fields.text("session"),
                     fields.text("digest"),
                     fields.within("offset", 0, Integer.MAX_VALUE),
-                    fields.within("total", 1, ConfigurationSnapshot.MOST),
+                    fields.within("total", 1, ConfigurationSnapshot.MAX_UNPACKED_BYTES),
                     fields.bytes("bytes"));
         }
     }
--- a/node/src/main/java/saltdale/node/ControlProcess.java
+++ b/node/src/main/java/saltdale/node/ControlProcess.java
@@ -69,7 +69,7 @@
             }
         }
         controlNode = made;
-        seedWatch = new SeedWatch(environment, settings, controlNode::hasMajority, controlNode::seeds);
+        seedWatch = new SeedWatch(environment, settings, controlNode::hasMajority, controlNode::setSeeds);
         if (settings.control != null) {
             new Listener(
                     environment.loop,
@@ -92,7 +92,7 @@
 
     @Override
     public void run() throws IOException {
-        controlNode.begin();
+        controlNode.start();
         seedWatch.begin();
         environment.noteTraffic(Duration.ofSeconds(10));
         environment.loop.run(() -> {});
@@ -105,7 +105,8 @@
             if (!ending) {
                 ending = true;
                 long within = settings.grace * LEAVING_TENTHS / 10;
-                controlNode.end(within, () -> environment.loop.after(Duration.ofMillis(50), environment.loop::stop));
+                controlNode.shutDown(
+                        within, () -> environment.loop.after(Duration.ofMillis(50), environment.loop::stop));
             }
         });
     }
@@ -120,7 +121,7 @@
     @Override
     public void message(String fromHost, Message message) throws MalformedMessage {
         if (controlNode != null) {
-            controlNode.message(fromHost, message);
+            controlNode.handleMessage(fromHost, message);
         }
     }
 
@@ -135,13 +136,14 @@
     public void requested(Visit visit, Head head, byte[] body) {
         switch (head.method() + " " + head.path()) {
             case "POST /Configuration.Replace" ->
-                controlNode.change(
+                controlNode.changeConfiguration(
                         false, head.single("X-Saltdale-Based-On-Version"), body, reply -> tell(visit, reply));
             case "POST /Configuration.Amend" ->
-                controlNode.change(true, head.single("X-Saltdale-Based-On-Version"), body, reply -> tell(visit, reply));
-            case "GET /Configuration.Read" -> controlNode.read(reply -> tell(visit, reply));
+                controlNode.changeConfiguration(
+                        true, head.single("X-Saltdale-Based-On-Version"), body, reply -> tell(visit, reply));
+            case "GET /Configuration.Read" -> controlNode.readConfiguration(reply -> tell(visit, reply));
             case "GET /metrics" ->
-                visit.answer(200, TEXT, environment.counters().text());
+                visit.answer(200, TEXT, environment.counters().toText());
             case "GET /readiness" -> visit.answer(controlNode.hasMajority() ? 200 : 503, "", NOTHING);
             default -> visit.answer(404, "", "no such call");
         }
@@ -153,8 +155,8 @@
         } else if (reply.status() == 200) {
             visit.answer(200, "", NOTHING);
         } else {
-            environment.note("refused a call: " + reply.status() + " " + reply.why());
-            visit.answer(reply.status(), reply.status() == 503 ? "Retry-After: 0.2\r\n" : "", reply.why());
+            environment.log("refused a call: " + reply.status() + " " + reply.reason());
+            visit.answer(reply.status(), reply.status() == 503 ? "Retry-After: 0.2\r\n" : "", reply.reason());
         }
     }
 
--- a/node/src/main/java/saltdale/node/EventLoopEnvironment.java
+++ b/node/src/main/java/saltdale/node/EventLoopEnvironment.java
@@ -65,7 +65,7 @@
                     .append(count[0])
                     .append('/')
                     .append(count[1]));
-            note(all.toString());
+            log(all.toString());
             noteTraffic(every);
         });
     }
@@ -76,12 +76,12 @@
     }
 
     @Override
-    public SplittableRandom chance() {
+    public SplittableRandom random() {
         return chance;
     }
 
     @Override
-    public Runnable after(long nanos, Runnable what) {
+    public Runnable schedule(long nanos, Runnable what) {
         Timer timer = loop.after(loop.clock().minus(loop.now()).plusNanos(Math.max(0, nanos)), what);
         return timer::cancel;
     }
@@ -110,7 +110,7 @@
     }
 
     @Override
-    public void note(String what) {
+    public void log(String what) {
         ring.note(what);
     }
 
@@ -120,7 +120,7 @@
     }
 
     @Override
-    public void violated(Invariant invariant, String detail) {
+    public void reportViolation(Invariant invariant, String detail) {
         ring.wrong("invariant " + invariant + " does not hold: " + detail);
     }
 
--- a/node/src/main/java/saltdale/node/PlatformClient.java
+++ b/node/src/main/java/saltdale/node/PlatformClient.java
@@ -61,7 +61,7 @@
     }
 
     private void post(String target, String holder, long fence, Map<String, Object> tree, Consumer<Answer> answer) {
-        byte[] body = Trees.json(tree);
+        byte[] body = Trees.toJson(tree);
         ask(
                 HttpWriter.request(
                         "POST",
@@ -86,7 +86,7 @@
                 try {
                     tree = Trees.fromJson(text);
                 } catch (MalformedMessage e) {
-                    environment.note("an answer of the platform is no JSON: "
+                    environment.log("an answer of the platform is no JSON: "
                             + new String(text, 0, Math.min(80, text.length), StandardCharsets.UTF_8));
                 }
             }
--- a/node/src/main/java/saltdale/node/ProxyProcess.java
+++ b/node/src/main/java/saltdale/node/ProxyProcess.java
@@ -153,7 +153,7 @@
         if (decision instanceof RouteDecision.Found found) {
             routed(visit, head, body, found.route());
         } else if (decision instanceof RouteDecision.Denied) {
-            environment.note("404 for " + hostname + head.path() + " by configuration "
+            environment.log("404 for " + hostname + head.path() + " by configuration "
                     + proxy.configuration().revision());
             visit.answer(404, "", "no such route");
         } else {
@@ -247,7 +247,7 @@
         }
 
         private String figures() {
-            return environment.counters().text()
+            return environment.counters().toText()
                     + "configuration_revision " + proxy.revision() + '\n'
                     + "configuration_age_ms " + proxy.configurationAge() / 1_000_000 + '\n';
         }
@@ -312,7 +312,7 @@
                 ? ""
                 : "Retry-After: " + pauseMillis / 1000 + "."
                         + Long.toString(1000 + pauseMillis % 1000).substring(1) + "\r\n";
-        environment.note("gave up " + request.id + " of " + request.service + ": " + status + " " + why);
+        environment.log("gave up " + request.id + " of " + request.service + ": " + status + " " + why);
         ClientRequest client = (ClientRequest) request.clientContext;
         client.visit.answer(status, more, client.head.method().equals("HEAD") ? "" : why);
     }
--- a/node/src/main/java/saltdale/node/SeedWatch.java
+++ b/node/src/main/java/saltdale/node/SeedWatch.java
@@ -44,12 +44,12 @@
         try {
             Settings now = settings.readAgain();
             if (!now.seeds.equals(settings.seeds)) {
-                environment.note("the settings name other seeds: " + now.seeds);
+                environment.log("the settings name other seeds: " + now.seeds);
                 seeds.accept(now.seeds);
             }
             settings = now;
         } catch (Settings.Wrong e) {
-            environment.note("the settings are not read again: " + e.getMessage());
+            environment.log("the settings are not read again: " + e.getMessage());
         }
     }
 }
--- a/node/src/main/java/saltdale/node/Settings.java
+++ b/node/src/main/java/saltdale/node/Settings.java
@@ -72,7 +72,7 @@
             }
             seeds.add(seed.substring(0, colon));
         }
-        firstStart = from.flag("first_start");
+        firstStart = from.bool("first_start");
         Fields tolerated =
                 from.has("tolerated_losses") ? from.object("tolerated_losses") : Fields.of(java.util.Map.of());
         toleratedLosses = new ToleratedLosses(
@@ -80,7 +80,7 @@
                 tolerated(tolerated, "zones", 0),
                 tolerated(tolerated, "regions", 0));
         Fields limits = from.has("limits") ? from.object("limits") : Fields.of(java.util.Map.of());
-        descriptors = (int) limits.whole("file_descriptors", 1024);
+        descriptors = (int) limits.integer("file_descriptors", 1024);
         data = from.has("data_directory") ? Path.of(from.text("data_directory")) : null;
         heartbeat = millis(from, "heartbeat_interval_ms", 1200);
         Fields bounds = from.has("bounds") ? from.object("bounds") : Fields.of(java.util.Map.of());
@@ -97,7 +97,7 @@
     }
 
     private static int tolerated(Fields from, String what, int otherwise) throws MalformedMessage {
-        long count = from.whole(what, otherwise);
+        long count = from.integer(what, otherwise);
         if (count < 0 || count > MOST_TOLERATED) {
             throw new MalformedMessage("tolerated_losses." + what + " must be 0 to " + MOST_TOLERATED);
         }
--- a/node/src/test/java/saltdale/node/ChainModel.java
+++ b/node/src/test/java/saltdale/node/ChainModel.java
@@ -31,7 +31,7 @@
     }
 
     private static final Set<Integer> PROMISES = Set.of(408, 421, 429, 503);
-    private static final long SLACK = Environment.millis(250); // past a route's timeout
+    private static final long SLACK = Environment.millisToNanos(250); // past a route's timeout
 
     /** A request of a client, and all that became of it. */
     private static final class ClientRequest {
@@ -133,7 +133,7 @@
 
     /** So many requests a second for a while, each to any proxy of the first {@code proxies} that is ready. */
     void load(double perSecond, long millis, int proxies) {
-        for (long at = 0; at < Environment.millis(millis); at += (long) (1e9 / perSecond)) {
+        for (long at = 0; at < Environment.millisToNanos(millis); at += (long) (1e9 / perSecond)) {
             cluster.at(at + cluster.chance().nextLong(1_000_000), () -> {
                 Environment process = cluster.ready(cluster.chance().nextInt(proxies));
                 if (process != null) {
@@ -151,7 +151,7 @@
         Arrays.fill(body, (byte) ('a' + number % 26));
         ClientRequest client = new ClientRequest(path, attemptId(number), body, route, process, cluster.now());
         byPath.put(path, client);
-        long left = Environment.millis(300 + cluster.chance().nextInt(3000));
+        long left = Environment.millisToNanos(300 + cluster.chance().nextInt(3000));
         cluster.deliver(process, () -> {
             Request request = cluster.proxy(process).arrived(client.attemptId, route, left, "10.9.9.9", client);
             if (happens(leaves)) {
@@ -190,7 +190,7 @@
         if (PROMISES.contains(status) && client.runs > 0) {
             fault(client.path + " is refused with " + status + " and has run");
         }
-        boolean late = cluster.now() - client.sentAt > Environment.millis(client.route.timeoutMs()) + SLACK;
+        boolean late = cluster.now() - client.sentAt > Environment.millisToNanos(client.route.timeoutMs()) + SLACK;
         if (late && !client.troubled) {
             fault(client.path + " is held past its route's timeout");
         }
--- a/node/src/test/java/saltdale/node/ControlRecordsTest.java
+++ b/node/src/test/java/saltdale/node/ControlRecordsTest.java
@@ -60,16 +60,16 @@
 
         @Override
         public long now() {
-            return Environment.millis(1_000_000);
+            return Environment.millisToNanos(1_000_000);
         }
 
         @Override
-        public SplittableRandom chance() {
+        public SplittableRandom random() {
             return chance;
         }
 
         @Override
-        public Runnable after(long nanos, Runnable what) {
+        public Runnable schedule(long nanos, Runnable what) {
             return () -> {};
         }
 
@@ -89,7 +89,7 @@
         }
 
         @Override
-        public void note(String what) {}
+        public void log(String what) {}
 
         @Override
         public Counters counters() {
@@ -97,7 +97,7 @@
         }
 
         @Override
-        public void violated(Invariant invariant, String detail) {
+        public void reportViolation(Invariant invariant, String detail) {
             throw new AssertionError(invariant + ": " + detail);
         }
     }
@@ -110,9 +110,9 @@
                 List.of("10.0.0.1", PEER),
                 true,
                 new ToleratedLosses(1, 0, 0),
-                Environment.millis(1200),
-                Environment.millis(5000),
-                Environment.millis(3000),
+                Environment.millisToNanos(1200),
+                Environment.millisToNanos(5000),
+                Environment.millisToNanos(3000),
                 new Platform.Rates(5, 5, List.of("starting")));
         return new ControlNode(new OnDisk(store), settings, null, store.read());
     }
@@ -145,12 +145,12 @@
         try (RecordStore store = RecordStore.open(folder)) {
             ControlNode node = node(store);
             Voter own = voter(store);
-            state = ReplicatedState.first(List.of(own));
+            state = ReplicatedState.initial(List.of(own));
             for (int i = 1; i <= CHANGES; i++) {
                 text = text(i);
-                state = state.withText(
+                state = state.withConfiguration(
                         i, i + "-x", Integer.toString(100_000 + i).getBytes(StandardCharsets.UTF_8));
-                node.message(PEER, new Accept(new Ballot(i, "x"), state, text, own.id()));
+                node.handleMessage(PEER, new Accept(new Ballot(i, "x"), state, text, own.id()));
                 assertThat(sent.get(sent.size() - 1), is(instanceOf(Accepted.class)));
                 most = Math.max(most, bytesOnDisk());
             }
@@ -163,7 +163,7 @@
         assertThat("bytes on disk", most, is(lessThan((long) MOST_BYTES)));
         try (RecordStore store = RecordStore.open(folder)) {
             ControlNode again = node(store);
-            again.message(
+            again.handleMessage(
                     PEER,
                     new Prepare(new Ballot(CHANGES + 1, "y"), "", voter(store).id()));
             Promise promise = (Promise) sent.get(sent.size() - 1);
--- a/node/src/test/java/saltdale/proxy/SimCluster.java
+++ b/node/src/test/java/saltdale/proxy/SimCluster.java
@@ -78,7 +78,7 @@
     public void standsStill(int proxy, long millis) {
         SimMachine machine = machine(proxy);
         machine.freeze();
-        world.at(Environment.millis(millis), () -> {
+        world.at(Environment.millisToNanos(millis), () -> {
             if (machine.frozen) {
                 machine.thaw();
             }
@@ -87,7 +87,7 @@
 
     public void restart(int proxy) {
         machine(proxy).kill();
-        world.at(Environment.millis(300), machine(proxy)::start);
+        world.at(Environment.millisToNanos(300), machine(proxy)::start);
     }
 
     /** It is told to end, and starts anew once it has. */
@@ -97,13 +97,13 @@
             return;
         }
         Proxy ending = machine.proxy();
-        ending.end(Environment.millis(700));
-        world.at(Environment.millis(2000), () -> {
+        ending.end(Environment.millisToNanos(700));
+        world.at(Environment.millisToNanos(2000), () -> {
             if (machine.proxy() == ending) {
                 machine.process.deliver(ending::endNow);
             }
         });
-        world.at(Environment.millis(2100), () -> {
+        world.at(Environment.millisToNanos(2100), () -> {
             if (machine.proxy() == ending) {
                 restart(proxy);
             }
@@ -113,7 +113,7 @@
     public void losePower(int controlNode) {
         SimMachine machine = world.controlNodes.get(controlNode);
         machine.powerOff();
-        world.at(Environment.millis(1500), machine::start);
+        world.at(Environment.millisToNanos(1500), machine::start);
     }
 
     public boolean takesConnections(String instance) {
--- a/proxy/src/main/java/saltdale/proxy/BootingInstances.java
+++ b/proxy/src/main/java/saltdale/proxy/BootingInstances.java
@@ -38,7 +38,7 @@
         for (InstanceSlots slots : allocator.booting()) {
             if (!slots.trying) {
                 slots.trying = true;
-                environment.after(earliest, () -> tryOne(allocator, slots));
+                environment.schedule(earliest, () -> tryOne(allocator, slots));
             }
         }
     }
@@ -63,7 +63,7 @@
             if (takesConnections) {
                 ready(allocator, slots);
             } else { // each refusal is soon followed by another try
-                environment.after(heartbeat / 24, () -> tryOne(allocator, slots));
+                environment.schedule(heartbeat / 24, () -> tryOne(allocator, slots));
             }
         }
     }
--- a/proxy/src/main/java/saltdale/proxy/ClusterView.java
+++ b/proxy/src/main/java/saltdale/proxy/ClusterView.java
@@ -65,9 +65,9 @@
             configuration = next.revision() > before ? next : configuration;
             environment.check(
                     Invariant.NO_STEP_BACK, revision() >= before, () -> "from " + before + " to " + revision());
-            environment.note("configuration " + configuration.revision() + " in force");
+            environment.log("configuration " + configuration.revision() + " in force");
         } catch (InvalidConfiguration e) {
-            environment.note("a configuration cannot be read: " + e.getMessage());
+            environment.log("a configuration cannot be read: " + e.getMessage());
         }
     }
 
@@ -85,7 +85,7 @@
     }
 
     void members(List<Member> next) {
-        environment.note("members " + next.size() + ", new or changed: "
+        environment.log("members " + next.size() + ", new or changed: "
                 + next.stream()
                         .filter(m -> !members.contains(m))
                         .map(m -> m.name() + (m.leaving() ? "-" : ""))
@@ -100,7 +100,7 @@
     }
 
     boolean isSelf(Member member) {
-        return member.life().equals(life());
+        return member.incarnation().equals(life());
     }
 
     /** Who grants the slots of this service's instances in this zone; null where nobody does. */
--- a/proxy/src/main/java/saltdale/proxy/ConfigurationReplica.java
+++ b/proxy/src/main/java/saltdale/proxy/ConfigurationReplica.java
@@ -48,7 +48,7 @@
                 || !news.baseDigest().equals(digest())) {
             return Outcome.REFUSED;
         }
-        ConfigurationTree next = tree.changed(news.change());
+        ConfigurationTree next = tree.withChange(news.change());
         if (!next.digest().equals(news.digest()) || next.revision() != news.revision()) {
             trusted = false;
             return Outcome.REFUSED;
--- a/proxy/src/main/java/saltdale/proxy/ControlNodeContact.java
+++ b/proxy/src/main/java/saltdale/proxy/ControlNodeContact.java
@@ -121,9 +121,9 @@
     }
 
     private void attach(String next) {
-        environment.note(
+        environment.log(
                 "goes to control node " + next + ", left " + host + ": " + cause() + "; knows " + directory.all());
-        environment.counters().count(Counter.CONTROL_NODE_CHANGES);
+        environment.counters().increment(Counter.CONTROL_NODE_CHANGES);
         host = next;
         search.taken(next);
         withoutQuorum = false;
@@ -190,7 +190,7 @@
         if (disconnected) {
             return false;
         }
-        environment.counters().count(Counter.CONTROL_CONNECTIONS_LOST);
+        environment.counters().increment(Counter.CONTROL_CONNECTIONS_LOST);
         disconnected = true;
         disconnectedAt = environment.now();
         leaves = false; // the process that said so has ended; another may begin at its address
--- a/proxy/src/main/java/saltdale/proxy/ControlNodeSearch.java
+++ b/proxy/src/main/java/saltdale/proxy/ControlNodeSearch.java
@@ -73,7 +73,7 @@
     /** Those not asked in this round: the current ones in any order, then the others. */
     private List<String> unasked(String except) {
         List<String> current = new ArrayList<>(directory.known());
-        Collections.shuffle(current, new Random(environment.chance().nextLong()));
+        Collections.shuffle(current, new Random(environment.random().nextLong()));
         List<String> all = new ArrayList<>(current);
         directory.all().stream().filter(host -> !current.contains(host)).forEach(all::add);
         all.removeIf(host -> host.equals(except) || asked.contains(host));
@@ -83,12 +83,12 @@
     private void askFellow() {
         List<String> fellows = answeredInRound ? List.of() : fellowProxies.get();
         if (!fellows.isEmpty()) {
-            probe(fellows.get(environment.chance().nextInt(fellows.size())));
+            probe(fellows.get(environment.random().nextInt(fellows.size())));
         }
     }
 
     private void probe(String host) {
-        environment.counters().count(Counter.CONTACT_PROBES);
+        environment.counters().increment(Counter.CONTACT_PROBES);
         environment.send(host, new ContactProbe(++number));
     }
 
--- a/proxy/src/main/java/saltdale/proxy/ControlSession.java
+++ b/proxy/src/main/java/saltdale/proxy/ControlSession.java
@@ -73,7 +73,7 @@
     }
 
     private String fresh() {
-        return Long.toString(environment.chance().nextLong() >>> 1, 36);
+        return Long.toString(environment.random().nextLong() >>> 1, 36);
     }
 
     String life() {
@@ -116,7 +116,7 @@
     }
 
     private void turn() {
-        environment.after(contact.turnEvery(), this::turn);
+        environment.schedule(contact.turnEvery(), this::turn);
         contact.turn();
         // Until the first grant has come it asks more often: the question may be lost.
         if (!granted || environment.now() - renewedAt >= renewEvery()) {
@@ -146,7 +146,7 @@
         granted = false;
         contact.serves();
         sentAt.clear();
-        environment.counters().count(Counter.SESSIONS_BEGUN);
+        environment.counters().increment(Counter.SESSIONS_BEGUN);
         reader.begins();
     }
 
@@ -220,7 +220,7 @@
     private void over() {
         life = fresh();
         leaseUntil = NEVER;
-        environment.note("the lease is over; a new life: " + life);
+        environment.log("the lease is over; a new life: " + life);
         reader.over();
         beginAgain();
     }
@@ -231,8 +231,8 @@
             return;
         }
         if (!grant.hasQuorum()) {
-            environment.counters().count(Counter.GRANTS_WITHOUT_QUORUM);
-            environment.note("control node " + contact.host() + " has no quorum");
+            environment.counters().increment(Counter.GRANTS_WITHOUT_QUORUM);
+            environment.log("control node " + contact.host() + " has no quorum");
             contact.refused(grant.controlHosts());
             return;
         }
@@ -248,11 +248,12 @@
 
     private void grantedInStep(LeaseGrant grant, long until) {
         if (!news.hasAll(grant.newsSent())) {
-            environment.note(grant.newsSent() + " news were sent, " + news.count() + " came");
+            environment.log(grant.newsSent() + " news were sent, " + news.count() + " came");
             beginAgain();
         } else if (!news.isFetching()) {
             // The control node knew, when it answered, all that was chosen before its last contact with a majority.
-            configurationKnownAt = Math.max(configurationKnownAt, until - LeaseTimes.memberLease(settings.heartbeat()));
+            configurationKnownAt =
+                    Math.max(configurationKnownAt, until - LeaseTimes.memberLeaseNanos(settings.heartbeat()));
         }
     }
 }
--- a/proxy/src/main/java/saltdale/proxy/MembersReplica.java
+++ b/proxy/src/main/java/saltdale/proxy/MembersReplica.java
@@ -25,9 +25,9 @@
     /** Whether what comes out has the digest told; else all members must be told anew. */
     boolean change(MembersChange news) {
         Map<String, Member> next = new TreeMap<>(news.whole() ? Map.of() : byLife);
-        news.changed().forEach(member -> next.put(member.life(), member));
+        news.changed().forEach(member -> next.put(member.incarnation(), member));
         news.gone().forEach(next::remove);
-        digest = digest.changed(byLife, next);
+        digest = digest.updated(byLife, next);
         byLife = next;
         trusted = digest.text().equals(news.digest());
         return trusted;
--- a/proxy/src/main/java/saltdale/proxy/OwnedServices.java
+++ b/proxy/src/main/java/saltdale/proxy/OwnedServices.java
@@ -107,14 +107,14 @@
                 service,
                 cluster.zone(),
                 probes,
-                environment.chance(),
+                environment.random(),
                 instance -> cluster.isOwner(service, instance.zone()),
                 new Answers(),
                 opensAt);
         allocators.put(service, allocator);
         ofService.forEach(instance -> allocator.heard(instance, now));
         placeInUse(allocator);
-        environment.after(Math.max(0, opensAt - now), () -> allocator.turn(environment.now()));
+        environment.schedule(Math.max(0, opensAt - now), () -> allocator.turn(environment.now()));
         return allocator;
     }
 
@@ -150,7 +150,8 @@
     /** These are members no longer: what they were granted comes back soon. */
     void gone(Collection<Member> members) {
         long until = environment.now() + heartbeat / 3;
-        members.forEach(member -> allocators.values().forEach(allocator -> allocator.gone(member.life(), until)));
+        members.forEach(
+                member -> allocators.values().forEach(allocator -> allocator.gone(member.incarnation(), until)));
     }
 
     // Slots.
@@ -196,7 +197,7 @@
         }
         allocator.returned(key, instance, end, ranNanos, environment.now());
         if (end == Attempt.End.ABANDONED) {
-            environment.after(SlotAllocator.SETTLES + 1, () -> allocator.turn(environment.now()));
+            environment.schedule(SlotAllocator.SETTLES + 1, () -> allocator.turn(environment.now()));
         }
     }
 
@@ -301,7 +302,7 @@
         }
 
         private void later(Consumer<SlotAnswers> answer) {
-            environment.after(0, () -> answer.accept(ownAnswers));
+            environment.schedule(0, () -> answer.accept(ownAnswers));
         }
     }
 }
--- a/proxy/src/main/java/saltdale/proxy/Proxy.java
+++ b/proxy/src/main/java/saltdale/proxy/Proxy.java
@@ -67,7 +67,7 @@
 
     private void turn() {
         awake();
-        environment.after(settings.heartbeat() / 6, this::turn);
+        environment.schedule(settings.heartbeat() / 6, this::turn);
         ownedServices.turn();
     }
 
@@ -122,7 +122,7 @@
     public void end(long waits) {
         ending = true;
         controlSession.leave();
-        environment.after(waits, slotRequester::refuseWaiting);
+        environment.schedule(waits, slotRequester::refuseWaiting);
     }
 
     /** The process ends now: who has no answer yet gets one, as true as what is known. */
@@ -142,14 +142,14 @@
         boolean mayBeOld = cluster.configurationMayBeOld();
         if (route != null) {
             if (mayBeOld) {
-                environment.counters().count(Counter.ROUTED_WITHOUT_CONTACT);
+                environment.counters().increment(Counter.ROUTED_WITHOUT_CONTACT);
             }
             return new RouteDecision.Found(route);
         } else if (configuration == null || mayBeOld) {
-            environment.counters().count(Counter.ROUTES_UNDECIDED);
+            environment.counters().increment(Counter.ROUTES_UNDECIDED);
             return new RouteDecision.Undecided();
         }
-        environment.counters().count(Counter.ROUTES_DENIED);
+        environment.counters().increment(Counter.ROUTES_DENIED);
         environment.check(
                 Invariant.DENIED_IN_CONTACT,
                 environment.now() - controlSession.servedAt() <= settings.configApply(),
@@ -226,7 +226,7 @@
         ownedServices.membersChanged();
         requests.ownersChanged(before);
         List<Member> gone = before.stream()
-                .filter(was -> next.stream().noneMatch(is -> is.life().equals(was.life())))
+                .filter(was -> next.stream().noneMatch(is -> is.incarnation().equals(was.incarnation())))
                 .toList();
         ownedServices.gone(gone);
         slotRequester.gone(gone);
--- a/proxy/src/main/java/saltdale/proxy/RequestLifecycle.java
+++ b/proxy/src/main/java/saltdale/proxy/RequestLifecycle.java
@@ -16,7 +16,7 @@
  * granted, and is answered, sent again or given up by what became of that attempt.
  */
 final class RequestLifecycle implements SlotRequester.Outcome {
-    private static final long MARGIN = Environment.millis(15); // before a client's deadline, for the way back
+    private static final long MARGIN = Environment.millisToNanos(15); // before a client's deadline, for the way back
     private static final int NESTED = -1; // the priority of requests that instances make while they hold a slot
     private static final int MOST_ATTEMPTS = 6; // of one request, those included that instances turned away
     private static final long NOT_TAKEN_PAUSE_MILLIS = 100;
@@ -67,7 +67,7 @@
         long deadline = now + Math.min(leftNanos - MARGIN, route.timeoutMs() * 1_000_000);
         Request request = new Request(id, route, service(route), clientContext, priority, now, deadline);
         retryBudget.first(request.service, now);
-        request.deadlineTimer = environment.after(Math.max(0, deadline - now), () -> overdue(request));
+        request.deadlineTimer = environment.schedule(Math.max(0, deadline - now), () -> overdue(request));
         slotRequester.ask(request);
         return request;
     }
@@ -76,7 +76,7 @@
         if (route.services().size() == 1) {
             return route.services().get(0);
         }
-        double draw = environment.chance().nextDouble()
+        double draw = environment.random().nextDouble()
                 * route.weights().stream().mapToDouble(w -> w).sum();
         for (int i = 0; i < route.services().size(); i++) {
             draw -= route.weights().get(i);
@@ -206,7 +206,7 @@
         for (Attempt attempt : attempts) {
             Member was = ServiceOwnership.of(attempt.request.service, attempt.zone, before);
             Member is = cluster.owner(attempt.request.service, attempt.zone);
-            boolean moved = was == null || is != null && !was.life().equals(is.life());
+            boolean moved = was == null || is != null && !was.incarnation().equals(is.incarnation());
             boolean renewed = !attempt.life.equals(cluster.life());
             if (is != null && (moved || renewed)) {
                 attempt.owner = is;
--- a/proxy/src/main/java/saltdale/proxy/SessionNews.java
+++ b/proxy/src/main/java/saltdale/proxy/SessionNews.java
@@ -72,7 +72,7 @@
     /** Takes what is next; false where it does not fit what came before, so that another session must begin. */
     boolean take(News message) throws MalformedMessage {
         if (message.number() != count + 1) {
-            environment.note("news " + message.number() + " came after " + count);
+            environment.log("news " + message.number() + " came after " + count);
             return false;
         }
         count++;
@@ -91,9 +91,9 @@
 
     private boolean changed(ConfigurationChange change) throws MalformedMessage {
         switch (configuration.change(change)) {
-            case TAKEN -> reader.configuration(configuration.tree().whole());
+            case TAKEN -> reader.configuration(configuration.tree().toMap());
             case REFUSED -> {
-                environment.note("the change to configuration " + change.revision() + " does not fit "
+                environment.log("the change to configuration " + change.revision() + " does not fit "
                         + configuration.revision());
                 return false;
             }
@@ -104,7 +104,7 @@
 
     private boolean changed(MembersChange change) {
         if (!members.change(change)) {
-            environment.note("the members told have another digest");
+            environment.log("the members told have another digest");
             return false;
         }
         reader.members(members.all());
@@ -130,7 +130,7 @@
         int before = configuration.snapshotOffset();
         if (configuration.part(part)) {
             fetches = false;
-            reader.configuration(configuration.tree().whole());
+            reader.configuration(configuration.tree().toMap());
         } else if (configuration.snapshotOffset() != before) {
             fetch();
         }
--- a/proxy/src/main/java/saltdale/proxy/SlotRequester.java
+++ b/proxy/src/main/java/saltdale/proxy/SlotRequester.java
@@ -24,7 +24,7 @@
     }
 
     private static final long NO_OWNER_PAUSE_MILLIS = 500;
-    private static final long NOT_OWNED_PAUSE = Environment.millis(20);
+    private static final long NOT_OWNED_PAUSE = Environment.millisToNanos(20);
 
     private final Environment environment;
     private final ClusterView cluster;
@@ -84,7 +84,7 @@
         request.slotNumber = number;
         request.slotKey = SlotClaim.key(cluster.life(), number);
         asking.put(number, request);
-        request.answerTimer = environment.after(heartbeat / 10, () -> unanswered(request, number));
+        request.answerTimer = environment.schedule(heartbeat / 10, () -> unanswered(request, number));
     }
 
     private void send(Request request, boolean counts) {
@@ -134,7 +134,7 @@
                 far.add(each);
             }
         }
-        return far.isEmpty() ? own : far.get(environment.chance().nextInt(far.size()));
+        return far.isEmpty() ? own : far.get(environment.random().nextInt(far.size()));
     }
 
     private boolean isUsable(Member owner, Request request) {
@@ -143,7 +143,7 @@
         }
         return cluster.isSelf(owner)
                 ? cluster.hasLease()
-                : silentUntil.getOrDefault(owner.life(), 0L) <= environment.now();
+                : silentUntil.getOrDefault(owner.incarnation(), 0L) <= environment.now();
     }
 
     /** The request asks no longer; what it may have been granted meanwhile is given back. */
@@ -169,7 +169,7 @@
     }
 
     private void askAgainAfter(long nanos, Request request, long number) {
-        environment.after(nanos, () -> {
+        environment.schedule(nanos, () -> {
             if (request.slotNumber == number) {
                 askAgain(request);
             }
@@ -184,7 +184,7 @@
     private void unanswered(Request request, long number) {
         if (request.slotNumber == number) {
             if (!cluster.isSelf(request.owner)) {
-                silentUntil.put(request.owner.life(), environment.now() + heartbeat / 2);
+                silentUntil.put(request.owner.incarnation(), environment.now() + heartbeat / 2);
             }
             request.silentOwners.put(request.owner.zone(), silent(request.owner));
             askAgain(request);
@@ -192,7 +192,7 @@
     }
 
     private Request.SilentOwner silent(Member owner) {
-        return new Request.SilentOwner(owner == null ? "" : owner.life(), environment.now());
+        return new Request.SilentOwner(owner == null ? "" : owner.incarnation(), environment.now());
     }
 
     /**
@@ -208,8 +208,8 @@
                 return false;
             }
             boolean passedBy = environment.now() - silent.at() < heartbeat / 2
-                    || silentUntil.getOrDefault(owner.life(), 0L) > environment.now();
-            return !owner.life().equals(silent.life()) || !passedBy;
+                    || silentUntil.getOrDefault(owner.incarnation(), 0L) > environment.now();
+            return !owner.incarnation().equals(silent.life()) || !passedBy;
         });
     }
 
@@ -226,7 +226,7 @@
     void ownersChanged() {
         for (Request request : List.copyOf(asking.values())) {
             Member owner = cluster.owner(request.service, request.owner.zone());
-            boolean isReplaced = owner == null || !owner.life().equals(request.owner.life());
+            boolean isReplaced = owner == null || !owner.incarnation().equals(request.owner.incarnation());
             if (reachesMore(request) || isReplaced) {
                 askAgain(request);
             }
@@ -235,7 +235,7 @@
 
     /** These are members no longer. */
     void gone(Collection<Member> members) {
-        members.forEach(member -> silentUntil.remove(member.life()));
+        members.forEach(member -> silentUntil.remove(member.incarnation()));
     }
 
     @Override
@@ -265,7 +265,7 @@
             return;
         }
         request.answerTimer.run();
-        request.answerTimer = environment.after(heartbeat, () -> unanswered(request, number));
+        request.answerTimer = environment.schedule(heartbeat, () -> unanswered(request, number));
         if (reachesMore(request)) {
             askAgainAfter(0, request, number); // not now: its owner may be this proxy, going through what waits
         }
--- a/proxy/src/test/java/saltdale/control/OrderMemory.java
+++ b/proxy/src/test/java/saltdale/control/OrderMemory.java
@@ -8,8 +8,8 @@
 
     /** Whether the state knows that this order was taken. */
     public static boolean holds(ReplicatedState state, boolean amends, long base, String body) {
-        byte[] digest = new ConfigurationOrder(amends, base, body.getBytes(StandardCharsets.UTF_8)).digest();
-        return state.recentChanges().find(base, digest) == RecentChanges.Finding.TAKEN;
+        byte[] digest = new ConfigurationUpdate(amends, base, body.getBytes(StandardCharsets.UTF_8)).digest();
+        return state.recentChanges().find(base, digest) == RecentChanges.LookupResult.APPLIED;
     }
 
     public static int bytes(ReplicatedState state) {
--- a/proxy/src/test/java/saltdale/control/WrongOrders.java
+++ b/proxy/src/test/java/saltdale/control/WrongOrders.java
@@ -13,8 +13,11 @@
             return (environment, settings, register, peers) ->
                     new ConfigurationService(environment, settings, register, peers) {
                         @Override
-                        Proposer.Step step(ConfigurationOrder order, ReplicatedState newest, byte[] text) {
-                            return order.base() < oldestOf64(newest) ? refusal(412) : super.step(order, newest, text);
+                        Proposer.ChangeResult applyUpdate(
+                                ConfigurationUpdate order, ReplicatedState newest, byte[] text) {
+                            return order.baseRevision() < oldestOf64(newest)
+                                    ? refusal(412)
+                                    : super.applyUpdate(order, newest, text);
                         }
                     };
         }
@@ -43,11 +46,12 @@
             return (environment, settings, register, peers) ->
                     new ConfigurationService(environment, settings, register, peers) {
                         @Override
-                        Proposer.Step step(ConfigurationOrder order, ReplicatedState newest, byte[] text) {
+                        Proposer.ChangeResult applyUpdate(
+                                ConfigurationUpdate order, ReplicatedState newest, byte[] text) {
                             try {
-                                boolean rises =
-                                        order.amends() || order.appliedTo(null).revision() > newest.revision();
-                                return rises ? super.step(order, newest, text) : refusal(400);
+                                boolean rises = order.isAmendment()
+                                        || order.applyTo(null).revision() > newest.revision();
+                                return rises ? super.applyUpdate(order, newest, text) : refusal(400);
                             } catch (InvalidConfiguration e) {
                                 return refusal(400);
                             }
@@ -63,11 +67,11 @@
             Environment environment, ControlNodeSettings settings, Platform platform, Map<String, byte[]> records)
             throws MalformedMessage {
         return new ControlNode(
-                environment, settings, platform, records, new ControlNode.Parts(service(), VoterChanges::new));
+                environment, settings, platform, records, new ControlNode.Components(service(), VoterChanges::new));
     }
 
-    private static Proposer.Step refusal(int status) {
-        return Proposer.Step.stay(new ConfigurationService.Reply(status, "by a wrong variant", null));
+    private static Proposer.ChangeResult refusal(int status) {
+        return Proposer.ChangeResult.unchanged(new ConfigurationService.Reply(status, "by a wrong variant", null));
     }
 
     private static long oldestOf64(ReplicatedState newest) {
@@ -77,7 +81,7 @@
     /** Answers within a ballot: acknowledgements, or else refusals. */
     private static final class Hasty extends ConfigurationService {
         private final boolean acknowledges;
-        private final Map<ConfigurationOrder, Consumer<Reply>> answers = new HashMap<>();
+        private final Map<ConfigurationUpdate, Consumer<Reply>> answers = new HashMap<>();
 
         Hasty(
                 Environment environment,
@@ -90,12 +94,12 @@
         }
 
         @Override
-        void propose(ConfigurationOrder order, Consumer<Reply> answer) {
+        void propose(ConfigurationUpdate order, Consumer<Reply> answer) {
             answers.put(order, answer);
             super.propose(order, reply -> answer(order, reply));
         }
 
-        private void answer(ConfigurationOrder order, Reply reply) {
+        private void answer(ConfigurationUpdate order, Reply reply) {
             Consumer<Reply> answer = answers.remove(order);
             if (answer != null) {
                 answer.accept(reply);
@@ -103,8 +107,8 @@
         }
 
         @Override
-        Proposer.Step step(ConfigurationOrder order, ReplicatedState newest, byte[] text) {
-            Proposer.Step step = super.step(order, newest, text);
+        Proposer.ChangeResult applyUpdate(ConfigurationUpdate order, ReplicatedState newest, byte[] text) {
+            Proposer.ChangeResult step = super.applyUpdate(order, newest, text);
             if ((step.next() != null) == acknowledges) {
                 answer(order, (Reply) step.answer());
             }
--- a/proxy/src/test/java/saltdale/control/WrongVoterChanges.java
+++ b/proxy/src/test/java/saltdale/control/WrongVoterChanges.java
@@ -15,12 +15,12 @@
                 settings,
                 platform,
                 records,
-                new ControlNode.Parts(
+                new ControlNode.Components(
                         ConfigurationService::new,
                         (itsEnvironment, itsSettings, peers, election, id) ->
                                 new VoterChanges(itsEnvironment, itsSettings, peers, election, id) {
                                     @Override
-                                    boolean finishes(ReplicatedState joint, boolean elected) {
+                                    boolean shouldComplete(ReplicatedState joint, boolean elected) {
                                         return false;
                                     }
                                 }));
--- a/proxy/src/test/java/saltdale/proxy/AgreementTest.java
+++ b/proxy/src/test/java/saltdale/proxy/AgreementTest.java
@@ -242,7 +242,7 @@
         private void look(SimMachine at) {
             long least = on.newest();
             boolean[] done = new boolean[1];
-            at.process.deliver(() -> at.controlNode().read(reply -> {
+            at.process.deliver(() -> at.controlNode().readConfiguration(reply -> {
                 if (reply.status() == 200) {
                     String is = new String(reply.body());
                     base = revision(is);
@@ -358,7 +358,7 @@
             for (int i = 0; i < 300; i++) {
                 SimMachine at = world.controlNodes.get(world.chance.nextInt(controlNodes));
                 long asked = world.now();
-                at.controlNode().read(reply -> {
+                at.controlNode().readConfiguration(reply -> {
                     if (reply.status() == 200) {
                         took.add((world.now() - asked) / 1_000_000);
                     }
--- a/proxy/src/test/java/saltdale/proxy/CatchUpTest.java
+++ b/proxy/src/test/java/saltdale/proxy/CatchUpTest.java
@@ -113,7 +113,7 @@
         List<String> late = new ArrayList<>();
         for (SimPlatform.Duty duty : world.platform.duties) {
             Long next = fences.higherKey(duty.fence());
-            if (next != null && duty.at() > fences.get(next) + LEASE + Environment.millis(100)) {
+            if (next != null && duty.at() > fences.get(next) + LEASE + Environment.millisToNanos(100)) {
                 late.add(duty.kind() + " under " + duty.fence() + " long after " + next);
             }
         }
--- a/proxy/src/test/java/saltdale/proxy/ConfigurationTreeTest.java
+++ b/proxy/src/test/java/saltdale/proxy/ConfigurationTreeTest.java
@@ -42,11 +42,11 @@
     }
 
     private static ConfigurationTree over(Map<String, Object> whole) throws MalformedMessage {
-        return ConfigurationTree.of(Trees.fromCbor(Trees.cbor(whole)));
+        return ConfigurationTree.of(Trees.fromCbor(Trees.toCbor(whole)));
     }
 
     private static ConfigurationChange change(ConfigurationTree from, ConfigurationTree to) throws MalformedMessage {
-        Map<String, Object> change = Trees.fromCbor(Trees.cbor(from.changeTo(to)));
+        Map<String, Object> change = Trees.fromCbor(Trees.toCbor(from.changeTo(to)));
         return new ConfigurationChange("", 1, from.revision(), from.digest(), to.revision(), to.digest(), change);
     }
 
--- a/proxy/src/test/java/saltdale/proxy/ContactChecks.java
+++ b/proxy/src/test/java/saltdale/proxy/ContactChecks.java
@@ -27,15 +27,15 @@
         void read(SimMachine at, Consumer<ControlNode.Reply> answer);
     }
 
-    private static final long APPLY = Environment.millis(3000);
+    private static final long APPLY = Environment.millisToNanos(3000);
     private static final long LEASE = SimWorld.BEAT * 5 / 4;
-    private static final long ON_THE_WAY = Environment.millis(60); // the longest way of a message, and a little
+    private static final long ON_THE_WAY = Environment.millisToNanos(60); // the longest way of a message, and a little
     private static final long TICK = SimWorld.BEAT / 6;
 
     final SimWorld world;
     final ContactModel contact;
     final TreeMap<Long, Long> acknowledged = new TreeMap<>(); // revisions, by when
-    Reading reading = (at, answer) -> at.controlNode().read(answer);
+    Reading reading = (at, answer) -> at.controlNode().readConfiguration(answer);
     /** Sees each acknowledgement at the moment when it is given. */
     Consumer<SimMachine> onAcknowledgement = at -> {};
 
@@ -171,9 +171,10 @@
         if (at.process != null) {
             byte[] body = SimOperator.config(next, 1).getBytes(StandardCharsets.UTF_8);
             at.process.deliver(() -> at.controlNode()
-                    .change(false, Long.toString(base), body, reply -> answered(at, base, next, reply, done)));
+                    .changeConfiguration(
+                            false, Long.toString(base), body, reply -> answered(at, base, next, reply, done)));
         }
-        world.at(Environment.millis(1000), () -> {
+        world.at(Environment.millisToNanos(1000), () -> {
             if (!done[0]) {
                 done[0] = true;
                 send(base, next);
@@ -190,10 +191,10 @@
 
     private void answered(SimMachine at, long base, long next, ControlNode.Reply reply, boolean[] done) {
         boolean clear = reply.status() < 500 && (standstillsAreSingle || !isProven(reply.status(), base, next));
-        if (clear && isApart(at.host, Environment.millis(500))) {
+        if (clear && isApart(at.host, Environment.millisToNanos(500))) {
             fault(at.host + " answers " + reply.status() + " though it has no contact");
         } else if (reply.status() >= 400 && reply.status() < 500) {
-            fault(at.host + " refuses " + next + " on " + base + ": " + reply.why());
+            fault(at.host + " refuses " + next + " on " + base + ": " + reply.reason());
         }
         if (reply.status() == 200 && next > acknowledged.lastEntry().getValue()) {
             acknowledged.put(world.now(), next);
@@ -203,7 +204,7 @@
             done[0] = true;
             boolean taken = reply.status() == 200;
             world.at(
-                    Environment.millis(100 + world.chance.nextInt(600)),
+                    Environment.millisToNanos(100 + world.chance.nextInt(600)),
                     () -> send(taken ? next : base, taken ? next + 1 + world.chance.nextInt(3) : next));
         }
     }
--- a/proxy/src/test/java/saltdale/proxy/ContactModel.java
+++ b/proxy/src/test/java/saltdale/proxy/ContactModel.java
@@ -10,7 +10,7 @@
 
 /** Which proxies are in touch, as the rules have it, by what is done to the machines and their links. */
 final class ContactModel {
-    static final long CONTACT = Environment.millis(4000);
+    static final long CONTACT = Environment.millisToNanos(4000);
 
     private final SimWorld world;
     private int seen;
--- a/proxy/src/test/java/saltdale/proxy/CutOffTest.java
+++ b/proxy/src/test/java/saltdale/proxy/CutOffTest.java
@@ -144,7 +144,7 @@
         private void applyVariant() {
             if (variant == WrongVariant.ANSWERS_FROM_MEMORY_WHEN_CUT_OFF) {
                 Map<SimMachine, ControlNode.Reply> last = new HashMap<>();
-                checks.reading = (at, answer) -> at.controlNode().read(reply -> {
+                checks.reading = (at, answer) -> at.controlNode().readConfiguration(reply -> {
                     if (reply.status() == 200) {
                         last.put(at, reply);
                     }
--- a/proxy/src/test/java/saltdale/proxy/DiskTest.java
+++ b/proxy/src/test/java/saltdale/proxy/DiskTest.java
@@ -107,9 +107,9 @@
         List<Voter> voters = world.controlNodes.stream()
                 .map(k -> new Voter(k.id(), k.host, k.host))
                 .toList();
-        ReplicatedState first = ReplicatedState.first(voters);
-        ReplicatedState one = first.withText(1, "1-one", "order1".getBytes());
-        ReplicatedState two = one.withText(2, "2-two", "order2".getBytes());
+        ReplicatedState first = ReplicatedState.initial(voters);
+        ReplicatedState one = first.withConfiguration(1, "1-one", "order1".getBytes());
+        ReplicatedState two = one.withConfiguration(2, "2-two", "order2".getBytes());
         accept(controlNode, 1000, one, "one");
         world.run(500);
         controlNode.syncNanos = 100_000_000;
--- a/proxy/src/test/java/saltdale/proxy/InputTest.java
+++ b/proxy/src/test/java/saltdale/proxy/InputTest.java
@@ -198,7 +198,7 @@
     private static void send(SimMachine to, Object tree) {
         try {
             // As it comes over the wire; of whom such messages come, so that answers go where they are understood.
-            Message message = MessageCodec.decode(Trees.cbor(tree));
+            Message message = MessageCodec.decode(Trees.toCbor(tree));
             boolean ofProxy = message instanceof LeaseRenewal
                     || message instanceof DemandReport
                     || message instanceof InstanceReady;
@@ -279,7 +279,7 @@
                 List.of(99L),
                 "no known kind of message");
         why.forEach((tree, said) -> assertThat(
-                assertThrows(MalformedMessage.class, () -> MessageCodec.decode(Trees.cbor(tree)))
+                assertThrows(MalformedMessage.class, () -> MessageCodec.decode(Trees.toCbor(tree)))
                         .getMessage(),
                 is(said)));
     }
--- a/proxy/src/test/java/saltdale/proxy/InvariantsTest.java
+++ b/proxy/src/test/java/saltdale/proxy/InvariantsTest.java
@@ -23,7 +23,7 @@
     private static void assertViolated(SimWorld world, SimMachine at, Invariant invariant) {
         Counters counters = at.process.counters();
         assertThat(counters.violations(invariant), greaterThan(0L));
-        assertThat(counters.text(), containsString(invariant.label() + " " + counters.violations(invariant)));
+        assertThat(counters.toText(), containsString(invariant.metricName() + " " + counters.violations(invariant)));
         assertThat(world.faults.toString(), containsString(invariant.name()));
     }
 
@@ -45,7 +45,7 @@
         ReplicatedState newest = world.newest;
         ReplicatedState next = new ReplicatedState(
                 newest.version() + 1,
-                newest.before(),
+                newest.previousVoters(),
                 newest.voters(),
                 newest.duties(),
                 revision,
--- a/proxy/src/test/java/saltdale/proxy/NarrowLinksTest.java
+++ b/proxy/src/test/java/saltdale/proxy/NarrowLinksTest.java
@@ -124,7 +124,7 @@
         int proxies = 61;
         SimWorld world = world(1, proxies);
         Traffic traffic = new Traffic(world);
-        long whole = Trees.cbor(configurationTree(1)).length;
+        long whole = Trees.toCbor(configurationTree(1)).length;
         world.wireBytes = (message, encoded) -> SimWorld.withHeaders(
                 switch (message.kind()) {
                     case CONFIGURATION_CHANGE, SNAPSHOT_PART -> whole;
@@ -162,7 +162,7 @@
         Map<SimMachine, Long> revisions = new HashMap<>();
         occupyLinks(world, 10_000);
         changeEachThird(world, 2, acknowledgedAt);
-        long end = world.now() + Environment.millis(CHANGES * 333L + APPLY_MS);
+        long end = world.now() + Environment.millisToNanos(CHANGES * 333L + APPLY_MS);
         while (world.now() < end) {
             world.run(10);
             for (SimMachine proxy : world.proxies) {
@@ -178,7 +178,7 @@
         }
         for (int i = 2; i < CHANGES + 2; i++) {
             assertThat("change " + i + " is acknowledged and in force", acknowledgedAt[i] * inForceAt[i], is(not(0L)));
-            assertThat(inForceAt[i] - acknowledgedAt[i], lessThan(Environment.millis(APPLY_MS) / 4));
+            assertThat(inForceAt[i] - acknowledgedAt[i], lessThan(Environment.millisToNanos(APPLY_MS) / 4));
         }
         assertThat("no new session", traffic.sessionCount(), is(proxies));
         assertThat(traffic.of(MessageKind.CONFIGURATION_CHANGE) / proxies / CHANGES, lessThan(700L));
@@ -188,9 +188,9 @@
     }
 
     private static void occupyLinks(SimWorld world, long ms) {
-        long end = world.now() + Environment.millis(ms);
+        long end = world.now() + Environment.millisToNanos(ms);
         long each = SPEED / 8 / 2 / 20;
-        world.at(Environment.millis(50), () -> {
+        world.at(Environment.millisToNanos(50), () -> {
             world.proxies.forEach(proxy -> world.occupy(proxy.host, each));
             if (world.now() < end) {
                 occupyLinks(world, (end - world.now()) / 1_000_000);
@@ -204,13 +204,13 @@
                 + SimOperator.route("r-new-" + revision, "/new-" + revision + "/", "idempotent", name) + "]}}";
         SimMachine at = world.controlNodes.get(revision % world.controlNodes.size());
         at.controlNode()
-                .change(
+                .changeConfiguration(
                         true,
                         Long.toString(revision - 1),
                         body.getBytes(StandardCharsets.UTF_8),
                         reply -> acknowledgedAt[revision] = reply.status() == 200 ? world.now() : 0);
         if (revision <= CHANGES) {
-            world.at(Environment.millis(333), () -> changeEachThird(world, revision + 1, acknowledgedAt));
+            world.at(Environment.millisToNanos(333), () -> changeEachThird(world, revision + 1, acknowledgedAt));
         }
     }
 
--- a/proxy/src/test/java/saltdale/proxy/OrderingOperator.java
+++ b/proxy/src/test/java/saltdale/proxy/OrderingOperator.java
@@ -58,7 +58,7 @@
     }
 
     private void look(SimMachine at, int mine) {
-        at.process.deliver(() -> at.controlNode().read(reply -> {
+        at.process.deliver(() -> at.controlNode().readConfiguration(reply -> {
             if (reply.status() == 200 && mine == turn) {
                 order = draw(AgreementTest.revision(new String(reply.body(), StandardCharsets.UTF_8)));
             }
@@ -79,16 +79,17 @@
     private void send(SimMachine at, int mine) {
         OrdersModel.Order sent = order;
         byte[] body = sent.body().getBytes(StandardCharsets.UTF_8);
-        at.process.deliver(() -> at.controlNode().change(sent.amends(), Long.toString(sent.base()), body, reply -> {
-            model.answered(sent, reply.status());
-            boolean lost = world.chance.nextInt(3) == 0;
-            if (mine == turn && !lost) {
-                if (reply.status() != 503) {
-                    done.add(sent);
-                    order = null;
-                }
-                goOn(mine);
-            }
-        }));
+        at.process.deliver(() -> at.controlNode()
+                .changeConfiguration(sent.amends(), Long.toString(sent.base()), body, reply -> {
+                    model.answered(sent, reply.status());
+                    boolean lost = world.chance.nextInt(3) == 0;
+                    if (mine == turn && !lost) {
+                        if (reply.status() != 503) {
+                            done.add(sent);
+                            order = null;
+                        }
+                        goOn(mine);
+                    }
+                }));
     }
 }
--- a/proxy/src/test/java/saltdale/proxy/OverlappingTroublesTest.java
+++ b/proxy/src/test/java/saltdale/proxy/OverlappingTroublesTest.java
@@ -205,18 +205,18 @@
             }
         };
         int[] answered = new int[1];
-        node.controlNode().read(reply -> {});
+        node.controlNode().readConfiguration(reply -> {});
         assertThat(world.until(2000, () -> stands[0]), is(true));
         world.run(4500);
         for (int i = 0; i < 100; i++) {
             // The others are busy, so that ballots meet.
             for (SimMachine other : world.controlNodes) {
                 if (other != node) {
-                    other.controlNode().read(reply -> {});
+                    other.controlNode().readConfiguration(reply -> {});
                 }
             }
             if (i % 5 == 0) {
-                node.controlNode().read(reply -> answered[0] += reply.status() == 200 ? 1 : 0);
+                node.controlNode().readConfiguration(reply -> answered[0] += reply.status() == 200 ? 1 : 0);
             }
             world.run(40);
         }
--- a/proxy/src/test/java/saltdale/proxy/ProxyClusterTest.java
+++ b/proxy/src/test/java/saltdale/proxy/ProxyClusterTest.java
@@ -450,7 +450,7 @@
             SimMachine owner = owner(world, asks.zone);
             if (goesOn) {
                 owner.freeze();
-                world.at(Environment.millis(1300), owner::thaw);
+                world.at(Environment.millisToNanos(1300), owner::thaw);
             } else {
                 owner.powerOff();
             }
@@ -464,7 +464,9 @@
     /** A call of the function each 100 ms, so many times, each with 4 s to be answered. */
     private static void callOften(SimWorld world, SimMachine at, List<SimPlatform.OutgoingCall> calls, int times) {
         for (int i = 0; i < times; i++) {
-            world.at(Environment.millis(100 * i), () -> calls.add(world.platform.call(at, "h.example", "/b/1", 4000)));
+            world.at(
+                    Environment.millisToNanos(100 * i),
+                    () -> calls.add(world.platform.call(at, "h.example", "/b/1", 4000)));
         }
     }
 
--- a/proxy/src/test/java/saltdale/proxy/SimCore.java
+++ b/proxy/src/test/java/saltdale/proxy/SimCore.java
@@ -194,7 +194,7 @@
         if (one.process == null) {
             remove(one);
         } else if (endsAtOnce) {
-            one.process.deliver(() -> one.controlNode().end(GRACE * 700_000, () -> {}));
+            one.process.deliver(() -> one.controlNode().shutDown(GRACE * 700_000, () -> {}));
             later(50, () -> remove(one));
         } else {
             leaving.add(one);
@@ -229,7 +229,7 @@
                 lastEvent = world.now();
                 checkHolders();
             } else if (reply.status() != 200 && reply.status() != 503) {
-                world.faults.add("the order on " + base + " got " + reply.status() + " " + reply.why());
+                world.faults.add("the order on " + base + " got " + reply.status() + " " + reply.reason());
             }
             again(over, 150);
         });
@@ -279,7 +279,7 @@
         if (world.newest == null) {
             return;
         }
-        for (List<Voter> set : world.newest.quorums()) {
+        for (List<Voter> set : world.newest.voterSets()) {
             long holders = set.stream().filter(this::holdsOrIsLost).count();
             if (holders <= set.size() / 2) {
                 world.faults.add("at " + millis() + " only " + holders + " of " + set + " hold " + acknowledged);
--- a/proxy/src/test/java/saltdale/proxy/SimMachine.java
+++ b/proxy/src/test/java/saltdale/proxy/SimMachine.java
@@ -107,7 +107,7 @@
                 gone.run();
             }
         };
-        of.deliver(() -> of.controlNode.end(graceMillis * 700_000, () -> world.at(50_000_000, ends)));
+        of.deliver(() -> of.controlNode.shutDown(graceMillis * 700_000, () -> world.at(50_000_000, ends)));
         world.at(graceMillis * 1_000_000, ends);
     }
 
@@ -194,12 +194,12 @@
                                     firstStart,
                                     new ToleratedLosses(world.toleratedLosses, world.toleratedZones, 0),
                                     SimWorld.BEAT,
-                                    Environment.millis(5000),
-                                    Environment.millis(3000),
+                                    Environment.millisToNanos(5000),
+                                    Environment.millisToNanos(3000),
                                     world.rates),
                             world.platform.of(this),
                             new LinkedHashMap<>(synced));
-                    controlNode.begin();
+                    controlNode.start();
                 } else {
                     proxy = new Proxy(
                             this,
@@ -209,9 +209,9 @@
                                     zone,
                                     seeds,
                                     SimWorld.BEAT,
-                                    Environment.millis(3000),
+                                    Environment.millisToNanos(3000),
                                     0.2,
-                                    Environment.millis(10_000),
+                                    Environment.millisToNanos(10_000),
                                     52),
                             world.transports.apply(this));
                     proxy.begin();
@@ -239,12 +239,12 @@
         }
 
         @Override
-        public SplittableRandom chance() {
+        public SplittableRandom random() {
             return world.chance;
         }
 
         @Override
-        public Runnable after(long nanos, Runnable what) {
+        public Runnable schedule(long nanos, Runnable what) {
             boolean[] off = new boolean[1];
             world.at(
                     nanos,
@@ -280,13 +280,13 @@
         }
 
         @Override
-        public void violated(Invariant invariant, String detail) {
+        public void reportViolation(Invariant invariant, String detail) {
             world.faults.add(
                     host + " at " + (world.now() / 1_000_000 - 1_000_000) + " ms: " + invariant + ", " + detail);
         }
 
         @Override
-        public void note(String what) {
+        public void log(String what) {
             if (Boolean.getBoolean("sim.notes")) {
                 System.out.println(world.now() / 1_000_000 - 1_000_000 + " " + host + " " + what);
             }
@@ -295,7 +295,7 @@
         /** A message that has come; throws where it is malformed. */
         void take(String from, Message message) throws MalformedMessage {
             if (controlNode != null) {
-                controlNode.message(from, message);
+                controlNode.handleMessage(from, message);
             } else {
                 proxy.message(from, message);
             }
--- a/proxy/src/test/java/saltdale/proxy/SimOperator.java
+++ b/proxy/src/test/java/saltdale/proxy/SimOperator.java
@@ -37,8 +37,8 @@
     }
 
     static void replace(SimMachine at, long base, String body, Consumer<ControlNode.Reply> answer) {
-        at.process.deliver(() ->
-                at.controlNode().change(false, Long.toString(base), body.getBytes(StandardCharsets.UTF_8), answer));
+        at.process.deliver(() -> at.controlNode()
+                .changeConfiguration(false, Long.toString(base), body.getBytes(StandardCharsets.UTF_8), answer));
     }
 
     /** The status that comes within five seconds; 0 where none does. */
@@ -48,8 +48,8 @@
 
     static int change(SimWorld world, SimMachine at, boolean amends, String base, String body) {
         List<ControlNode.Reply> got = new ArrayList<>();
-        at.process.deliver(
-                () -> at.controlNode().change(amends, base, body.getBytes(StandardCharsets.UTF_8), got::add));
+        at.process.deliver(() ->
+                at.controlNode().changeConfiguration(amends, base, body.getBytes(StandardCharsets.UTF_8), got::add));
         return world.until(5000, () -> !got.isEmpty()) ? got.get(0).status() : 0;
     }
 
@@ -108,7 +108,7 @@
     /** The configuration as this control node reads it from a majority; null where it cannot. */
     static String read(SimWorld world, SimMachine at) {
         List<ControlNode.Reply> got = new ArrayList<>();
-        at.process.deliver(() -> at.controlNode().read(got::add));
+        at.process.deliver(() -> at.controlNode().readConfiguration(got::add));
         boolean came = world.until(5000, () -> !got.isEmpty()) && got.get(0).status() == 200;
         return came ? new String(got.get(0).body(), StandardCharsets.UTF_8) : null;
     }
--- a/proxy/src/test/java/saltdale/proxy/SimPlatform.java
+++ b/proxy/src/test/java/saltdale/proxy/SimPlatform.java
@@ -52,7 +52,7 @@
         Instance(String service, Worker worker) {
             this.service = service;
             this.worker = worker;
-            upAt = begunAt + Environment.millis(bootMs);
+            upAt = begunAt + Environment.millisToNanos(bootMs);
         }
 
         boolean takes() {
@@ -61,7 +61,8 @@
 
         void drain() {
             drainingAt = world.now();
-            goneAt = world.now() + Environment.millis(lagMs + 4500); // from when the list shows it, and a little longer
+            goneAt = world.now()
+                    + Environment.millisToNanos(lagMs + 4500); // from when the list shows it, and a little longer
         }
     }
 
@@ -230,7 +231,7 @@
             Supplier<Platform.Answer> made,
             Consumer<Platform.Answer> answer) {
         boolean isDuty = what.equals("begin") || what.equals("stop");
-        long late = isDuty ? Environment.millis(lateMs.getOrDefault(process.machine.host, 0L)) : 0;
+        long late = isDuty ? Environment.millisToNanos(lateMs.getOrDefault(process.machine.host, 0L)) : 0;
         world.at(world.hop() + late, () -> {
             calls.removeIf(c -> world.now() / 1_000_000 - Long.parseLong(c.substring(0, c.indexOf(' '))) >= 1000);
             boolean over = calls.size() >= rate;
@@ -243,13 +244,13 @@
                     : over ? new Platform.Answer(429, null) : made.get();
             boolean lost = reply == null || world.chance.nextDouble() < losesAnswers;
             world.at(
-                    lost ? Environment.millis(1200) : world.hop(),
+                    lost ? Environment.millisToNanos(1200) : world.hop(),
                     () -> process.deliver(() -> answer.accept(lost ? null : reply)));
         });
     }
 
     private Platform.Answer page(String token) {
-        long then = world.now() - Environment.millis(lagMs);
+        long then = world.now() - Environment.millisToNanos(lagMs);
         int from = token == null ? 0 : Integer.parseInt(token);
         List<Instance> shown = instances.values().stream()
                 .filter(r -> r.upAt <= then && r.goneAt > then)
@@ -285,7 +286,7 @@
     }
 
     private Platform.Answer workerList() {
-        long then = world.now() - Environment.millis(lagMs);
+        long then = world.now() - Environment.millisToNanos(lagMs);
         List<Object> list = new ArrayList<>();
         workers.values()
                 .forEach(w -> list.add(Fields.tree(
@@ -375,8 +376,8 @@
             asked.answers.add(decision == null ? 0 : decision instanceof RouteDecision.Denied ? 404 : 503);
             return asked;
         }
-        at.process.deliver(
-                () -> at.proxy().arrived("a-" + all.size(), route, Environment.millis(leftMs), "10.9.9.9", asked));
+        at.process.deliver(() ->
+                at.proxy().arrived("a-" + all.size(), route, Environment.millisToNanos(leftMs), "10.9.9.9", asked));
         return asked;
     }
 
@@ -456,7 +457,7 @@
             return;
         }
         // The list has shown it as draining for longer than drain_ms.
-        if (to.drainingAt != Long.MAX_VALUE && world.now() - to.drainingAt > Environment.millis(lagMs + 3000)) {
+        if (to.drainingAt != Long.MAX_VALUE && world.now() - to.drainingAt > Environment.millisToNanos(lagMs + 3000)) {
             afterDrain.add(world.now());
         }
         if (to.busy >= slots.get(to.service)) {
--- a/proxy/src/test/java/saltdale/proxy/SimWorld.java
+++ b/proxy/src/test/java/saltdale/proxy/SimWorld.java
@@ -29,7 +29,7 @@
  * the platform.
  */
 final class SimWorld {
-    static final long BEAT = Environment.millis(1200);
+    static final long BEAT = Environment.millisToNanos(1200);
     static final String[] ZONES = {"z-a", "z-b", "z-c"};
 
     /** Changes what is sent, as a wrong variant of the code would; null where it sends nothing. */
@@ -90,7 +90,7 @@
 
     private final Map<String, Long> linkFreeAt = new HashMap<>(); // by host
     private long order;
-    private long now = Environment.millis(1_000_000);
+    private long now = Environment.millisToNanos(1_000_000);
 
     SimWorld(long seed) {
         chance = new SplittableRandom(seed);
@@ -114,7 +114,7 @@
 
     /** Runs until this holds; whether it did within the time. */
     boolean until(long ms, BooleanSupplier holds) {
-        long end = now + Environment.millis(ms);
+        long end = now + Environment.millisToNanos(ms);
         while (!holds.getAsBoolean()) {
             if (events.isEmpty() || events.peek().at > end) {
                 now = end;
--- a/proxy/src/test/java/saltdale/proxy/TroublePairsTest.java
+++ b/proxy/src/test/java/saltdale/proxy/TroublePairsTest.java
@@ -80,7 +80,7 @@
                         base = Math.max(base, on + 1);
                         acted = at;
                     } else if (reply.status() < 500) {
-                        world.faults.add("the change on " + on + " got " + reply.status() + ": " + reply.why());
+                        world.faults.add("the change on " + on + " got " + reply.status() + ": " + reply.reason());
                     }
                 });
             }
@@ -144,7 +144,8 @@
         }
 
         private void terminate(SimMachine victim) {
-            victim.process.deliver(() -> victim.controlNode().end(Environment.millis(GRACE / 2), victim::kill));
+            victim.process.deliver(
+                    () -> victim.controlNode().shutDown(Environment.millisToNanos(GRACE / 2), victim::kill));
         }
 
         private void remove(SimMachine victim) {
