--- a/node/src/test/java/saltdale/proxy/SimCluster.java
+++ b/node/src/test/java/saltdale/proxy/SimCluster.java
@@ -78,7 +78,7 @@
     public void freezeFor(int proxy, long millis) {
         SimMachine machine = machine(proxy);
         machine.freeze();
-        world.schedule(Environment.millis(millis), () -> {
+        world.schedule(Environment.millisToNanos(millis), () -> {
             if (machine.frozen) {
                 machine.thaw();
             }
@@ -87,7 +87,7 @@
 
     public void restart(int proxy) {
         machine(proxy).kill();
-        world.schedule(Environment.millis(300), machine(proxy)::start);
+        world.schedule(Environment.millisToNanos(300), machine(proxy)::start);
     }
 
     /** It is told to end, and starts anew once it has. */
@@ -97,13 +97,13 @@
             return;
         }
         Proxy ending = machine.proxy();
-        ending.shutDown(Environment.millis(700));
-        world.schedule(Environment.millis(2000), () -> {
+        ending.shutDown(Environment.millisToNanos(700));
+        world.schedule(Environment.millisToNanos(2000), () -> {
             if (machine.proxy() == ending) {
                 machine.process.deliver(ending::failOpenRequests);
             }
         });
-        world.schedule(Environment.millis(2100), () -> {
+        world.schedule(Environment.millisToNanos(2100), () -> {
             if (machine.proxy() == ending) {
                 restart(proxy);
             }
@@ -113,7 +113,7 @@
     public void powerCycle(int controlNode) {
         SimMachine machine = world.controlNodes.get(controlNode);
         machine.powerOff();
-        world.schedule(Environment.millis(1500), machine::start);
+        world.schedule(Environment.millisToNanos(1500), machine::start);
     }
 
     public boolean acceptsConnections(String instance) {
--- a/proxy/src/main/java/saltdale/proxy/BootingInstances.java
+++ b/proxy/src/main/java/saltdale/proxy/BootingInstances.java
@@ -42,7 +42,7 @@
         for (InstanceSlots slots : allocator.bootingInstances()) {
             if (!slots.isBeingTested) {
                 slots.isBeingTested = true;
-                environment.after(delayNanos, () -> test(allocator, slots));
+                environment.schedule(delayNanos, () -> test(allocator, slots));
             }
         }
     }
@@ -68,7 +68,7 @@
             if (accepted) {
                 markReady(allocator, slots);
             } else {
-                environment.after(heartbeatNanos / 24, () -> test(allocator, slots));
+                environment.schedule(heartbeatNanos / 24, () -> test(allocator, slots));
             }
         }
     }
--- a/proxy/src/main/java/saltdale/proxy/ClusterView.java
+++ b/proxy/src/main/java/saltdale/proxy/ClusterView.java
@@ -70,9 +70,9 @@
             configuration = next.revision() > before ? next : configuration;
             environment.check(
                     Invariant.NO_STEP_BACK, revision() >= before, () -> "from " + before + " to " + revision());
-            environment.note("configuration " + configuration.revision() + " is in force");
+            environment.log("configuration " + configuration.revision() + " is in force");
         } catch (InvalidConfiguration e) {
-            environment.note("invalid configuration received: " + e.getMessage());
+            environment.log("invalid configuration received: " + e.getMessage());
         }
     }
 
@@ -90,7 +90,7 @@
     }
 
     void updateMembers(List<Member> next) {
-        environment.note("members: " + next.size() + ", new or changed: "
+        environment.log("members: " + next.size() + ", new or changed: "
                 + next.stream()
                         .filter(member -> !members.contains(member))
                         .map(member -> member.name() + (member.leaving() ? "-" : ""))
@@ -105,7 +105,7 @@
     }
 
     boolean isSelf(Member member) {
-        return member.life().equals(incarnation());
+        return member.incarnation().equals(incarnation());
     }
 
     /** The member that grants the slots of this service's instances in this zone; null if there is none. */
--- a/proxy/src/main/java/saltdale/proxy/ConfigurationReplica.java
+++ b/proxy/src/main/java/saltdale/proxy/ConfigurationReplica.java
@@ -48,7 +48,7 @@
                 || !change.baseDigest().equals(digest())) {
             return Outcome.REJECTED;
         }
-        ConfigurationTree next = tree.changed(change.change());
+        ConfigurationTree next = tree.withChange(change.change());
         if (!next.digest().equals(change.digest()) || next.revision() != change.revision()) {
             trusted = false;
             return Outcome.REJECTED;
--- a/proxy/src/main/java/saltdale/proxy/ControlNodeSearch.java
+++ b/proxy/src/main/java/saltdale/proxy/ControlNodeSearch.java
@@ -74,7 +74,7 @@
     /** The control nodes not probed in this round: the current ones in random order, then the others. */
     private List<String> unprobed(String excluded) {
         List<String> current = new ArrayList<>(directory.current());
-        Collections.shuffle(current, new Random(environment.chance().nextLong()));
+        Collections.shuffle(current, new Random(environment.random().nextLong()));
         List<String> all = new ArrayList<>(current);
         directory.all().stream().filter(host -> !current.contains(host)).forEach(all::add);
         all.removeIf(host -> host.equals(excluded) || probed.contains(host));
@@ -84,12 +84,12 @@
     private void askOtherProxy() {
         List<String> proxies = repliedInRound ? List.of() : otherProxies.get();
         if (!proxies.isEmpty()) {
-            probe(proxies.get(environment.chance().nextInt(proxies.size())));
+            probe(proxies.get(environment.random().nextInt(proxies.size())));
         }
     }
 
     private void probe(String host) {
-        environment.counters().count(Counter.CONTACT_PROBES);
+        environment.counters().increment(Counter.CONTACT_PROBES);
         environment.send(host, new ContactProbe(++lastNumber));
     }
 
--- a/proxy/src/main/java/saltdale/proxy/ControlNodeSelector.java
+++ b/proxy/src/main/java/saltdale/proxy/ControlNodeSelector.java
@@ -124,9 +124,9 @@
     }
 
     private void select(String next) {
-        environment.note("selects control node " + next + ", previous: " + host + ", reason: " + reason() + ", known: "
+        environment.log("selects control node " + next + ", previous: " + host + ", reason: " + reason() + ", known: "
                 + directory.all());
-        environment.counters().count(Counter.CONTROL_NODE_CHANGES);
+        environment.counters().increment(Counter.CONTROL_NODE_CHANGES);
         host = next;
         search.selected(next);
         withoutQuorum = false;
@@ -196,7 +196,7 @@
         if (disconnected) {
             return false;
         }
-        environment.counters().count(Counter.CONTROL_CONNECTIONS_LOST);
+        environment.counters().increment(Counter.CONTROL_CONNECTIONS_LOST);
         disconnected = true;
         disconnectedAt = environment.now();
         leaving = false; // the process that announced it has exited; another one may start at its address
--- a/proxy/src/main/java/saltdale/proxy/ControlSession.java
+++ b/proxy/src/main/java/saltdale/proxy/ControlSession.java
@@ -73,7 +73,7 @@
     }
 
     private String randomId() {
-        return Long.toString(environment.chance().nextLong() >>> 1, 36);
+        return Long.toString(environment.random().nextLong() >>> 1, 36);
     }
 
     /** The random ID of this proxy as a member; a new one is drawn when the process starts and when its lease ends. */
@@ -117,7 +117,7 @@
     }
 
     private void tick() {
-        environment.after(selector.tickNanos(), this::tick);
+        environment.schedule(selector.tickNanos(), this::tick);
         selector.tick();
         // Until the first grant of a session, renewals are sent at every tick, since messages may be lost.
         if (!granted || environment.now() - renewedAt >= renewalIntervalNanos()) {
@@ -147,7 +147,7 @@
         granted = false;
         selector.served();
         renewalSentAt.clear();
-        environment.counters().count(Counter.SESSIONS_BEGUN);
+        environment.counters().increment(Counter.SESSIONS_BEGUN);
         listener.sessionStarted();
     }
 
@@ -221,7 +221,7 @@
     private void leaseExpired() {
         incarnation = randomId();
         leaseUntil = NEVER;
-        environment.note("lease expired; new incarnation: " + incarnation);
+        environment.log("lease expired; new incarnation: " + incarnation);
         listener.leaseExpired();
         restart();
     }
@@ -232,8 +232,8 @@
             return;
         }
         if (!grant.hasQuorum()) {
-            environment.counters().count(Counter.GRANTS_WITHOUT_QUORUM);
-            environment.note("control node " + selector.host() + " has no quorum");
+            environment.counters().increment(Counter.GRANTS_WITHOUT_QUORUM);
+            environment.log("control node " + selector.host() + " has no quorum");
             selector.repliedWithoutQuorum(grant.controlHosts());
             return;
         }
@@ -250,12 +250,12 @@
     /** Checks that all updates sent before this grant have arrived. */
     private void checkCompleteness(LeaseGrant grant, long until) {
         if (!updates.hasAll(grant.updatesSent())) {
-            environment.note(grant.updatesSent() + " updates were sent, " + updates.count() + " received");
+            environment.log(grant.updatesSent() + " updates were sent, " + updates.count() + " received");
             restart();
         } else if (!updates.isFetchingSnapshot()) {
             // When it replied, the control node knew everything chosen before its last contact with a majority.
             configurationKnownAt =
-                    Math.max(configurationKnownAt, until - LeaseTimes.memberLease(settings.heartbeatNanos()));
+                    Math.max(configurationKnownAt, until - LeaseTimes.memberLeaseNanos(settings.heartbeatNanos()));
         }
     }
 }
--- a/proxy/src/main/java/saltdale/proxy/OwnedServices.java
+++ b/proxy/src/main/java/saltdale/proxy/OwnedServices.java
@@ -111,14 +111,14 @@
                 service,
                 cluster.zone(),
                 probes,
-                environment.chance(),
+                environment.random(),
                 instance -> cluster.isOwner(service, instance.zone()),
                 new ClaimReplies(),
                 grantsFrom);
         allocators.put(service, allocator);
         ofService.forEach(instance -> allocator.updateInstance(instance, now));
         applyPendingGrants(allocator);
-        environment.after(Math.max(0, grantsFrom - now), () -> allocator.expire(environment.now()));
+        environment.schedule(Math.max(0, grantsFrom - now), () -> allocator.expire(environment.now()));
         return allocator;
     }
 
@@ -155,7 +155,7 @@
     void membersGone(Collection<Member> members) {
         long expiresAt = environment.now() + heartbeatNanos / 3;
         members.forEach(
-                member -> allocators.values().forEach(allocator -> allocator.memberGone(member.life(), expiresAt)));
+                member -> allocators.values().forEach(allocator -> allocator.memberGone(member.incarnation(), expiresAt)));
     }
 
     // Slots.
@@ -205,7 +205,7 @@
         }
         allocator.release(key, instanceId, outcome, ranNanos, environment.now());
         if (outcome == Attempt.Outcome.ABANDONED) {
-            environment.after(
+            environment.schedule(
                     SlotAllocator.CONNECTION_CLOSE_GRACE_NANOS + 1, () -> allocator.expire(environment.now()));
         }
     }
@@ -318,7 +318,7 @@
         }
 
         private void later(Consumer<SlotReplyHandler> reply) {
-            environment.after(0, () -> reply.accept(localReplyHandler));
+            environment.schedule(0, () -> reply.accept(localReplyHandler));
         }
     }
 }
--- a/proxy/src/main/java/saltdale/proxy/Proxy.java
+++ b/proxy/src/main/java/saltdale/proxy/Proxy.java
@@ -70,7 +70,7 @@
 
     private void tick() {
         detectPause();
-        environment.after(settings.heartbeatNanos() / 6, this::tick);
+        environment.schedule(settings.heartbeatNanos() / 6, this::tick);
         ownedServices.tick();
     }
 
@@ -132,7 +132,7 @@
     public void shutDown(long queueGraceNanos) {
         shuttingDown = true;
         controlSession.leave();
-        environment.after(queueGraceNanos, slotRequester::rejectQueued);
+        environment.schedule(queueGraceNanos, slotRequester::rejectQueued);
     }
 
     /** Answers all requests in progress with an error, right before the process exits. */
@@ -153,14 +153,14 @@
         boolean mayBeOutdated = cluster.configurationMayBeOutdated();
         if (route != null) {
             if (mayBeOutdated) {
-                environment.counters().count(Counter.ROUTED_WITHOUT_CONTACT);
+                environment.counters().increment(Counter.ROUTED_WITHOUT_CONTACT);
             }
             return new RouteDecision.Found(route);
         } else if (configuration == null || mayBeOutdated) {
-            environment.counters().count(Counter.ROUTES_UNDECIDED);
+            environment.counters().increment(Counter.ROUTES_UNDECIDED);
             return new RouteDecision.Undecided();
         }
-        environment.counters().count(Counter.ROUTES_DENIED);
+        environment.counters().increment(Counter.ROUTES_DENIED);
         environment.check(
                 Invariant.DENIED_IN_CONTACT,
                 environment.now() - controlSession.lastQuorumGrantAt() <= settings.configApplyNanos(),
@@ -244,7 +244,7 @@
         requests.ownersChanged(previous);
         List<Member> gone = previous.stream()
                 .filter(old ->
-                        members.stream().noneMatch(member -> member.life().equals(old.life())))
+                        members.stream().noneMatch(member -> member.incarnation().equals(old.incarnation())))
                 .toList();
         ownedServices.membersGone(gone);
         slotRequester.membersGone(gone);
--- a/proxy/src/main/java/saltdale/proxy/RequestLifecycle.java
+++ b/proxy/src/main/java/saltdale/proxy/RequestLifecycle.java
@@ -17,7 +17,7 @@
  */
 final class RequestLifecycle implements SlotRequester.Callbacks {
     /** Requests are given up this much before the client's deadline, so that the answer arrives in time. */
-    private static final long DEADLINE_MARGIN_NANOS = Environment.millis(15);
+    private static final long DEADLINE_MARGIN_NANOS = Environment.millisToNanos(15);
 
     private static final int NESTED_PRIORITY = -1; // of requests that instances make while they hold a slot
     private static final int MAX_ATTEMPTS = 6; // of a request, including those that instances turned away
@@ -72,7 +72,7 @@
         long deadline = now + Math.min(remainingNanos - DEADLINE_MARGIN_NANOS, route.timeoutMs() * 1_000_000);
         Request request = new Request(id, route, chooseService(route), clientContext, priority, now, deadline);
         retryBudget.countRequest(request.service, now);
-        request.cancelDeadlineTimer = environment.after(Math.max(0, deadline - now), () -> deadlineExceeded(request));
+        request.cancelDeadlineTimer = environment.schedule(Math.max(0, deadline - now), () -> deadlineExceeded(request));
         slotRequester.requestSlot(request);
         return request;
     }
@@ -82,7 +82,7 @@
         if (route.services().size() == 1) {
             return route.services().get(0);
         }
-        double draw = environment.chance().nextDouble()
+        double draw = environment.random().nextDouble()
                 * route.weights().stream().mapToDouble(weight -> weight).sum();
         for (int i = 0; i < route.services().size(); i++) {
             draw -= route.weights().get(i);
@@ -217,7 +217,7 @@
             Member previousOwner = ServiceOwnership.ownerOf(attempt.request.service, attempt.zone, previousMembers);
             Member owner = cluster.owner(attempt.request.service, attempt.zone);
             boolean ownerChanged = previousOwner == null
-                    || owner != null && !previousOwner.life().equals(owner.life());
+                    || owner != null && !previousOwner.incarnation().equals(owner.incarnation());
             boolean incarnationChanged = !attempt.incarnation.equals(cluster.incarnation());
             if (owner != null && (ownerChanged || incarnationChanged)) {
                 attempt.owner = owner;
--- a/proxy/src/main/java/saltdale/proxy/SessionUpdates.java
+++ b/proxy/src/main/java/saltdale/proxy/SessionUpdates.java
@@ -73,7 +73,7 @@
     /** Applies the next update; false if it does not fit the previous ones, so that a new session must start. */
     boolean apply(SessionUpdate update) throws MalformedMessage {
         if (update.number() != count + 1) {
-            environment.note("update " + update.number() + " received after update " + count);
+            environment.log("update " + update.number() + " received after update " + count);
             return false;
         }
         count++;
@@ -92,9 +92,9 @@
 
     private boolean applyChange(ConfigurationChange change) throws MalformedMessage {
         switch (configuration.apply(change)) {
-            case APPLIED -> listener.configurationChanged(configuration.tree().whole());
+            case APPLIED -> listener.configurationChanged(configuration.tree().toMap());
             case REJECTED -> {
-                environment.note("the change to configuration " + change.revision()
+                environment.log("the change to configuration " + change.revision()
                         + " does not fit the current configuration " + configuration.revision());
                 return false;
             }
@@ -105,7 +105,7 @@
 
     private boolean applyChange(MembersChange change) {
         if (!members.apply(change)) {
-            environment.note("the received members do not have the expected digest");
+            environment.log("the received members do not have the expected digest");
             return false;
         }
         listener.membersChanged(members.all());
@@ -131,7 +131,7 @@
         int offsetBefore = configuration.snapshotOffset();
         if (configuration.addSnapshotPart(part)) {
             fetchingSnapshot = false;
-            listener.configurationChanged(configuration.tree().whole());
+            listener.configurationChanged(configuration.tree().toMap());
         } else if (configuration.snapshotOffset() != offsetBefore) {
             fetchNextPart();
         }
--- a/proxy/src/main/java/saltdale/proxy/SlotRequester.java
+++ b/proxy/src/main/java/saltdale/proxy/SlotRequester.java
@@ -25,7 +25,7 @@
     }
 
     private static final long NO_OWNER_RETRY_AFTER_MILLIS = 500;
-    private static final long NOT_OWNER_RETRY_DELAY_NANOS = Environment.millis(20);
+    private static final long NOT_OWNER_RETRY_DELAY_NANOS = Environment.millisToNanos(20);
 
     private final Environment environment;
     private final ClusterView cluster;
@@ -86,7 +86,7 @@
         request.slotNumber = number;
         request.slotKey = SlotClaim.key(cluster.incarnation(), number);
         pending.put(number, request);
-        request.cancelReplyTimer = environment.after(heartbeatNanos / 10, () -> replyTimedOut(request, number));
+        request.cancelReplyTimer = environment.schedule(heartbeatNanos / 10, () -> replyTimedOut(request, number));
     }
 
     private void send(Request request, boolean countsAsDemand) {
@@ -142,7 +142,7 @@
         }
         return remoteOwners.isEmpty()
                 ? localOwner
-                : remoteOwners.get(environment.chance().nextInt(remoteOwners.size()));
+                : remoteOwners.get(environment.random().nextInt(remoteOwners.size()));
     }
 
     private boolean isUsable(Member owner, Request request) {
@@ -151,7 +151,7 @@
         }
         return cluster.isSelf(owner)
                 ? cluster.hasLease()
-                : skippedUntil.getOrDefault(owner.life(), 0L) <= environment.now();
+                : skippedUntil.getOrDefault(owner.incarnation(), 0L) <= environment.now();
     }
 
     /** Cancels the current slot request, if any; a slot granted for it in the meantime is returned. */
@@ -177,7 +177,7 @@
     }
 
     private void requestAgainAfter(long delayNanos, Request request, long number) {
-        environment.after(delayNanos, () -> {
+        environment.schedule(delayNanos, () -> {
             if (request.slotNumber == number) {
                 requestAgain(request);
             }
@@ -192,7 +192,7 @@
     private void replyTimedOut(Request request, long number) {
         if (request.slotNumber == number) {
             if (!cluster.isSelf(request.slotOwner)) {
-                skippedUntil.put(request.slotOwner.life(), environment.now() + heartbeatNanos / 2);
+                skippedUntil.put(request.slotOwner.incarnation(), environment.now() + heartbeatNanos / 2);
             }
             request.unresponsiveOwners.put(request.slotOwner.zone(), unresponsive(request.slotOwner));
             requestAgain(request);
@@ -200,7 +200,7 @@
     }
 
     private Request.UnresponsiveOwner unresponsive(Member owner) {
-        return new Request.UnresponsiveOwner(owner == null ? "" : owner.life(), environment.now());
+        return new Request.UnresponsiveOwner(owner == null ? "" : owner.incarnation(), environment.now());
     }
 
     /**
@@ -216,8 +216,8 @@
                 return false;
             }
             boolean stillSkipped = environment.now() - unresponsive.detectedAt() < heartbeatNanos / 2
-                    || skippedUntil.getOrDefault(owner.life(), 0L) > environment.now();
-            return !owner.life().equals(unresponsive.incarnation()) || !stillSkipped;
+                    || skippedUntil.getOrDefault(owner.incarnation(), 0L) > environment.now();
+            return !owner.incarnation().equals(unresponsive.incarnation()) || !stillSkipped;
         });
     }
 
@@ -234,7 +234,7 @@
     void ownersChanged() {
         for (Request request : List.copyOf(pending.values())) {
             Member owner = cluster.owner(request.service, request.slotOwner.zone());
-            boolean isReplaced = owner == null || !owner.life().equals(request.slotOwner.life());
+            boolean isReplaced = owner == null || !owner.incarnation().equals(request.slotOwner.incarnation());
             if (forgetOldUnresponsiveOwners(request) || isReplaced) {
                 requestAgain(request);
             }
@@ -243,7 +243,7 @@
 
     /** Forgets the state of former members. */
     void membersGone(Collection<Member> members) {
-        members.forEach(member -> skippedUntil.remove(member.life()));
+        members.forEach(member -> skippedUntil.remove(member.incarnation()));
     }
 
     @Override
@@ -273,7 +273,7 @@
             return;
         }
         request.cancelReplyTimer.run();
-        request.cancelReplyTimer = environment.after(heartbeatNanos, () -> replyTimedOut(request, number));
+        request.cancelReplyTimer = environment.schedule(heartbeatNanos, () -> replyTimedOut(request, number));
         if (forgetOldUnresponsiveOwners(request)) {
             requestAgainAfter(0, request, number); // not now: the owner may be this proxy, iterating over its queue
         }
--- a/proxy/src/test/java/saltdale/proxy/ProxyClusterTest.java
+++ b/proxy/src/test/java/saltdale/proxy/ProxyClusterTest.java
@@ -453,7 +453,7 @@
             SimMachine owner = owner(world, asks.zone);
             if (goesOn) {
                 owner.freeze();
-                world.schedule(Environment.millis(1300), owner::thaw);
+                world.schedule(Environment.millisToNanos(1300), owner::thaw);
             } else {
                 owner.powerOff();
             }
@@ -468,7 +468,8 @@
     private static void callOften(SimWorld world, SimMachine at, List<SimPlatform.OutgoingCall> calls, int times) {
         for (int i = 0; i < times; i++) {
             world.schedule(
-                    Environment.millis(100 * i), () -> calls.add(world.platform.call(at, "h.example", "/b/1", 4000)));
+                    Environment.millisToNanos(100 * i),
+                    () -> calls.add(world.platform.call(at, "h.example", "/b/1", 4000)));
         }
     }
 
--- a/proxy/src/test/java/saltdale/proxy/SimPlatform.java
+++ b/proxy/src/test/java/saltdale/proxy/SimPlatform.java
@@ -52,7 +52,7 @@
         Instance(String service, Worker worker) {
             this.service = service;
             this.worker = worker;
-            upAt = begunAt + Environment.millis(bootMs);
+            upAt = begunAt + Environment.millisToNanos(bootMs);
         }
 
         boolean acceptsConnections() {
@@ -62,7 +62,7 @@
         void drain() {
             drainingAt = world.now();
             goneAt = world.now()
-                    + Environment.millis(listLagMs + 4500); // from when the list shows it, and a little longer
+                    + Environment.millisToNanos(listLagMs + 4500); // from when the list shows it, and a little longer
         }
     }
 
@@ -237,7 +237,7 @@
             Supplier<Platform.Response> made,
             Consumer<Platform.Response> answer) {
         boolean isDuty = what.equals("begin") || what.equals("stop");
-        long late = isDuty ? Environment.millis(dutyDelayMs.getOrDefault(process.machine.host, 0L)) : 0;
+        long late = isDuty ? Environment.millisToNanos(dutyDelayMs.getOrDefault(process.machine.host, 0L)) : 0;
         world.schedule(world.randomDelayNanos() + late, () -> {
             calls.removeIf(c -> world.now() / 1_000_000 - Long.parseLong(c.substring(0, c.indexOf(' '))) >= 1000);
             boolean over = calls.size() >= rate;
@@ -250,13 +250,13 @@
                     : over ? new Platform.Response(429, null) : made.get();
             boolean lost = reply == null || world.random.nextDouble() < lostResponseProbability;
             world.schedule(
-                    lost ? Environment.millis(1200) : world.randomDelayNanos(),
+                    lost ? Environment.millisToNanos(1200) : world.randomDelayNanos(),
                     () -> process.deliver(() -> answer.accept(lost ? null : reply)));
         });
     }
 
     private Platform.Response page(String token) {
-        long then = world.now() - Environment.millis(listLagMs);
+        long then = world.now() - Environment.millisToNanos(listLagMs);
         int from = token == null ? 0 : Integer.parseInt(token);
         List<Instance> shown = instances.values().stream()
                 .filter(r -> r.upAt <= then && r.goneAt > then)
@@ -292,7 +292,7 @@
     }
 
     private Platform.Response workerList() {
-        long then = world.now() - Environment.millis(listLagMs);
+        long then = world.now() - Environment.millisToNanos(listLagMs);
         List<Object> list = new ArrayList<>();
         workers.values()
                 .forEach(w -> list.add(Fields.tree(
@@ -385,7 +385,7 @@
             return asked;
         }
         at.process.deliver(() ->
-                at.proxy().handleRequest("a-" + calls.size(), route, Environment.millis(leftMs), "10.9.9.9", asked));
+                at.proxy().handleRequest("a-" + calls.size(), route, Environment.millisToNanos(leftMs), "10.9.9.9", asked));
         return asked;
     }
 
@@ -466,7 +466,7 @@
             return;
         }
         // The list has shown it as draining for longer than drain_ms.
-        if (to.drainingAt != Long.MAX_VALUE && world.now() - to.drainingAt > Environment.millis(listLagMs + 3000)) {
+        if (to.drainingAt != Long.MAX_VALUE && world.now() - to.drainingAt > Environment.millisToNanos(listLagMs + 3000)) {
             callsAfterDrain.add(world.now());
         }
         if (to.busy >= slots.get(to.service)) {
