--- a/control/src/main/java/saltdale/control/Demand.java
+++ b/control/src/main/java/saltdale/control/Demand.java
@@ -2,7 +2,10 @@
 
 import java.util.List;
 
-/** Of one service in one zone: calls a second, seconds each runs, how many run, how many wait. */
+/**
+ * The demand for one service in one zone: calls per second, seconds that each call runs, calls that run now, calls that
+ * wait, and the seconds since the service was last busy.
+ */
 public record Demand(
         String service,
         String zone,
@@ -11,10 +14,12 @@
         int busy,
         int waiting,
         double idleSeconds) {
+    /** The fields in the order in which messages carry them. */
     public List<Object> tree() {
         return List.of(service, zone, callsPerSecond, runSeconds, busy, waiting, idleSeconds);
     }
 
+    /** Reads a demand from the fields that {@link #tree()} returns. */
     public static Demand of(Object tree) throws MalformedMessage {
         if (tree instanceof List<?> list
                 && list.size() >= 7
@@ -34,6 +39,6 @@
                     waiting.intValue(),
                     idleSeconds.doubleValue());
         }
-        throw new MalformedMessage("is no demand");
+        throw new MalformedMessage("is not a demand report");
     }
 }
--- a/control/src/main/java/saltdale/control/DesiredInstanceCounts.java
+++ b/control/src/main/java/saltdale/control/DesiredInstanceCounts.java
@@ -8,22 +8,25 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/** How many instances of a service the measured demand wants in each zone. Ratios are explained in docs/platform.md. */
+/**
+ * Computes how many instances of a service the measured demand calls for in each zone. docs/platform.md explains the
+ * ratios.
+ */
 final class DesiredInstanceCounts {
-    /** Of an instance's slots busy: from here a zone has instances of its own. */
-    private static final double OWN_ZONE = 0.35;
-    /** Of that: down to here it keeps them. */
-    private static final double KEEPS_ZONE = 0.6;
-    /** Spare slots at most, in square roots of the slots busy on average. */
-    private static final double SPREAD = 1.5;
-    /** As a logarithm: one request in a hundred waits longer than it may. */
-    private static final double SELDOM = 4.6;
-    /** Slots busy on average below which the average alone decides. */
-    private static final double RARE = 0.05;
-    /** Weight of a report without requests, so that it counts at all. */
-    private static final double LEAST_RATE = 0.01;
+    /** Average load, as a share of one instance's slots, from which a zone gets instances of its own. */
+    private static final double OWN_ZONE_LOAD = 0.35;
+    /** Factor on {@link #OWN_ZONE_LOAD}: a zone that has instances keeps them down to this load. */
+    private static final double KEEP_ZONE_FACTOR = 0.6;
+    /** Upper bound of the spare slots, as a multiple of the square root of the average number of busy slots. */
+    private static final double SPARE_SLOTS_PER_ROOT = 1.5;
+    /** Natural logarithm of 100: one request in a hundred may wait longer than the target latency allows. */
+    private static final double LOG_OF_LATE_RATIO = 4.6;
+    /** Average number of busy slots below which no spare slots are added. */
+    private static final double LOW_LOAD_SLOTS = 0.05;
+    /** Weight of a report without requests, so that it is not ignored altogether. */
+    private static final double MIN_WEIGHT = 0.01;
 
-    /** What a zone needs: the average of busy slots, those busy now, and those that clear what waits. */
+    /** The load of a zone in slots: busy on average, busy now, and needed to clear the waiting requests. */
     private static final class ZoneLoad {
         double average;
         double busy;
@@ -40,87 +43,95 @@
     private final double targetSeconds;
     private final long holdNanos;
 
-    /** {@code holdNanos}: for how long an instance without work is held. */
+    /** Creates a computation in which {@code holdNanos} is how long an idle instance is held. */
     DesiredInstanceCounts(Configuration.Service service, double targetSeconds, long holdNanos) {
         this.service = service;
         this.targetSeconds = targetSeconds;
         this.holdNanos = holdNanos;
     }
 
-    /** By zone; {@code live}: the service's instances that are not leaving. */
+    /** Returns the counts by zone; {@code live} are the service's instances that are not leaving. */
     Map<String, Integer> byZone(List<Demand> demands, Collection<Instance> live) {
-        Map<String, Integer> wanted = new TreeMap<>();
+        Map<String, Integer> desired = new TreeMap<>();
         if (demands.isEmpty()) {
-            return wanted;
+            return desired;
         }
-        double runSeconds = runSeconds(demands);
-        Set<String> have = live.stream().map(Instance::zone).collect(Collectors.toSet());
-        Map<String, ZoneLoad> loads = loads(demands, have, runSeconds);
-        String main = mainZone(loads, have);
+        double runSeconds = meanRunSeconds(demands);
+        Set<String> occupiedZones = live.stream().map(Instance::zone).collect(Collectors.toSet());
+        Map<String, ZoneLoad> loads = loads(demands, occupiedZones, runSeconds);
+        String main = mainZone(loads, occupiedZones);
         ZoneLoad pooled = new ZoneLoad();
         pooled.add(loads.get(main));
         int slots = service.maxConcurrency();
         loads.forEach((zone, load) -> {
-            double share = OWN_ZONE * (have.contains(zone) ? KEEPS_ZONE : 1);
+            double minLoad = OWN_ZONE_LOAD * (occupiedZones.contains(zone) ? KEEP_ZONE_FACTOR : 1);
             if (zone.equals(main)) {
                 return;
-            } else if (load.average >= share * slots) {
-                wanted.put(zone, count(load, runSeconds));
+            } else if (load.average >= minLoad * slots) {
+                desired.put(zone, count(load, runSeconds));
             } else {
                 pooled.add(load);
             }
         });
         double rate = demands.stream().mapToDouble(Demand::callsPerSecond).sum();
-        // Between requests so rare that holding costs more than starting again, nothing is kept.
+        // With less than one request per hold time, holding an instance costs more than starting it again.
         if (rate * holdNanos / 1e9 < 1) {
             pooled.average = 0;
         }
-        wanted.put(main, count(pooled, runSeconds));
-        return wanted;
+        desired.put(main, count(pooled, runSeconds));
+        return desired;
     }
 
-    /** One running time for all zones: a zone whose requests go elsewhere has seen none of its own. */
-    private double runSeconds(List<Demand> demands) {
+    /** One run time for all zones, since a zone whose requests are served elsewhere has measured none of its own. */
+    private double meanRunSeconds(List<Demand> demands) {
         double weights = 0;
         double sum = 0;
         for (Demand demand : demands) {
-            double weight = demand.callsPerSecond() + LEAST_RATE;
+            double weight = demand.callsPerSecond() + MIN_WEIGHT;
             weights += demand.runSeconds() > 0 ? weight : 0;
             sum += demand.runSeconds() * weight;
         }
         return weights == 0 ? targetSeconds / 4 : sum / weights;
     }
 
-    private Map<String, ZoneLoad> loads(List<Demand> demands, Set<String> have, double runSeconds) {
-        // Slots that clear what waits in about the time that a start takes: more would come up when all is over.
-        double clearsSeconds = Math.max(service.bootMs() / 1000.0, runSeconds) / 2;
+    private Map<String, ZoneLoad> loads(List<Demand> demands, Set<String> occupiedZones, double runSeconds) {
+        // Enough slots to clear the queue in about one boot time: further instances would be ready too late to help.
+        double clearSeconds = Math.max(service.bootMs() / 1000.0, runSeconds) / 2;
         Map<String, ZoneLoad> loads = new TreeMap<>();
-        have.forEach(zone -> loads.put(zone, new ZoneLoad()));
+        occupiedZones.forEach(zone -> loads.put(zone, new ZoneLoad()));
         for (Demand demand : demands) {
             ZoneLoad load = loads.computeIfAbsent(demand.zone(), zone -> new ZoneLoad());
             load.average += demand.callsPerSecond() * runSeconds;
             load.busy += demand.busy();
-            load.waiting += demand.waiting() * runSeconds / clearsSeconds;
+            load.waiting += demand.waiting() * runSeconds / clearSeconds;
         }
         return loads;
     }
 
-    /** Guards against instances that move to and fro: where there are some, the rest of the zones goes there. */
-    private static String mainZone(Map<String, ZoneLoad> loads, Set<String> have) {
+    /**
+     * The zone that serves the zones without instances of their own. Zones that have instances are preferred, so that
+     * instances do not move back and forth between zones.
+     */
+    private static String mainZone(Map<String, ZoneLoad> loads, Set<String> occupiedZones) {
         return loads.keySet().stream()
-                .max(Comparator.comparing((String zone) -> have.contains(zone)).thenComparing(zone -> {
-                    ZoneLoad load = loads.get(zone);
-                    return load.average + LEAST_RATE * (load.busy + load.waiting);
-                }))
+                .max(Comparator.comparing((String zone) -> occupiedZones.contains(zone))
+                        .thenComparing(zone -> {
+                            ZoneLoad load = loads.get(zone);
+                            return load.average + MIN_WEIGHT * (load.busy + load.waiting);
+                        }))
                 .orElseThrow();
     }
 
-    /** Spare slots are few where requests may wait: the chance of a longer wait falls by e with each run of it. */
+    /**
+     * The instances for this load. Few spare slots suffice where requests may wait, since the probability of a longer
+     * wait falls by a factor of e with each run time.
+     */
     private int count(ZoneLoad load, double runSeconds) {
         double average = load.average;
         double spare = Math.min(
-                SPREAD * Math.sqrt(average), SELDOM * runSeconds / Math.max(runSeconds, targetSeconds - runSeconds));
-        double room = average < RARE ? Math.min(1, average) : average + spare;
-        return (int) Math.ceil(Math.max(room + load.waiting, load.busy) / service.maxConcurrency());
+                SPARE_SLOTS_PER_ROOT * Math.sqrt(average),
+                LOG_OF_LATE_RATIO * runSeconds / Math.max(runSeconds, targetSeconds - runSeconds));
+        double slots = average < LOW_LOAD_SLOTS ? Math.min(1, average) : average + spare;
+        return (int) Math.ceil(Math.max(slots + load.waiting, load.busy) / service.maxConcurrency());
     }
 }
--- a/control/src/main/java/saltdale/control/DutyElection.java
+++ b/control/src/main/java/saltdale/control/DutyElection.java
@@ -3,8 +3,8 @@
 import java.util.function.Consumer;
 
 /**
- * The duty of starting and stopping instances: a lease in the replicated state, won by a ballot whenever it is vacant
- * and fenced by a number that only grows.
+ * The duty of starting and stopping instances: a lease in the replicated state. A control node claims it by a ballot
+ * whenever it is vacant, and each new lease has a higher fencing number.
  */
 final class DutyElection {
     static final String STARTING = "starting";
@@ -14,7 +14,7 @@
     private final ReplicatedRegister register;
     private final PeerContacts peers;
     private final String id;
-    private final String life;
+    private final String incarnation;
     private final long startedAt;
 
     DutyElection(
@@ -23,22 +23,25 @@
             ReplicatedRegister register,
             PeerContacts peers,
             String id,
-            String life) {
+            String incarnation) {
         this.environment = environment;
         this.settings = settings;
         this.register = register;
         this.peers = peers;
         this.id = id;
-        this.life = life;
+        this.incarnation = incarnation;
         startedAt = environment.now();
     }
 
-    /** Who holds the duty is named with its life: one that began anew has forgotten what it was about. */
+    /**
+     * The name under which this control node holds the duty. It includes the incarnation of the process, since a
+     * restarted process has lost its state and does not continue the duty.
+     */
     String ownName() {
-        return id + "/" + life;
+        return id + "/" + incarnation;
     }
 
-    /** Whether this control node holds the duty and knows that nobody can have taken it over. */
+    /** Whether this control node holds the duty and can rule out that another one has taken it over. */
     boolean holdsDuty() {
         ReplicatedState state = register.chosen();
         return state != null && ownName().equals(state.duty(STARTING).holder()) && peers.hasQuorum();
@@ -48,7 +51,7 @@
         return register.chosen().duty(STARTING).fence();
     }
 
-    /** The peer that holds the duty; null where it is this control node, nobody, or one that was not heard. */
+    /** The peer that holds the duty; null if this control node, nobody, or a peer without contact holds it. */
     PeerContacts.Peer holderPeer() {
         ReplicatedState state = register.chosen();
         String holder = state == null ? null : state.duty(STARTING).holder();
@@ -60,13 +63,13 @@
         return null;
     }
 
-    /** Whether this control node may put itself forward now. */
+    /** Whether this control node may claim the duty now. */
     boolean mayClaim(ReplicatedState state) {
-        // Guards against a holder that nobody makes a voter again: one whose disk was lost leaves the duty to others.
+        // A control node that lost its disk may never become a voter again, so it leaves the duty to the voters.
         return settings.rates().duties().contains(STARTING) && state.isVoter(id) && isVacant(state);
     }
 
-    /** Takes the duty over, unless another has meanwhile. */
+    /** A change that takes the duty over unless another control node has done so in the meantime. */
     Proposer.Change claim(ReplicatedState state) {
         DutyLease seen = state.duty(STARTING);
         return (newest, text) -> newest.duty(STARTING).fence() != seen.fence()
@@ -77,19 +80,19 @@
                         Boolean.TRUE);
     }
 
-    /** Gives the duty up, so that another may take it over at once; {@code done} runs in any case. */
+    /** Releases the duty, so that another control node can take it over at once; {@code done} runs in any case. */
     void resign(Consumer<Object> done) {
         ReplicatedState state = register.chosen();
         if (state == null || !ownName().equals(state.duty(STARTING).holder())) {
             done.accept(null);
             return;
         }
-        DutyLease mine = state.duty(STARTING);
+        DutyLease own = state.duty(STARTING);
         register.propose(
-                (newest, text) -> !mine.equals(newest.duty(STARTING))
+                (newest, text) -> !own.equals(newest.duty(STARTING))
                         ? Proposer.Step.stay(null)
                         : new Proposer.Step(
-                                newest.withDuty(STARTING, new DutyLease(null, null, mine.fence())), null, Boolean.TRUE),
+                                newest.withDuty(STARTING, new DutyLease(null, null, own.fence())), null, Boolean.TRUE),
                 settings.heartbeat(),
                 done);
     }
@@ -110,7 +113,10 @@
         return isLeaseExpired(startedAt);
     }
 
-    /** Whether so long has passed since then that its lease is over, and we could have heard it. */
+    /**
+     * Whether the lease of a control node last heard from at {@code heardAt} has expired. False while this control node
+     * has no steady contact with a majority, since it could then have missed the other's heartbeats.
+     */
     boolean isLeaseExpired(long heardAt) {
         return environment.now() - Math.max(heardAt, startedAt) > settings.vacancy() && peers.hasSteadyQuorum();
     }
--- a/control/src/main/java/saltdale/control/Instance.java
+++ b/control/src/main/java/saltdale/control/Instance.java
@@ -2,26 +2,31 @@
 
 import java.util.List;
 
-/** One life of an instance, as known; what is known of it only moves forward. */
+/**
+ * The known state of one instance. An instance only moves to later phases, and a restarted one gets a new identifier.
+ */
 public record Instance(String id, String service, String address, String zone, String worker, Phase phase, int slots) {
-    /** In the order in which they follow one another; of two copies the later one is right. */
+    /** The phases of an instance in their order; of two copies the one with the later phase is valid. */
     public enum Phase {
-        /** Started, and not yet seen to answer. */
+        /** Started, and not yet accepting connections as far as known. */
         BOOTING,
         READY,
-        /** Gets nothing new: it drains, or we are about to stop it. */
+        /** Gets no new requests: it drains, or it is about to be stopped. */
         LEAVING,
         GONE
     }
 
-    public Instance withPhase(Phase later) {
-        return new Instance(id, service, address, zone, worker, later, slots);
+    /** A copy of this instance in another phase. */
+    public Instance withPhase(Phase newPhase) {
+        return new Instance(id, service, address, zone, worker, newPhase, slots);
     }
 
+    /** The fields in the order in which messages carry them. */
     public List<Object> tree() {
         return List.of(id, service, address, zone, worker, phase.ordinal(), slots);
     }
 
+    /** Reads an instance from the fields that {@link #tree()} returns. */
     public static Instance of(Object tree) throws MalformedMessage {
         if (tree instanceof List<?> list
                 && list.size() >= 7
@@ -36,6 +41,6 @@
                 && list.get(6) instanceof Long slots) {
             return new Instance(id, service, address, zone, worker, Phase.values()[phase.intValue()], slots.intValue());
         }
-        throw new MalformedMessage("is no instance");
+        throw new MalformedMessage("is not an instance");
     }
 }
--- a/control/src/main/java/saltdale/control/InstanceLifecycle.java
+++ b/control/src/main/java/saltdale/control/InstanceLifecycle.java
@@ -11,20 +11,21 @@
 import saltdale.control.message.InstanceMessage.StartIntents;
 
 /**
- * Starts and stops instances through the platform, while this control node holds the duty to. A start is told to the
- * other control nodes before it is asked for, with its nonce, so that whoever takes over asks again for what may have
- * been begun and learns of it.
+ * Starts and stops instances through the platform while this control node holds the duty. A start is announced to the
+ * other control nodes with its nonce before it is requested, so that a new duty holder repeats the requests that may
+ * have been made already and learns their results.
  */
 final class InstanceLifecycle {
-    private static final class Intent {
-        final StartIntent start;
-        long at; // when it was told or asked for
-        boolean asked; // a call of ours is under way
-        int tries;
+    /** A start that has been announced and whose result is not known yet. */
+    private static final class PendingStart {
+        final StartIntent intent;
+        long updatedAt; // when it was announced, requested or answered
+        boolean inFlight; // this control node waits for the platform's response
+        int attempts;
 
-        Intent(StartIntent start, long at) {
-            this.start = start;
-            this.at = at;
+        PendingStart(StartIntent intent, long updatedAt) {
+            this.intent = intent;
+            this.updatedAt = updatedAt;
         }
     }
 
@@ -33,17 +34,18 @@
     private final Platform platform;
     private final ControlNodeSettings nodeSettings;
     private Scaler scaler;
-    private final Map<String, Intent> intents = new LinkedHashMap<>(); // by nonce
-    private final Map<String, Long> leaving =
-            new LinkedHashMap<>(); // instances that are to get nothing new, and since when
-    private final Deque<Long> duties = new ArrayDeque<>(); // calls of the last second
+    private final Map<String, PendingStart> pendingStarts = new LinkedHashMap<>(); // by nonce
+    /** The instances that must get no new requests, with the time since when. */
+    private final Map<String, Long> leavingSince = new LinkedHashMap<>();
+
+    private final Deque<Long> recentDutyCalls = new ArrayDeque<>(); // times of the calls in the last second
     private final InstanceListReader listReader;
     private final WorkerTable workers;
-    private boolean looking;
-    private long plannedAt = Long.MIN_VALUE / 2;
+    private boolean planRequested;
+    private long lastPlanAt = Long.MIN_VALUE / 2;
     private long fence = -1;
-    private long nonces;
-    private long toldAt = Long.MIN_VALUE / 2; // of what is under way
+    private long nonceCount;
+    private long lastAnnouncementAt = Long.MIN_VALUE / 2;
 
     InstanceLifecycle(
             Environment environment, ControlNode controlNode, Platform platform, ControlNodeSettings nodeSettings) {
@@ -57,21 +59,22 @@
 
     void start() {
         listReader.read();
-        turn();
+        runPeriodically();
     }
 
     /**
-     * Tells the other control nodes again of what is under way and not in the list yet: messages get lost, and whoever
-     * takes over must know of it.
+     * Repeats to the other control nodes the starts and stops that are pending and do not show in the platform's list
+     * yet: messages can be lost, and a new duty holder must know of them.
      */
-    private void tellUnderWay() {
-        List<Instance> underWay = controlNode.instances().all().stream()
-                .filter(instance -> instance.phase() == Instance.Phase.BOOTING || leaving.containsKey(instance.id()))
+    private void announcePending() {
+        List<Instance> changing = controlNode.instances().all().stream()
+                .filter(instance ->
+                        instance.phase() == Instance.Phase.BOOTING || leavingSince.containsKey(instance.id()))
                 .toList();
         List<StartIntent> starts =
-                intents.values().stream().map(intent -> intent.start).toList();
-        if (!underWay.isEmpty()) {
-            controlNode.tellControlNodes(new InstanceUpdates(underWay));
+                pendingStarts.values().stream().map(start -> start.intent).toList();
+        if (!changing.isEmpty()) {
+            controlNode.tellControlNodes(new InstanceUpdates(changing));
         }
         if (!starts.isEmpty()) {
             controlNode.tellControlNodes(new StartIntents(starts, List.of()));
@@ -81,121 +84,130 @@
     // Starting and stopping.
 
     /**
-     * Something was heard that may want a start at once. A plan costs what all services in use are, and reports come as
-     * often as there are proxies: so plans keep a distance, whatever the size of the deployment.
+     * Schedules a plan because of a change that may require a start. The cost of a plan grows with the services in use,
+     * and demand reports come as often as there are proxies, so plans keep a minimum interval whatever the size of the
+     * deployment.
      */
     void requestPlan() {
-        if (!looking) {
-            looking = true;
-            environment.after(Math.max(0, plannedAt + planGap() - environment.now()), () -> {
-                looking = false;
-                act();
+        if (!planRequested) {
+            planRequested = true;
+            environment.after(Math.max(0, lastPlanAt + minPlanIntervalNanos() - environment.now()), () -> {
+                planRequested = false;
+                reconcile();
             });
         }
     }
 
-    private long planGap() {
+    private long minPlanIntervalNanos() {
         return nodeSettings.heartbeat() / 48;
     }
 
-    private void turn() {
-        act();
-        environment.after(nodeSettings.heartbeat() / 12, this::turn);
+    private void runPeriodically() {
+        reconcile();
+        environment.after(nodeSettings.heartbeat() / 12, this::runPeriodically);
     }
 
-    private void act() {
+    private void reconcile() {
         if (!controlNode.holds()) {
             fence = -1;
             return;
         }
         long now = environment.now();
-        if (fence != controlNode.fence()) { // newly won: what another had begun is asked for again, and so learnt
+        // A new duty holder repeats the requests of the previous one, and so learns their results.
+        if (fence != controlNode.fence()) {
             fence = controlNode.fence();
             scaler = new Scaler(nodeSettings.heartbeat() * 7 / 2, now);
-            intents.values().forEach(i -> i.asked = false);
+            pendingStarts.values().forEach(start -> start.inFlight = false);
             workers.expire();
             controlNode.instances().all().stream()
-                    .filter(r -> r.phase() == Instance.Phase.LEAVING && !listReader.isDrained(r.id()))
-                    .forEach(r -> leaving.putIfAbsent(r.id(), now));
+                    .filter(r -> r.phase() == Instance.Phase.LEAVING && !listReader.isDraining(r.id()))
+                    .forEach(r -> leavingSince.putIfAbsent(r.id(), now));
         }
-        if (now - toldAt > nodeSettings.heartbeat()) {
-            toldAt = now;
-            tellUnderWay();
+        if (now - lastAnnouncementAt > nodeSettings.heartbeat()) {
+            lastAnnouncementAt = now;
+            announcePending();
         }
         listReader.forgetUnknown();
-        leaving.keySet()
+        leavingSince
+                .keySet()
                 .removeIf(id -> controlNode.instances().get(id) == null
-                        || listReader.isDrained(id)
+                        || listReader.isDraining(id)
                         || controlNode.instances().get(id).phase() == Instance.Phase.GONE);
-        intents.values().removeIf(i -> !i.asked && now - i.at > 20 * nodeSettings.heartbeat());
+        pendingStarts
+                .values()
+                .removeIf(start -> !start.inFlight && now - start.updatedAt > 20 * nodeSettings.heartbeat());
         workers.refresh(now, controlNode.configuration() != null);
-        for (Intent intent : List.copyOf(intents.values())) {
-            if (!intent.asked
-                    && (intent.tries == 0 || now - intent.at > nodeSettings.heartbeat() / 4)
-                    && mayCall(now)) {
-                ask(intent, now);
+        for (PendingStart start : List.copyOf(pendingStarts.values())) {
+            if (!start.inFlight
+                    && (start.attempts == 0 || now - start.updatedAt > nodeSettings.heartbeat() / 4)
+                    && tryAcquireDutyCall(now)) {
+                requestStart(start, now);
             }
         }
         if (controlNode.configuration() != null && !workers.all().isEmpty()) {
             plan(now);
         }
-        for (Map.Entry<String, Long> each : List.copyOf(leaving.entrySet())) {
-            // Proxies have had the time to send nothing more there.
-            if (now - each.getValue() > nodeSettings.heartbeat() / 2 && mayCall(now)) {
-                leaving.put(each.getKey(), now);
-                stop(each.getKey());
+        for (Map.Entry<String, Long> each : List.copyOf(leavingSince.entrySet())) {
+            // By then the proxies have learned that the instance must get no more requests.
+            if (now - each.getValue() > nodeSettings.heartbeat() / 2 && tryAcquireDutyCall(now)) {
+                leavingSince.put(each.getKey(), now);
+                requestStop(each.getKey());
             }
         }
     }
 
-    private boolean mayCall(long now) {
-        while (!duties.isEmpty() && now - duties.peek() > 1_000_000_000L) {
-            duties.poll();
+    /** Counts a call that starts or stops an instance if the rate limit allows one now. Returns whether it does. */
+    private boolean tryAcquireDutyCall(long now) {
+        while (!recentDutyCalls.isEmpty() && now - recentDutyCalls.peek() > 1_000_000_000L) {
+            recentDutyCalls.poll();
         }
-        boolean may = duties.size() < Math.max(1, nodeSettings.rates().dutyCallsPerSecond() * 0.8);
-        if (may) {
-            duties.add(now);
+        boolean allowed =
+                recentDutyCalls.size() < Math.max(1, nodeSettings.rates().dutyCallsPerSecond() * 0.8);
+        if (allowed) {
+            recentDutyCalls.add(now);
         }
-        return may;
+        return allowed;
     }
 
     private void plan(long now) {
-        workers.reckon(
+        workers.updateFreeMemory(
                 controlNode.instances().all(),
-                intents.values().stream().map(intent -> intent.start).toList(),
+                pendingStarts.values().stream().map(start -> start.intent).toList(),
                 controlNode.configuration().services());
-        plannedAt = now;
-        PendingStarts underWay = new PendingStarts();
-        intents.values()
-                .forEach(intent -> underWay.add(intent.start.service(), intent.start.zone(), intent.start.worker()));
+        lastPlanAt = now;
+        PendingStarts pendingCounts = new PendingStarts();
+        pendingStarts
+                .values()
+                .forEach(
+                        start -> pendingCounts.add(start.intent.service(), start.intent.zone(), start.intent.worker()));
         Scaler.Plan plan = scaler.plan(
                 now,
                 controlNode.configuration(),
                 controlNode.demand().byService(now),
                 controlNode.instances(),
                 workers.all(),
-                underWay);
-        List<StartIntent> news = new ArrayList<>();
-        for (Scaler.Start start : plan.starts()) {
+                pendingCounts);
+        List<StartIntent> newIntents = new ArrayList<>();
+        for (Scaler.Start planned : plan.starts()) {
             Configuration.Service service =
-                    controlNode.configuration().services().get(start.service());
-            Intent intent = new Intent(
+                    controlNode.configuration().services().get(planned.service());
+            PendingStart start = new PendingStart(
                     new StartIntent(
-                            fence + "-" + Long.toString(++nonces, 36),
-                            start.service(),
-                            start.worker(),
-                            start.zone(),
+                            fence + "-" + Long.toString(++nonceCount, 36),
+                            planned.service(),
+                            planned.worker(),
+                            planned.zone(),
                             service.maxConcurrency(),
                             service.memoryMb()),
                     now);
-            intents.put(intent.start.nonce(), intent);
-            news.add(intent.start);
+            pendingStarts.put(start.intent.nonce(), start);
+            newIntents.add(start.intent);
         }
-        if (!news.isEmpty()) {
-            controlNode.tellControlNodes(new StartIntents(news, List.of()));
-            for (Intent intent : List.copyOf(intents.values())) {
-                if (!intent.asked && intent.tries == 0 && mayCall(now)) {
-                    ask(intent, now);
+        if (!newIntents.isEmpty()) {
+            controlNode.tellControlNodes(new StartIntents(newIntents, List.of()));
+            for (PendingStart start : List.copyOf(pendingStarts.values())) {
+                if (!start.inFlight && start.attempts == 0 && tryAcquireDutyCall(now)) {
+                    requestStart(start, now);
                 }
             }
         }
@@ -208,79 +220,79 @@
                             .map(r -> r.service() + "@" + r.zone())
                             .toList());
         }
-        for (Instance r : plan.stops()) {
-            leaving.put(r.id(), now);
-            controlNode.changed(List.of(r.withPhase(Instance.Phase.LEAVING)), true);
+        for (Instance instance : plan.stops()) {
+            leavingSince.put(instance.id(), now);
+            controlNode.changed(List.of(instance.withPhase(Instance.Phase.LEAVING)), true);
         }
     }
 
-    private void ask(Intent intent, long now) {
-        intent.asked = true;
-        intent.at = now;
-        intent.tries++;
-        long askedWith = fence;
+    private void requestStart(PendingStart start, long now) {
+        start.inFlight = true;
+        start.updatedAt = now;
+        start.attempts++;
+        long requestFence = fence;
         platform.startInstance(
                 controlNode.name(),
                 fence,
-                intent.start.service(),
-                intent.start.worker(),
-                intent.start.nonce(),
-                answer -> {
-                    intent.asked = false;
-                    intent.at = environment.now();
-                    boolean holds = controlNode.holds() && controlNode.fence() == askedWith;
-                    if (answer == null || answer.status() == 429 || answer.status() >= 500) {
-                        if (intent.tries > 8 && holds) {
-                            over(intent);
+                start.intent.service(),
+                start.intent.worker(),
+                start.intent.nonce(),
+                response -> {
+                    start.inFlight = false;
+                    start.updatedAt = environment.now();
+                    boolean stillHolds = controlNode.holds() && controlNode.fence() == requestFence;
+                    if (response == null || response.status() == 429 || response.status() >= 500) {
+                        if (start.attempts > 8 && stillHolds) {
+                            finish(start);
                         }
-                        return; // it may have been done: asked again under the same nonce
-                    } else if (answer.status() != 200 && !holds) {
-                        return; // what is refused to a former holder may be done for the present one
+                        return; // the start may have been executed, so it is retried with the same nonce
+                    } else if (response.status() != 200 && !stillHolds) {
+                        return; // what the platform refuses to a former holder it may accept from the current one
                     }
-                    over(intent);
-                    if (answer.status() != 200 || answer.body() == null) {
+                    finish(start);
+                    if (response.status() != 200 || response.body() == null) {
                         workers.startRefused();
-                        environment.note("start of " + intent.start.service() + " on " + intent.start.worker() + ": "
-                                + answer.status());
+                        environment.note("platform refused to start " + start.intent.service() + " on "
+                                + start.intent.worker() + ": " + response.status());
                         return;
                     }
-                    workers.startTaken();
+                    workers.startAccepted();
                     try {
-                        Fields body = new Fields(answer.body());
+                        Fields body = new Fields(response.body());
                         controlNode.changed(
                                 List.of(new Instance(
                                         body.text("identifier"),
-                                        intent.start.service(),
+                                        start.intent.service(),
                                         body.text("address"),
-                                        intent.start.zone(),
-                                        intent.start.worker(),
+                                        start.intent.zone(),
+                                        start.intent.worker(),
                                         Instance.Phase.BOOTING,
-                                        intent.start.slots())),
+                                        start.intent.slots())),
                                 true);
                     } catch (MalformedMessage e) {
-                        environment.note("an answer to a start cannot be read: " + e.getMessage());
+                        environment.note("malformed response to a start: " + e.getMessage());
                     }
                 });
     }
 
-    private void over(Intent intent) {
-        intents.remove(intent.start.nonce());
-        controlNode.tellControlNodes(new StartIntents(List.of(), List.of(intent.start.nonce())));
+    private void finish(PendingStart start) {
+        pendingStarts.remove(start.intent.nonce());
+        controlNode.tellControlNodes(new StartIntents(List.of(), List.of(start.intent.nonce())));
     }
 
-    private void stop(String id) {
-        platform.stopInstance(controlNode.name(), fence, id, answer -> {
-            if (answer != null && (answer.status() == 200 || answer.status() == 404)) {
-                leaving.remove(id);
+    private void requestStop(String id) {
+        platform.stopInstance(controlNode.name(), fence, id, response -> {
+            if (response != null && (response.status() == 200 || response.status() == 404)) {
+                leavingSince.remove(id);
             }
         });
     }
 
-    /** Another control node's intents: those it has told of, and those that are over. */
+    /** Takes over the pending starts that another control node announces, and drops those that it reports as ended. */
     void applyStartIntents(StartIntents message) {
         for (StartIntent each : message.intents()) {
-            intents.putIfAbsent(each.nonce(), new Intent(each, environment.now()));
+            pendingStarts.putIfAbsent(each.nonce(), new PendingStart(each, environment.now()));
         }
-        message.ended().forEach(intents::remove);
+        message.ended().forEach(pendingStarts::remove);
     }
 }
--- a/control/src/main/java/saltdale/control/InstanceListReader.java
+++ b/control/src/main/java/saltdale/control/InstanceListReader.java
@@ -6,98 +6,100 @@
 import java.util.Set;
 import saltdale.control.message.InstanceMessage.InstanceUpdates;
 
-/** Reads the platform's list of instances, page by page, within a control node's part of the platform's rate. */
+/** Reads the platform's paged list of instances within this control node's share of the platform's rate limit. */
 final class InstanceListReader {
-    /** Of the platform's rate: what all control nodes together use for whole lists. */
-    private static final double SHARE_OF_RATE = 0.5;
-    /** Of the platform's rate: what all control nodes together may use at any moment. */
-    private static final double MOST_OF_RATE = 0.6;
-    /** Heartbeats after which a page that never came is given up. */
-    private static final int PAGE_LOST = 3;
+    /** Share of the platform's rate limit that all control nodes together use on average to read whole lists. */
+    private static final double AVERAGE_RATE_SHARE = 0.5;
+    /** Share of the platform's rate limit that all control nodes together may use at any moment. */
+    private static final double PEAK_RATE_SHARE = 0.6;
+    /** Heartbeat intervals after which a page without a response is given up. */
+    private static final int PAGE_TIMEOUT_HEARTBEATS = 3;
 
     private final Environment environment;
     private final ControlNode controlNode;
     private final Platform platform;
     private final ControlNodeSettings nodeSettings;
-    private final Runnable changed;
-    private final Set<String> drained = new HashSet<>();
-    private int pages = 1;
+    private final Runnable onChange;
+    private final Set<String> draining = new HashSet<>();
+    private int pageCount = 1;
     private boolean reading;
-    private long pageAt = Long.MIN_VALUE / 2; // when the last page was asked for
+    private long lastPageRequestAt = Long.MIN_VALUE / 2;
 
-    /** {@code changed} is run whenever a list showed something new. */
+    /** Creates a reader that runs {@code onChange} whenever a list contains something new. */
     InstanceListReader(
             Environment environment,
             ControlNode controlNode,
             Platform platform,
             ControlNodeSettings nodeSettings,
-            Runnable changed) {
+            Runnable onChange) {
         this.environment = environment;
         this.controlNode = controlNode;
         this.platform = platform;
         this.nodeSettings = nodeSettings;
-        this.changed = changed;
+        this.onChange = onChange;
     }
 
-    /** Whether the platform itself takes this instance away. */
-    boolean isDrained(String id) {
-        return drained.contains(id);
+    /** Whether the platform itself is draining this instance. */
+    boolean isDraining(String id) {
+        return draining.contains(id);
     }
 
+    /** Drops the identifiers of instances that are not known any more. */
     void forgetUnknown() {
-        drained.removeIf(id -> controlNode.instances().get(id) == null);
+        draining.removeIf(id -> controlNode.instances().get(id) == null);
     }
 
-    /** Reads the list now or as soon as the rate allows, and again from then on. */
+    /** Reads the list now, or as soon as the rate limit allows, and then periodically. */
     void read() {
         long now = environment.now();
-        if (!reading && now - pageAt < pageGap()) {
-            environment.after(pageAt + pageGap() - now, this::read); // a first page is a page too
+        if (!reading && now - lastPageRequestAt < pageIntervalNanos()) {
+            // The first page of a list counts towards the rate too.
+            environment.after(lastPageRequestAt + pageIntervalNanos() - now, this::read);
             return;
         }
-        // Guards against lists of many pages that overlap; one of which no answer ever came does not hold up the next.
-        if (!reading || now - pageAt > PAGE_LOST * nodeSettings.heartbeat()) {
+        // Lists of many pages must not overlap, but a page whose response never came must not block the next list.
+        if (!reading || now - lastPageRequestAt > PAGE_TIMEOUT_HEARTBEATS * nodeSettings.heartbeat()) {
             reading = true;
-            page(null, new ArrayList<>(), 1, now);
+            requestPage(null, new ArrayList<>(), 1, now);
         }
-        double atLeast = controlNode.voters()
-                * (pages + 1)
-                / (SHARE_OF_RATE * nodeSettings.rates().listCallsPerSecond());
-        environment.after(Math.max(nodeSettings.heartbeat() / 2, (long) (atLeast * 1e9)), this::read);
+        double minIntervalSeconds = controlNode.voters()
+                * (pageCount + 1)
+                / (AVERAGE_RATE_SHARE * nodeSettings.rates().listCallsPerSecond());
+        environment.after(Math.max(nodeSettings.heartbeat() / 2, (long) (minIntervalSeconds * 1e9)), this::read);
     }
 
-    private long pageGap() {
+    private long pageIntervalNanos() {
         return (long)
-                (controlNode.voters() / (MOST_OF_RATE * nodeSettings.rates().listCallsPerSecond()) * 1e9);
+                (controlNode.voters() / (PEAK_RATE_SHARE * nodeSettings.rates().listCallsPerSecond()) * 1e9);
     }
 
-    private void page(String token, List<Instance> soFar, int page, long askedAt) {
-        pageAt = environment.now();
-        platform.listInstances(token, answer -> {
+    private void requestPage(String token, List<Instance> instances, int page, long requestedAt) {
+        lastPageRequestAt = environment.now();
+        platform.listInstances(token, response -> {
             reading = false;
-            if (answer == null || answer.status() != 200 || answer.body() == null) {
+            if (response == null || response.status() != 200 || response.body() == null) {
                 return;
             }
             try {
-                Fields body = new Fields(answer.body());
+                Fields body = new Fields(response.body());
                 for (Fields each : body.objects("instances")) {
-                    soFar.add(instance(each));
+                    instances.add(instance(each));
                 }
-                // The pages as they come: how many instances one holds the platform does not say.
-                pages = Math.max(pages, page);
+                // The platform does not say how many instances a page holds, so the pages are counted as they come.
+                pageCount = Math.max(pageCount, page);
                 if (body.has("next_page_token")) {
                     String next = body.text("next_page_token");
                     reading = true;
-                    // Guards against bursts: pages follow one another no faster than all may ask together.
-                    environment.after(pageGap(), () -> page(next, soFar, page + 1, askedAt));
+                    // Spaces the pages so that bursts of all control nodes together stay within the rate limit.
+                    environment.after(pageIntervalNanos(), () -> requestPage(next, instances, page + 1, requestedAt));
                     return;
                 }
             } catch (MalformedMessage e) {
-                environment.note("the platform's list cannot be read: " + e.getMessage());
+                environment.note("malformed instance list from the platform: " + e.getMessage());
                 return;
             }
-            pages = page;
-            listed(soFar, askedAt);
+            pageCount = page;
+            apply(instances, requestedAt);
         });
     }
 
@@ -105,7 +107,7 @@
         String id = from.text("identifier");
         boolean ready = from.text("state").equals("ready");
         if (!ready) {
-            drained.add(id);
+            draining.add(id);
         }
         return new Instance(
                 id,
@@ -117,25 +119,25 @@
                 (int) Math.max(1, from.whole("concurrency_slots", 1)));
     }
 
-    private void listed(List<Instance> list, long askedAt) {
-        List<Instance> news = controlNode.instances().applyPlatformList(list, askedAt, environment.now());
-        if (!news.isEmpty()) {
-            tellOfEnds(news);
+    private void apply(List<Instance> list, long requestedAt) {
+        List<Instance> changed = controlNode.instances().applyPlatformList(list, requestedAt, environment.now());
+        if (!changed.isEmpty()) {
+            sendUnavailable(changed);
             controlNode.publish();
-            changed.run();
+            onChange.run();
         }
     }
 
     /**
-     * Whoever sees first that an instance is to get nothing more tells the other control nodes, which may not reach the
-     * platform themselves.
+     * Sends the instances that must not get new requests to the other control nodes, which may not reach the platform
+     * themselves.
      */
-    private void tellOfEnds(List<Instance> news) {
-        List<Instance> ends = news.stream()
+    private void sendUnavailable(List<Instance> changed) {
+        List<Instance> unavailable = changed.stream()
                 .filter(instance -> instance.phase().compareTo(Instance.Phase.LEAVING) >= 0)
                 .toList();
-        if (!ends.isEmpty()) {
-            controlNode.tellControlNodes(new InstanceUpdates(ends));
+        if (!unavailable.isEmpty()) {
+            controlNode.tellControlNodes(new InstanceUpdates(unavailable));
         }
     }
 }
--- a/control/src/main/java/saltdale/control/InstanceTable.java
+++ b/control/src/main/java/saltdale/control/InstanceTable.java
@@ -11,40 +11,40 @@
 import java.util.TreeMap;
 
 /**
- * The instances known, merged from the platform's list, from what starting them answered, and from other control
- * nodes: by identifier the latest phase holds, so that copies merged in any order come out alike.
+ * The known instances, merged from the platform's list, from the platform's responses to starts, and from updates of
+ * other control nodes. For each identifier the latest phase wins, so merging copies in any order has the same result.
  */
 final class InstanceTable {
     private static final class Entry {
         Instance instance;
-        boolean listed; // the platform's list has shown it
-        long since; // when it came into its phase, as far as we know
+        boolean listed; // has appeared in the platform's list
+        long phaseSince; // when this control node learned of the current phase
         long changeNumber;
     }
 
-    /** So long what is gone is remembered, so that late news does not bring it back. */
-    private final long forget;
-    /** So long an instance that was started may take to be listed. */
-    private final long listedWithin;
+    /** Gone instances are remembered for this long, so that a late update does not bring them back. */
+    private final long goneRetentionNanos;
+    /** How long a started instance may take to appear in the platform's list. */
+    private final long listingTimeoutNanos;
 
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final Map<String, Set<String>> byService = new HashMap<>();
     private final TreeMap<Long, Entry> byChangeNumber = new TreeMap<>();
     private long changeNumber;
 
-    InstanceTable(long listedWithin, long forget) {
-        this.listedWithin = listedWithin;
-        this.forget = forget;
+    InstanceTable(long listingTimeoutNanos, long goneRetentionNanos) {
+        this.listingTimeoutNanos = listingTimeoutNanos;
+        this.goneRetentionNanos = goneRetentionNanos;
     }
 
-    /** Grows with each change of any instance. */
+    /** The number of the last change; it grows with each change of any instance. */
     long changeNumber() {
         return changeNumber;
     }
 
-    /** Those that have changed since that changeNumber. */
-    List<Instance> changedAfter(long then) {
-        return byChangeNumber.tailMap(then, false).values().stream()
+    /** The instances that changed after the change with this number. */
+    List<Instance> changedAfter(long number) {
+        return byChangeNumber.tailMap(number, false).values().stream()
                 .map(e -> e.instance)
                 .toList();
     }
@@ -59,20 +59,22 @@
         return !byService.getOrDefault(service, Set.of()).isEmpty();
     }
 
+    /** Returns the instance with this identifier, or null if it is not known. */
     Instance get(String id) {
         Entry entry = entries.get(id);
         return entry == null ? null : entry.instance;
     }
 
+    /** When this control node learned of the instance's current phase; the instance must be known. */
     long phaseSince(String id) {
-        return entries.get(id).since;
+        return entries.get(id).phaseSince;
     }
 
     Collection<Instance> all() {
         return entries.values().stream().map(e -> e.instance).toList();
     }
 
-    /** Takes over what is newer in this copy; whether anything was. */
+    /** Takes over this copy if its phase is later than the known one. Returns whether it did. */
     boolean merge(Instance copy, long now) {
         Entry entry = entries.get(copy.id());
         if (entry == null) {
@@ -83,19 +85,22 @@
             return false;
         }
         entry.instance = copy;
-        entry.since = now;
+        entry.phaseSince = now;
         byChangeNumber.remove(entry.changeNumber);
         entry.changeNumber = ++changeNumber;
         byChangeNumber.put(changeNumber, entry);
         return true;
     }
 
-    /** The platform's whole list, as asked for at {@code askedAt}; what it does not show any more is gone. */
-    List<Instance> applyPlatformList(List<Instance> list, long askedAt, long now) {
+    /**
+     * Merges the platform's complete list, requested at {@code requestedAt}, and marks the instances that it no longer
+     * shows as gone. Returns the changed instances.
+     */
+    List<Instance> applyPlatformList(List<Instance> list, long requestedAt, long now) {
         List<Instance> changed = new ArrayList<>();
-        Set<String> seen = new HashSet<>();
+        Set<String> listedIds = new HashSet<>();
         for (Instance each : list) {
-            seen.add(each.id());
+            listedIds.add(each.id());
             if (merge(each, now)) {
                 changed.add(each);
             }
@@ -103,17 +108,17 @@
         }
         for (Entry entry : List.copyOf(entries.values())) {
             Instance known = entry.instance;
-            boolean overdue = entry.listed || now - entry.since > listedWithin;
+            boolean shouldBeListed = entry.listed || now - entry.phaseSince > listingTimeoutNanos;
             if (known.phase() != Instance.Phase.GONE
-                    && !seen.contains(known.id())
-                    && overdue
-                    && entry.since < askedAt) {
+                    && !listedIds.contains(known.id())
+                    && shouldBeListed
+                    && entry.phaseSince < requestedAt) {
                 Instance gone = known.withPhase(Instance.Phase.GONE);
                 merge(gone, now);
                 changed.add(gone);
             } else if (known.phase() == Instance.Phase.GONE
-                    && now - entry.since > forget
-                    && !seen.contains(known.id())) {
+                    && now - entry.phaseSince > goneRetentionNanos
+                    && !listedIds.contains(known.id())) {
                 entries.remove(known.id());
                 byChangeNumber.remove(entry.changeNumber);
                 byService.get(known.service()).remove(known.id());
--- a/control/src/main/java/saltdale/control/PendingStarts.java
+++ b/control/src/main/java/saltdale/control/PendingStarts.java
@@ -3,18 +3,19 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Counts of the starts that were decided on and are not yet known as instances, by service, zone and worker. */
+/** Counts of the planned starts whose instances are not known yet, by service, zone and worker. */
 final class PendingStarts {
-    private record ServiceAt(String service, String place) {}
+    /** A service in a zone or on a worker. */
+    private record ServiceLocation(String service, String location) {}
 
     private final Map<String, Integer> byService = new HashMap<>();
-    private final Map<ServiceAt, Integer> byZone = new HashMap<>();
-    private final Map<ServiceAt, Integer> byWorker = new HashMap<>();
+    private final Map<ServiceLocation, Integer> byZone = new HashMap<>();
+    private final Map<ServiceLocation, Integer> byWorker = new HashMap<>();
 
     void add(String service, String zone, String worker) {
         byService.merge(service, 1, Integer::sum);
-        byZone.merge(new ServiceAt(service, zone), 1, Integer::sum);
-        byWorker.merge(new ServiceAt(service, worker), 1, Integer::sum);
+        byZone.merge(new ServiceLocation(service, zone), 1, Integer::sum);
+        byWorker.merge(new ServiceLocation(service, worker), 1, Integer::sum);
     }
 
     int of(String service) {
@@ -22,10 +23,10 @@
     }
 
     int inZone(String service, String zone) {
-        return byZone.getOrDefault(new ServiceAt(service, zone), 0);
+        return byZone.getOrDefault(new ServiceLocation(service, zone), 0);
     }
 
     int onWorker(String service, String worker) {
-        return byWorker.getOrDefault(new ServiceAt(service, worker), 0);
+        return byWorker.getOrDefault(new ServiceLocation(service, worker), 0);
     }
 }
--- a/control/src/main/java/saltdale/control/Scaler.java
+++ b/control/src/main/java/saltdale/control/Scaler.java
@@ -9,25 +9,26 @@
 import java.util.TreeMap;
 
 /**
- * Decides which instances to start, on which workers, and which to stop. It grows by what waits, and shrinks only after
- * what was wanted has been less for as long as holding an instance costs a start.
+ * Decides which instances to start, on which workers, and which to stop. It scales up by the requests that wait, and
+ * scales down only after the desired count has been lower for the time during which holding an instance idle costs as
+ * much as starting it again.
  */
 final class Scaler {
-    /** An instance to be started. */
+    /** An instance to start. */
     record Start(String service, String worker, String zone) {}
 
-    /** What is to be done now. */
+    /** The starts and stops that are due now. */
     record Plan(List<Start> starts, List<Instance> stops) {}
 
     private record ServiceZone(String service, String zone) {}
 
-    /** What the scaler reads of a configuration; made once for each. */
-    private static final class Functions {
+    /** What the scaler reads from a configuration; computed once per configuration. */
+    private static final class FunctionIndex {
         final Configuration configuration;
         final List<Configuration.Service> byName;
         final Map<String, Long> shortestTargetMs = new HashMap<>();
 
-        Functions(Configuration configuration) {
+        FunctionIndex(Configuration configuration) {
             this.configuration = configuration;
             byName = configuration.services().values().stream()
                     .filter(Configuration.Service::isFunction)
@@ -45,133 +46,136 @@
         }
     }
 
-    // Ratios, none of any deployment: see docs/platform.md.
-    /** Starts: so long an instance is held idle where a start makes no request late. */
-    private static final double HARMLESS = 2;
-    /** The same where it does. */
-    private static final double HARMFUL = 4;
-    /** Of all workers' memory that may be held warm before any request. */
-    private static final double WARM_MEMORY = 0.1;
+    // The ratios below do not depend on the deployment; docs/platform.md explains them.
+    /** Idle hold time, in boot times, of a service whose boot fits into the target latency. */
+    private static final double FAST_BOOT_HOLD_RATIO = 2;
+    /** Idle hold time, in boot times, of a service whose boot makes the requests that wait for it late. */
+    private static final double SLOW_BOOT_HOLD_RATIO = 4;
+    /** Share of all workers' memory that may hold warm instances of services without requests. */
+    private static final double WARM_MEMORY_SHARE = 0.1;
 
     private static final long DEFAULT_TARGET_MS = 1000;
 
-    /** For so long after it has begun nothing is stopped: not all owners have been heard. */
-    private final long quiet;
+    /** Time after the start of the scaler in which it stops nothing, since not all owners have reported yet. */
+    private final long initialNoStopNanos;
 
-    private final long begunAt;
+    private final long startedAt;
 
-    /** Counts that were wanted, each until its time. */
-    private final Map<ServiceZone, TreeMap<Integer, Long>> held = new HashMap<>();
+    /** Instance counts that were desired recently, each with the time at which it expires. */
+    private final Map<ServiceZone, TreeMap<Integer, Long>> recentCounts = new HashMap<>();
 
-    private Functions functions;
+    private FunctionIndex functions;
 
-    Scaler(long quiet, long begunAt) {
-        this.quiet = quiet;
-        this.begunAt = begunAt;
+    Scaler(long initialNoStopNanos, long startedAt) {
+        this.initialNoStopNanos = initialNoStopNanos;
+        this.startedAt = startedAt;
     }
 
+    /** Returns the starts and stops that bring the instances to the counts that the demand calls for. */
     Plan plan(
             long now,
             Configuration configuration,
             Map<String, List<Demand>> demand,
             InstanceTable instances,
             List<Worker> workers,
-            PendingStarts underWay) {
+            PendingStarts pendingStarts) {
         if (functions == null || functions.configuration != configuration) {
-            functions = new Functions(configuration);
+            functions = new FunctionIndex(configuration);
         }
         Plan plan = new Plan(new ArrayList<>(), new ArrayList<>());
-        double warmMb =
-                WARM_MEMORY * workers.stream().mapToDouble(w -> w.memoryMb).sum();
+        double warmMb = WARM_MEMORY_SHARE
+                * workers.stream().mapToDouble(w -> w.memoryMb).sum();
         for (Configuration.Service service : functions.byName) {
             List<Demand> demands = demand.getOrDefault(service.name(), List.of());
             double target = functions.targetSeconds(service);
-            boolean slow = service.bootMs() / 1000.0 > target;
-            if (!slow && demands.isEmpty() && !instances.hasInstancesOf(service.name())) {
-                continue; // as most functions are at most times
+            boolean bootExceedsTarget = service.bootMs() / 1000.0 > target;
+            if (!bootExceedsTarget && demands.isEmpty() && !instances.hasInstancesOf(service.name())) {
+                continue; // the common case: most functions are idle most of the time
             }
             List<Instance> live = instances.ofService(service.name()).stream()
                     .filter(instance -> instance.phase().compareTo(Instance.Phase.LEAVING) < 0)
                     .toList();
-            // A start is paid for with memory while it lasts: idle instances are held for a few times that.
-            long hold = (long) ((slow ? HARMFUL : HARMLESS) * service.bootMs() * 1e6);
-            Map<String, Integer> wanted = new DesiredInstanceCounts(service, target, hold).byZone(demands, live);
-            // What a start takes longer than callers bear is kept warm, within a part of all the memory.
-            if (slow && service.memoryMb() <= warmMb) {
+            // A starting instance occupies memory without serving, so idle instances are held for a few boot times.
+            long holdNanos =
+                    (long) ((bootExceedsTarget ? SLOW_BOOT_HOLD_RATIO : FAST_BOOT_HOLD_RATIO) * service.bootMs() * 1e6);
+            Map<String, Integer> desired = new DesiredInstanceCounts(service, target, holdNanos).byZone(demands, live);
+            // Services that boot for longer than the target latency are kept warm, within a share of all memory.
+            if (bootExceedsTarget && service.memoryMb() <= warmMb) {
                 warmMb -= service.memoryMb();
-                keepOneWarm(service, wanted, live, workers);
+                keepOneWarm(service, desired, live, workers);
             }
-            fit(now, service, hold, wanted, live, instances, workers, underWay, plan);
+            reconcile(now, service, holdNanos, desired, live, instances, workers, pendingStarts, plan);
         }
         return plan;
     }
 
     private static void keepOneWarm(
-            Configuration.Service service, Map<String, Integer> wanted, List<Instance> live, List<Worker> workers) {
-        if (wanted.values().stream().anyMatch(count -> count > 0)) {
+            Configuration.Service service, Map<String, Integer> desired, List<Instance> live, List<Worker> workers) {
+        if (desired.values().stream().anyMatch(count -> count > 0)) {
             return;
         }
         if (!live.isEmpty()) {
-            wanted.put(live.get(0).zone(), 1);
+            desired.put(live.get(0).zone(), 1);
             return;
         }
         workers.stream()
                 .filter(worker -> worker.hasRoomFor(service))
                 .max(Comparator.comparingDouble(worker -> worker.freeMb))
-                .ifPresent(worker -> wanted.put(worker.zone, 1));
+                .ifPresent(worker -> desired.put(worker.zone, 1));
     }
 
-    /** Starts what is missing and stops what has been too much for long enough. */
-    private void fit(
+    /** Plans starts for missing instances, and stops for those that have been surplus for the whole hold time. */
+    private void reconcile(
             long now,
             Configuration.Service service,
-            long hold,
-            Map<String, Integer> wanted,
+            long holdNanos,
+            Map<String, Integer> desired,
             Collection<Instance> live,
             InstanceTable instances,
             List<Worker> workers,
-            PendingStarts underWay,
+            PendingStarts pendingStarts,
             Plan plan) {
-        Map<String, List<Instance>> have = new TreeMap<>();
-        live.forEach(instance ->
-                have.computeIfAbsent(instance.zone(), zone -> new ArrayList<>()).add(instance));
-        wanted.keySet().forEach(zone -> have.computeIfAbsent(zone, z -> new ArrayList<>()));
-        int allWanted = wanted.values().stream().mapToInt(count -> count).sum();
-        int all = live.size() + underWay.of(service.name());
+        Map<String, List<Instance>> liveByZone = new TreeMap<>();
+        live.forEach(instance -> liveByZone
+                .computeIfAbsent(instance.zone(), zone -> new ArrayList<>())
+                .add(instance));
+        desired.keySet().forEach(zone -> liveByZone.computeIfAbsent(zone, z -> new ArrayList<>()));
+        int totalDesired = desired.values().stream().mapToInt(count -> count).sum();
+        int total = live.size() + pendingStarts.of(service.name());
         WorkerPlacement placement = null;
-        for (Map.Entry<String, List<Instance>> each : have.entrySet()) {
+        for (Map.Entry<String, List<Instance>> each : liveByZone.entrySet()) {
             String zone = each.getKey();
-            int want = wanted.getOrDefault(zone, 0);
-            int keep = held(new ServiceZone(service.name(), zone), want, now, hold);
-            int are = each.getValue().size() + underWay.inZone(service.name(), zone);
-            for (int i = are; i < want; i++) {
-                placement = placement == null ? new WorkerPlacement(service, live, workers, underWay) : placement;
+            int desiredHere = desired.getOrDefault(zone, 0);
+            int keep = recentMaximum(new ServiceZone(service.name(), zone), desiredHere, now, holdNanos);
+            int current = each.getValue().size() + pendingStarts.inZone(service.name(), zone);
+            for (int i = current; i < desiredHere; i++) {
+                placement = placement == null ? new WorkerPlacement(service, live, workers, pendingStarts) : placement;
                 Worker worker = placement.choose(zone);
-                // Where the zone has no room another's serves, but not more of those than are wanted in all.
-                if (worker == null || !worker.zone.equals(zone) && all >= allWanted) {
+                // A full zone falls back to workers of other zones, up to the count desired in all zones together.
+                if (worker == null || !worker.zone.equals(zone) && total >= totalDesired) {
                     break;
                 }
-                all++;
-                placement.take(worker);
+                total++;
+                placement.reserve(worker);
                 plan.starts().add(new Start(service.name(), worker.name, worker.zone));
             }
-            // Who has just won the duty has not heard all owners: for as long as it holds anything it stops nothing.
-            if (are > keep && now - begunAt > quiet) {
-                stop(each.getValue(), are - keep, instances, plan);
+            // A new duty holder has not received the reports of all owners yet and must not stop instances by them.
+            if (current > keep && now - startedAt > initialNoStopNanos) {
+                addStops(each.getValue(), current - keep, instances, plan);
             }
         }
     }
 
-    /** The most that was wanted of late. */
-    private int held(ServiceZone where, int want, long now, long hold) {
-        TreeMap<Integer, Long> counts = held.computeIfAbsent(where, k -> new TreeMap<>());
-        counts.put(want, now + hold);
-        counts.values().removeIf(until -> until <= now);
+    /** Records the desired count and returns the highest one recorded within the hold time. */
+    private int recentMaximum(ServiceZone serviceZone, int desired, long now, long holdNanos) {
+        TreeMap<Integer, Long> counts = recentCounts.computeIfAbsent(serviceZone, k -> new TreeMap<>());
+        counts.put(desired, now + holdNanos);
+        counts.values().removeIf(expiresAt -> expiresAt <= now);
         return counts.lastKey();
     }
 
-    /** The youngest first: those that are ready serve on. */
-    private static void stop(List<Instance> live, int count, InstanceTable instances, Plan plan) {
+    /** Stops the youngest instances first, so that the ready ones continue to serve. */
+    private static void addStops(List<Instance> live, int count, InstanceTable instances, Plan plan) {
         live.stream()
                 .sorted(Comparator.comparing((Instance instance) -> instance.phase())
                         .thenComparing(instance -> -instances.phaseSince(instance.id())))
--- a/control/src/main/java/saltdale/control/Worker.java
+++ b/control/src/main/java/saltdale/control/Worker.java
@@ -1,12 +1,12 @@
 package saltdale.control;
 
-/** A machine that runs instances, as the platform tells, with the memory that is left on it. */
+/** A machine that runs instances, as reported by the platform, with an estimate of the memory that is free on it. */
 final class Worker {
     final String name;
     final String zone;
     final boolean ready;
     final double memoryMb;
-    /** What is free after the starts that the platform may not show yet. */
+    /** Free memory after the starts that the platform may not show yet. */
     double freeMb;
 
     Worker(String name, String zone, boolean ready, double memoryMb, double freeMb) {
--- a/control/src/main/java/saltdale/control/WorkerPlacement.java
+++ b/control/src/main/java/saltdale/control/WorkerPlacement.java
@@ -7,25 +7,28 @@
 import java.util.Map;
 
 /**
- * Chooses the workers for new instances of one service: where the fewest of its instances are, then where the most
- * memory is free, so that a lost worker takes few instances of one service.
+ * Chooses the workers for new instances of one service: the worker with the fewest instances of the service, and among
+ * those the one with the most free memory. The loss of a worker thus takes few instances of one service.
  */
 final class WorkerPlacement {
     private final Configuration.Service service;
     private final List<Worker> workers;
     private final Map<String, Integer> instancesOn = new HashMap<>(); // by worker
 
-    /** {@code live}: the service's instances that are not leaving. */
+    /** Creates a placement; {@code live} are the service's instances that are not leaving. */
     WorkerPlacement(
-            Configuration.Service service, Collection<Instance> live, List<Worker> workers, PendingStarts underWay) {
+            Configuration.Service service,
+            Collection<Instance> live,
+            List<Worker> workers,
+            PendingStarts pendingStarts) {
         this.service = service;
         this.workers = workers;
         live.forEach(instance -> instancesOn.merge(instance.worker(), 1, Integer::sum));
-        workers.forEach(
-                worker -> instancesOn.merge(worker.name, underWay.onWorker(service.name(), worker.name), Integer::sum));
+        workers.forEach(worker ->
+                instancesOn.merge(worker.name, pendingStarts.onWorker(service.name(), worker.name), Integer::sum));
     }
 
-    /** A worker with room for one more instance, of this zone if one of it has room; null where none has. */
+    /** Returns a worker with room for one more instance, preferably in this zone, or null if no worker has room. */
     Worker choose(String zone) {
         return workers.stream()
                 .filter(worker -> worker.hasRoomFor(service))
@@ -35,8 +38,8 @@
                 .orElse(null);
     }
 
-    /** An instance goes to this worker. */
-    void take(Worker worker) {
+    /** Counts one more instance on this worker. */
+    void reserve(Worker worker) {
         worker.freeMb -= service.memoryMb();
         instancesOn.merge(worker.name, 1, Integer::sum);
     }
--- a/control/src/main/java/saltdale/control/WorkerTable.java
+++ b/control/src/main/java/saltdale/control/WorkerTable.java
@@ -7,24 +7,24 @@
 import java.util.Map;
 import saltdale.control.message.InstanceMessage.StartIntent;
 
-/** The workers as the platform tells of them, and the memory that is free on each. */
+/** The workers that the platform reports, and an estimate of the memory that is free on each. */
 final class WorkerTable {
-    /** After a refused start, so many starts must be taken before the platform's word on free memory counts no more. */
-    private static final int DOUBT = 10;
+    /** Accepted starts after a refused one until the free memory that the platform reports stops being an upper bound. */
+    private static final int CAUTIOUS_STARTS = 10;
 
     private final Environment environment;
     private final Platform platform;
-    private final long heartbeat;
-    private final Map<String, Double> toldFreeMb = new HashMap<>(); // by worker
+    private final long heartbeatNanos;
+    private final Map<String, Double> reportedFreeMb = new HashMap<>(); // by worker
     private List<Worker> workers = List.of();
-    private long askedAt;
+    private long requestedAt;
     private boolean refreshSoon;
-    private int doubt;
+    private int cautiousStartsLeft;
 
-    WorkerTable(Environment environment, Platform platform, long heartbeat) {
+    WorkerTable(Environment environment, Platform platform, long heartbeatNanos) {
         this.environment = environment;
         this.platform = platform;
-        this.heartbeat = heartbeat;
+        this.heartbeatNanos = heartbeatNanos;
         expire();
     }
 
@@ -32,28 +32,28 @@
         return workers;
     }
 
-    /** What is known counts as old. */
+    /** Marks the known workers as outdated, so that the next refresh requests them again. */
     void expire() {
-        askedAt = Long.MIN_VALUE / 2;
+        requestedAt = Long.MIN_VALUE / 2;
     }
 
-    /** Asks the platform anew if what it told is old. */
+    /** Requests the workers from the platform if the last request is too long ago. */
     void refresh(long now, boolean hasConfiguration) {
-        long lasts = refreshSoon ? heartbeat / 2 : hasConfiguration ? heartbeat : 2 * heartbeat;
-        if (now - askedAt > lasts) {
-            askedAt = now;
+        long maxAge = refreshSoon ? heartbeatNanos / 2 : hasConfiguration ? heartbeatNanos : 2 * heartbeatNanos;
+        if (now - requestedAt > maxAge) {
+            requestedAt = now;
             refreshSoon = false;
-            platform.listWorkers(this::told);
+            platform.listWorkers(this::apply);
         }
     }
 
-    private void told(Platform.Response answer) {
-        if (answer == null || answer.status() != 200 || answer.body() == null) {
+    private void apply(Platform.Response response) {
+        if (response == null || response.status() != 200 || response.body() == null) {
             return;
         }
         try {
             List<Worker> all = new ArrayList<>();
-            for (Fields each : new Fields(answer.body()).objects("worker_machines")) {
+            for (Fields each : new Fields(response.body()).objects("worker_machines")) {
                 all.add(new Worker(
                         each.text("name"),
                         each.text("zone"),
@@ -62,25 +62,28 @@
                         each.number("free_memory_mb")));
             }
             workers = all;
-            toldFreeMb.clear();
-            all.forEach(worker -> toldFreeMb.put(worker.name, worker.freeMb));
+            reportedFreeMb.clear();
+            all.forEach(worker -> reportedFreeMb.put(worker.name, worker.freeMb));
         } catch (MalformedMessage e) {
-            environment.note("the platform's workers cannot be read: " + e.getMessage());
+            environment.note("malformed worker list from the platform: " + e.getMessage());
         }
     }
 
-    /** A worker had no room for a start after all. */
+    /** A worker that seemed to have room for a start did not have it. */
     void startRefused() {
-        doubt = DOUBT;
+        cautiousStartsLeft = CAUTIOUS_STARTS;
         refreshSoon = true;
     }
 
-    void startTaken() {
-        doubt = Math.max(0, doubt - 1);
+    void startAccepted() {
+        cautiousStartsLeft = Math.max(0, cautiousStartsLeft - 1);
     }
 
-    /** Works out what is free on each: what our own starts leave, and in doubt no more than the platform told. */
-    void reckon(
+    /**
+     * Updates the free memory of each worker from the known instances and the pending starts; after a refused start
+     * the value that the platform reported is an upper bound.
+     */
+    void updateFreeMemory(
             Collection<Instance> instances,
             Collection<StartIntent> starts,
             Map<String, Configuration.Service> services) {
@@ -94,7 +97,8 @@
         starts.forEach(start -> usedMb.merge(start.worker(), (double) start.memoryMb(), Double::sum));
         for (Worker worker : workers) {
             double free = worker.memoryMb - usedMb.getOrDefault(worker.name, 0.0);
-            worker.freeMb = doubt > 0 ? Math.min(free, toldFreeMb.getOrDefault(worker.name, 0.0)) : free;
+            worker.freeMb =
+                    cautiousStartsLeft > 0 ? Math.min(free, reportedFreeMb.getOrDefault(worker.name, 0.0)) : free;
         }
     }
 }
--- a/control/src/main/java/saltdale/control/message/BallotMessage.java
+++ b/control/src/main/java/saltdale/control/message/BallotMessage.java
@@ -6,16 +6,16 @@
 import saltdale.control.MalformedMessage;
 import saltdale.control.ReplicatedState;
 
-/** Messages of the consensus on the replicated state; the parts are those of CASPaxos. */
+/** Messages of the consensus on the replicated state; the roles are those of CASPaxos. */
 public sealed interface BallotMessage extends Message {
-    /** What a voter replies; {@code voter} is its id, so that a late reply is not taken for another voter's. */
+    /** A reply of a voter; {@code voter} is its id, so that a late reply is not attributed to another voter. */
     sealed interface Reply extends BallotMessage {
         String voter();
 
         Ballot ballot();
     }
 
-    /** First phase: asks a voter for its promise; {@code knownText} is the key of the text that the proposer has. */
+    /** First phase: asks a voter for a promise; {@code knownText} is the key of the text that the proposer has. */
     record Prepare(Ballot ballot, String knownText, String voter) implements BallotMessage {
         @Override
         public MessageKind kind() {
@@ -33,13 +33,13 @@
         }
 
         static Prepare read(FieldReader fields) throws MalformedMessage {
-            return new Prepare(fields.composed("ballot", Ballot::of), fields.text("knownText"), fields.text("voter"));
+            return new Prepare(fields.value("ballot", Ballot::of), fields.string("knownText"), fields.string("voter"));
         }
     }
 
     /**
-     * The voter promises to accept no lower ballot; tells what it accepted last, its text only where it is not
-     * known.
+     * The voter promises to accept no lower ballot, and reports the state that it accepted last. The text of that state
+     * is included only if the proposer does not have it.
      */
     record Promise(String voter, Ballot ballot, Ballot accepted, ReplicatedState state, byte[] text) implements Reply {
         @Override
@@ -54,10 +54,10 @@
 
         static Promise read(FieldReader fields) throws MalformedMessage {
             return new Promise(
-                    fields.text("voter"),
-                    fields.composed("ballot", Ballot::of),
-                    fields.composed("accepted", Ballot::of),
-                    fields.optional("state", ReplicatedState::of),
+                    fields.string("voter"),
+                    fields.value("ballot", Ballot::of),
+                    fields.value("accepted", Ballot::of),
+                    fields.optionalValue("state", ReplicatedState::of),
                     fields.optionalBytes("text"));
         }
     }
@@ -76,13 +76,11 @@
 
         static Refusal read(FieldReader fields) throws MalformedMessage {
             return new Refusal(
-                    fields.text("voter"),
-                    fields.composed("ballot", Ballot::of),
-                    fields.composed("promised", Ballot::of));
+                    fields.string("voter"), fields.value("ballot", Ballot::of), fields.value("promised", Ballot::of));
         }
     }
 
-    /** Second phase: asks a voter to accept a state; the text is left out where the voter may have it. */
+    /** Second phase: asks a voter to accept a state; the text is omitted if the voter may have it. */
     record Accept(Ballot ballot, ReplicatedState state, byte[] text, String voter) implements BallotMessage {
         @Override
         public MessageKind kind() {
@@ -101,14 +99,14 @@
 
         static Accept read(FieldReader fields) throws MalformedMessage {
             return new Accept(
-                    fields.composed("ballot", Ballot::of),
-                    fields.composed("state", ReplicatedState::of),
+                    fields.value("ballot", Ballot::of),
+                    fields.value("state", ReplicatedState::of),
                     fields.optionalBytes("text"),
-                    fields.text("voter"));
+                    fields.string("voter"));
         }
     }
 
-    /** The voter has accepted the state, synced. */
+    /** The voter has accepted the state and synced it to disk. */
     record Accepted(String voter, Ballot ballot) implements Reply {
         @Override
         public MessageKind kind() {
@@ -121,11 +119,11 @@
         }
 
         static Accepted read(FieldReader fields) throws MalformedMessage {
-            return new Accepted(fields.text("voter"), fields.composed("ballot", Ballot::of));
+            return new Accepted(fields.string("voter"), fields.value("ballot", Ballot::of));
         }
     }
 
-    /** The voter lacks the text of the state that it is to accept. */
+    /** The voter lacks the text of the state that it was asked to accept. */
     record TextNeeded(String voter, Ballot ballot) implements Reply {
         @Override
         public MessageKind kind() {
@@ -138,11 +136,11 @@
         }
 
         static TextNeeded read(FieldReader fields) throws MalformedMessage {
-            return new TextNeeded(fields.text("voter"), fields.composed("ballot", Ballot::of));
+            return new TextNeeded(fields.string("voter"), fields.value("ballot", Ballot::of));
         }
     }
 
-    /** A state that is chosen for certain. */
+    /** A state that is known to be chosen. */
     record Chosen(ReplicatedState state, byte[] text) implements BallotMessage {
         @Override
         public MessageKind kind() {
@@ -155,11 +153,11 @@
         }
 
         static Chosen read(FieldReader fields) throws MalformedMessage {
-            return new Chosen(fields.composed("state", ReplicatedState::of), fields.optionalBytes("text"));
+            return new Chosen(fields.value("state", ReplicatedState::of), fields.optionalBytes("text"));
         }
     }
 
-    /** Asks for the newest chosen state; {@code knownText} is the key of the text that the asker has. */
+    /** Asks for the newest chosen state; {@code knownText} is the key of the text that the sender has. */
     record Fetch(String knownText) implements BallotMessage {
         @Override
         public MessageKind kind() {
@@ -177,7 +175,7 @@
         }
 
         static Fetch read(FieldReader fields) throws MalformedMessage {
-            return new Fetch(fields.text("knownText"));
+            return new Fetch(fields.string("knownText"));
         }
     }
 }
--- a/control/src/main/java/saltdale/control/message/ContactMessage.java
+++ b/control/src/main/java/saltdale/control/message/ContactMessage.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import saltdale.control.MalformedMessage;
 
-/** Messages by which a proxy without a fit control node looks for another one. */
+/** Messages by which a proxy without a usable control node searches for another one. */
 public sealed interface ContactMessage extends Message {
-    /** Asks whether a control node serves proxies just now, and where others are. */
+    /** Asks whether the receiver is a control node that currently serves proxies, and where others are. */
     record ContactProbe(long number) implements ContactMessage {
         @Override
         public MessageKind kind() {
@@ -23,13 +23,14 @@
         }
 
         static ContactProbe read(FieldReader fields) throws MalformedMessage {
-            return new ContactProbe(fields.whole("number"));
+            return new ContactProbe(fields.integer("number"));
         }
     }
 
     /**
-     * The answer to a probe: whether its sender is a control node that has a quorum and stays, and the control nodes
-     * that it knows of. A proxy answers too, so that one that has lost sight of all control nodes is told of them.
+     * The reply to a probe: whether its sender is a control node that has a quorum and is not leaving, and the control
+     * nodes that it knows. Proxies reply too, so that a proxy that has lost contact with all control nodes can find
+     * them.
      */
     record ContactReply(long number, boolean serves, List<String> controlHosts) implements ContactMessage {
         @Override
@@ -43,7 +44,7 @@
         }
 
         static ContactReply read(FieldReader fields) throws MalformedMessage {
-            return new ContactReply(fields.whole("number"), fields.flag("serves"), fields.texts("controlHosts"));
+            return new ContactReply(fields.integer("number"), fields.bool("serves"), fields.strings("controlHosts"));
         }
     }
 }
--- a/control/src/main/java/saltdale/control/message/FieldReader.java
+++ b/control/src/main/java/saltdale/control/message/FieldReader.java
@@ -5,16 +5,16 @@
 import saltdale.control.Fields;
 import saltdale.control.MalformedMessage;
 
-/** Reads the fields of one message in order; an error names the kind of the message and the field. */
+/** Reads the fields of one message in order; errors name the kind of the message and the field. */
 final class FieldReader {
-    /** Reads one element of a list, or one field that is itself composed. */
+    /** Reads an element of a list, or a field that has parts of its own. */
     interface Element<T> {
         T read(Object tree) throws MalformedMessage;
     }
 
     private final MessageKind kind;
     private final List<?> fields;
-    private int next = 1; // the kind stands first
+    private int next = 1; // index 0 holds the kind
 
     FieldReader(MessageKind kind, List<?> fields) {
         this.kind = kind;
@@ -23,57 +23,57 @@
 
     private Object next(String name) throws MalformedMessage {
         if (next >= fields.size()) {
-            throw wrong(name, "is missing");
+            throw error(name, "is missing");
         }
         return fields.get(next++);
     }
 
-    private MalformedMessage wrong(String name, String why) {
-        return new MalformedMessage("message " + kind + ", field " + name + ": " + why);
+    private MalformedMessage error(String name, String reason) {
+        return new MalformedMessage("message " + kind + ", field " + name + ": " + reason);
     }
 
-    /** Checks that nothing stands behind the last field. */
+    /** Checks that the last field has been read. */
     void end() throws MalformedMessage {
         if (next != fields.size()) {
             throw new MalformedMessage("message " + kind + ": " + (fields.size() - next) + " fields too many");
         }
     }
 
-    String text(String name) throws MalformedMessage {
-        if (next(name) instanceof String text) {
-            return text;
+    String string(String name) throws MalformedMessage {
+        if (next(name) instanceof String string) {
+            return string;
         }
-        throw wrong(name, "is no text");
+        throw error(name, "is not a string");
     }
 
-    long whole(String name) throws MalformedMessage {
+    long integer(String name) throws MalformedMessage {
         if (next(name) instanceof Long number) {
             return number;
         }
-        throw wrong(name, "is no whole number");
+        throw error(name, "is no whole number");
     }
 
-    /** A whole number of at least {@code least} and at most {@code most}. */
-    int within(String name, int least, int most) throws MalformedMessage {
-        long number = whole(name);
-        if (number < least || number > most) {
-            throw wrong(name, "is out of its range");
+    /** Reads an integer between {@code min} and {@code max}, both inclusive. */
+    int integerInRange(String name, int min, int max) throws MalformedMessage {
+        long number = integer(name);
+        if (number < min || number > max) {
+            throw error(name, "is out of range");
         }
         return (int) number;
     }
 
-    boolean flag(String name) throws MalformedMessage {
-        if (next(name) instanceof Boolean flag) {
-            return flag;
+    boolean bool(String name) throws MalformedMessage {
+        if (next(name) instanceof Boolean bool) {
+            return bool;
         }
-        throw wrong(name, "is neither true nor false");
+        throw error(name, "is not a boolean");
     }
 
     byte[] bytes(String name) throws MalformedMessage {
         if (next(name) instanceof byte[] bytes) {
             return bytes;
         }
-        throw wrong(name, "is no bytes");
+        throw error(name, "is not a byte string");
     }
 
     byte[] optionalBytes(String name) throws MalformedMessage {
@@ -81,26 +81,26 @@
         if (value == null || value instanceof byte[]) {
             return (byte[]) value;
         }
-        throw wrong(name, "is no bytes");
+        throw error(name, "is not a byte string");
     }
 
-    <T> T composed(String name, Element<T> element) throws MalformedMessage {
+    <T> T value(String name, Element<T> element) throws MalformedMessage {
         return element(name, next(name), element);
     }
 
-    /** Null where the field is null. */
-    <T> T optional(String name, Element<T> element) throws MalformedMessage {
+    /** Like {@link #value}, but returns null if the field is null. */
+    <T> T optionalValue(String name, Element<T> element) throws MalformedMessage {
         Object value = next(name);
         return value == null ? null : element(name, value, element);
     }
 
     Fields object(String name) throws MalformedMessage {
-        return composed(name, Fields::of);
+        return value(name, Fields::of);
     }
 
     <T> List<T> list(String name, Element<T> element) throws MalformedMessage {
         if (!(next(name) instanceof List<?> list)) {
-            throw wrong(name, "is no list");
+            throw error(name, "is not a list");
         }
         List<T> all = new ArrayList<>(list.size());
         for (Object each : list) {
@@ -109,12 +109,12 @@
         return all;
     }
 
-    List<String> texts(String name) throws MalformedMessage {
+    List<String> strings(String name) throws MalformedMessage {
         return list(name, each -> {
-            if (each instanceof String text) {
-                return text;
+            if (each instanceof String string) {
+                return string;
             }
-            throw new MalformedMessage("holds something that is no text");
+            throw new MalformedMessage("contains an element that is not a string");
         });
     }
 
@@ -122,7 +122,7 @@
         try {
             return element.read(tree);
         } catch (MalformedMessage e) {
-            throw wrong(name, e.getMessage());
+            throw error(name, e.getMessage());
         }
     }
 }
--- a/control/src/main/java/saltdale/control/message/HeartbeatMessage.java
+++ b/control/src/main/java/saltdale/control/message/HeartbeatMessage.java
@@ -4,11 +4,11 @@
 import saltdale.control.MalformedMessage;
 import saltdale.control.Member;
 
-/** Heartbeats between control nodes: they show who reaches whom, and carry lease renewals. */
+/** Heartbeats between control nodes; they show which nodes reach each other, and carry lease renewals. */
 public sealed interface HeartbeatMessage extends Message {
     /**
-     * Sent to all control nodes; {@code version} is the newest known to be chosen, {@code ended} are lives of
-     * members that are over.
+     * Sent to all control nodes. {@code version} is the newest version known to be chosen; {@code ended} are the
+     * incarnations of members that have ended.
      */
     record Heartbeat(
             PeerIdentity from, long number, long version, boolean leaving, List<Renewal> renewals, List<String> ended)
@@ -36,18 +36,18 @@
 
         static Heartbeat read(FieldReader fields) throws MalformedMessage {
             return new Heartbeat(
-                    fields.composed("from", PeerIdentity::of),
-                    fields.whole("number"),
-                    fields.whole("version"),
-                    fields.flag("leaving"),
+                    fields.value("from", PeerIdentity::of),
+                    fields.integer("number"),
+                    fields.integer("version"),
+                    fields.bool("leaving"),
                     fields.list("renewals", Renewal::of),
-                    fields.texts("ended"));
+                    fields.strings("ended"));
         }
     }
 
     /**
-     * Sent back at once with the number of the heartbeat; {@code version} is the newest known to be chosen, {@code
-     * accepted} that of the state accepted last, which may have been chosen without the sender's knowledge.
+     * The immediate reply to the heartbeat with this number. {@code version} is the newest version known to be chosen;
+     * {@code accepted} is the version accepted last, which may have been chosen without the sender's knowledge.
      */
     record HeartbeatAck(PeerIdentity from, long number, long version, long accepted) implements HeartbeatMessage {
         @Override
@@ -62,14 +62,14 @@
 
         static HeartbeatAck read(FieldReader fields) throws MalformedMessage {
             return new HeartbeatAck(
-                    fields.composed("from", PeerIdentity::of),
-                    fields.whole("number"),
-                    fields.whole("version"),
-                    fields.whole("accepted"));
+                    fields.value("from", PeerIdentity::of),
+                    fields.integer("number"),
+                    fields.integer("version"),
+                    fields.integer("accepted"));
         }
     }
 
-    /** A control node in one life of its process; {@code id} is of its disk. */
+    /** One incarnation of a control node's process; {@code id} is the identity stored on its disk. */
     record PeerIdentity(String id, String name, String host, String life) {
         List<Object> tree() {
             return List.of(id, name, host, life);
@@ -84,11 +84,11 @@
                     && list.get(3) instanceof String life) {
                 return new PeerIdentity(id, name, host, life);
             }
-            throw new MalformedMessage("is no control node");
+            throw new MalformedMessage("is not the identity of a control node");
         }
     }
 
-    /** A member's renewal of its lease; of two the one with the higher count is newer. */
+    /** A member's renewal of its lease; of two renewals the one with the higher count is newer. */
     record Renewal(Member member, long count) {
         List<Object> tree() {
             return List.of(member.tree(), count);
@@ -98,7 +98,7 @@
             if (tree instanceof List<?> list && list.size() == 2 && list.get(1) instanceof Long count) {
                 return new Renewal(Member.of(list.get(0)), count);
             }
-            throw new MalformedMessage("is no renewal");
+            throw new MalformedMessage("is not a lease renewal");
         }
     }
 }
--- a/control/src/main/java/saltdale/control/message/Hello.java
+++ b/control/src/main/java/saltdale/control/message/Hello.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import saltdale.control.MalformedMessage;
 
-/** The first message on a connection: the host of the process that opened it. */
+/** The first message on a connection; it names the host of the process that opened the connection. */
 public record Hello(String host) implements Message {
     @Override
     public MessageKind kind() {
@@ -16,6 +16,6 @@
     }
 
     static Hello read(FieldReader fields) throws MalformedMessage {
-        return new Hello(fields.text("host"));
+        return new Hello(fields.string("host"));
     }
 }
--- a/control/src/main/java/saltdale/control/message/InstanceMessage.java
+++ b/control/src/main/java/saltdale/control/message/InstanceMessage.java
@@ -5,9 +5,9 @@
 import saltdale.control.Instance;
 import saltdale.control.MalformedMessage;
 
-/** What is told of instances and of the demand for them. */
+/** Messages about instances and the demand for them. */
 public sealed interface InstanceMessage extends Message {
-    /** The demand that the owner of some services sees; {@code forwarded}: by another control node. */
+    /** The demand that the owner of some services measures; {@code forwarded} if it comes by way of a control node. */
     record DemandReport(String life, List<Demand> demands, boolean forwarded) implements InstanceMessage {
         @Override
         public MessageKind kind() {
@@ -20,11 +20,12 @@
         }
 
         static DemandReport read(FieldReader fields) throws MalformedMessage {
-            return new DemandReport(fields.text("life"), fields.list("demands", Demand::of), fields.flag("forwarded"));
+            return new DemandReport(
+                    fields.string("life"), fields.list("demands", Demand::of), fields.bool("forwarded"));
         }
     }
 
-    /** An instance that was starting takes connections. */
+    /** An instance that was booting accepts connections now. */
     record InstanceReady(String instance) implements InstanceMessage {
         @Override
         public MessageKind kind() {
@@ -37,11 +38,11 @@
         }
 
         static InstanceReady read(FieldReader fields) throws MalformedMessage {
-            return new InstanceReady(fields.text("instance"));
+            return new InstanceReady(fields.string("instance"));
         }
     }
 
-    /** Changed instances, from one control node to the others. */
+    /** Changed instances, sent from one control node to the others. */
     record InstanceUpdates(List<Instance> instances) implements InstanceMessage {
         @Override
         public MessageKind kind() {
@@ -58,7 +59,7 @@
         }
     }
 
-    /** Starts that the duty holder is about to ask for, and the nonces of those that are over. */
+    /** The starts that the duty holder is about to request, and the nonces of those that have ended. */
     record StartIntents(List<StartIntent> intents, List<String> ended) implements InstanceMessage {
         @Override
         public MessageKind kind() {
@@ -71,11 +72,11 @@
         }
 
         static StartIntents read(FieldReader fields) throws MalformedMessage {
-            return new StartIntents(fields.list("intents", StartIntent::of), fields.texts("ended"));
+            return new StartIntents(fields.list("intents", StartIntent::of), fields.strings("ended"));
         }
     }
 
-    /** A start that may have been asked for; whoever asks again uses the same nonce. */
+    /** A start that may have been requested from the platform; a repeated request uses the same nonce. */
     record StartIntent(String nonce, String service, String worker, String zone, int slots, int memoryMb) {
         List<Object> tree() {
             return List.of(nonce, service, worker, zone, slots, memoryMb);
@@ -92,7 +93,7 @@
                     && list.get(5) instanceof Long memoryMb) {
                 return new StartIntent(nonce, service, worker, zone, slots.intValue(), memoryMb.intValue());
             }
-            throw new MalformedMessage("is no start");
+            throw new MalformedMessage("is not a start intent");
         }
     }
 }
--- a/control/src/main/java/saltdale/control/message/Message.java
+++ b/control/src/main/java/saltdale/control/message/Message.java
@@ -2,16 +2,16 @@
 
 import java.util.List;
 
-/** A message between two processes of the platform; {@link MessageCodec} writes and reads it. */
+/** A message between two control nodes, two proxies, or one of each; {@link MessageCodec} encodes and decodes it. */
 public sealed interface Message
         permits BallotMessage, HeartbeatMessage, SessionMessage, ContactMessage, InstanceMessage, SlotMessage, Hello {
-    /** The kind, by which the reader knows the fields. */
+    /** The kind, which determines the fields. */
     MessageKind kind();
 
-    /** The fields in the order in which they are written: texts, numbers, truth values, bytes, lists, maps, null. */
+    /** The fields in their order on the wire: strings, numbers, booleans, byte arrays, lists, maps or null. */
     List<Object> fields();
 
-    /** Whether a receiver that is well answers at once, so that silence tells of a broken connection. */
+    /** Whether a healthy receiver replies at once, so that a missing reply indicates a broken connection. */
     default boolean expectsReply() {
         return false;
     }
--- a/control/src/main/java/saltdale/control/message/MessageCodec.java
+++ b/control/src/main/java/saltdale/control/message/MessageCodec.java
@@ -5,23 +5,27 @@
 import saltdale.control.MalformedMessage;
 import saltdale.control.Trees;
 
-/** Writes messages as CBOR arrays, the kind first and its fields behind it, and reads them back with all checks. */
+/** Encodes messages as CBOR arrays of the kind and its fields, and decodes them with a check of every field. */
 public final class MessageCodec {
     private static final MessageKind[] KINDS = MessageKind.values();
 
     private MessageCodec() {}
 
-    /** The message as it goes to another process. */
+    /** Returns the bytes that are sent to another process. */
     public static byte[] encode(Message message) {
         return Trees.cbor(tree(message));
     }
 
-    /** The message that these bytes hold, whole and of the right types, or an error that names kind and field. */
+    /**
+     * Decodes a message.
+     *
+     * @throws MalformedMessage if a field is missing, surplus or of the wrong type; it names the kind and the field
+     */
     public static Message decode(byte[] bytes) throws MalformedMessage {
         return read(Trees.listFromCbor(bytes));
     }
 
-    /** The array that is written: the kind's number, then the fields. */
+    /** Returns the array that is encoded: the number of the kind, then the fields. */
     public static List<Object> tree(Message message) {
         List<Object> fields = message.fields();
         List<Object> all = new ArrayList<>(fields.size() + 1);
@@ -30,7 +34,7 @@
         return all;
     }
 
-    /** Reads such an array. */
+    /** Reads a message from the array that {@link #tree(Message)} returns. */
     public static Message read(List<?> tree) throws MalformedMessage {
         if (tree.isEmpty() || !(tree.get(0) instanceof Long number) || number < 0 || number >= KINDS.length) {
             throw new MalformedMessage("no known kind of message");
--- a/control/src/main/java/saltdale/control/message/MessageKind.java
+++ b/control/src/main/java/saltdale/control/message/MessageKind.java
@@ -2,7 +2,10 @@
 
 import saltdale.control.MalformedMessage;
 
-/** The kinds of messages; on the wire a kind is its place in this list. */
+/**
+ * The kinds of messages. On the wire a kind is its position in this list, and errors contain its name, so the order and
+ * the names of the constants must not change.
+ */
 public enum MessageKind {
     HELLO(Hello::read),
     PREPARE(BallotMessage.Prepare::read),
@@ -41,6 +44,7 @@
     SLOT_RETURN(SlotMessage.SlotReturn::read),
     SLOTS_HELD(SlotMessage.SlotsHeld::read);
 
+    /** Reads the fields of a message of one kind. */
     interface Reader {
         Message read(FieldReader fields) throws MalformedMessage;
     }
--- a/control/src/main/java/saltdale/control/message/SessionMessage.java
+++ b/control/src/main/java/saltdale/control/message/SessionMessage.java
@@ -7,9 +7,9 @@
 import saltdale.control.MalformedMessage;
 import saltdale.control.Member;
 
-/** Messages between a proxy and the control node that renews its lease and sends it its news. */
+/** Messages between a proxy and the control node that renews its lease and sends updates to it. */
 public sealed interface SessionMessage extends Message {
-    /** What a control node tells in a session; {@code number} counts from 1, so that a gap shows. */
+    /** An update that a control node sends in a session; {@code number} counts from 1, so that gaps are detected. */
     sealed interface SessionUpdate extends SessionMessage {
         String session();
 
@@ -17,8 +17,8 @@
     }
 
     /**
-     * A proxy renews its lease; {@code revision} is the configuration that it has, -1 for none. While its session has
-     * no grant yet it adds the digests of its configuration and of its members, later empty texts.
+     * A proxy renews its lease. {@code revision} is the revision of its configuration, or -1 if it has none. Until the
+     * first grant of the session it adds the digests of its configuration and of its members, later empty strings.
      */
     record LeaseRenewal(Member member, long count, String session, long revision, String digest, String membersDigest)
             implements SessionMessage {
@@ -39,16 +39,19 @@
 
         static LeaseRenewal read(FieldReader fields) throws MalformedMessage {
             return new LeaseRenewal(
-                    fields.composed("member", Member::of),
-                    fields.whole("count"),
-                    fields.text("session"),
-                    fields.whole("revision"),
-                    fields.text("digest"),
-                    fields.text("membersDigest"));
+                    fields.value("member", Member::of),
+                    fields.integer("count"),
+                    fields.string("session"),
+                    fields.integer("revision"),
+                    fields.string("digest"),
+                    fields.string("membersDigest"));
         }
     }
 
-    /** The lease holds for so long from when the renewal was sent; {@code updatesSent} counts the session's news. */
+    /**
+     * The lease is valid for {@code validMillis} from when the renewal was sent; {@code updatesSent} counts the updates
+     * of the session.
+     */
     record LeaseGrant(
             long count,
             boolean hasQuorum,
@@ -69,16 +72,16 @@
 
         static LeaseGrant read(FieldReader fields) throws MalformedMessage {
             return new LeaseGrant(
-                    fields.whole("count"),
-                    fields.flag("hasQuorum"),
-                    fields.whole("validMillis"),
-                    fields.text("session"),
-                    fields.whole("newsSent"),
-                    fields.texts("controlHosts"));
+                    fields.integer("count"),
+                    fields.bool("hasQuorum"),
+                    fields.integer("validMillis"),
+                    fields.string("session"),
+                    fields.integer("newsSent"),
+                    fields.strings("controlHosts"));
         }
     }
 
-    /** The lease is over for good: the proxy goes on as another member. */
+    /** The lease has expired for good: the proxy must join again as a new member. */
     record LeaseExpired(long count) implements SessionMessage {
         @Override
         public MessageKind kind() {
@@ -91,11 +94,11 @@
         }
 
         static LeaseExpired read(FieldReader fields) throws MalformedMessage {
-            return new LeaseExpired(fields.whole("count"));
+            return new LeaseExpired(fields.integer("count"));
         }
     }
 
-    /** The control node has just lost contact with a majority. */
+    /** The control node has lost contact with a majority. */
     record QuorumLost() implements SessionMessage {
         @Override
         public MessageKind kind() {
@@ -112,7 +115,7 @@
         }
     }
 
-    /** The control node is about to end, as planned: its proxies are to go on at another one. */
+    /** The control node is about to shut down as planned; its proxies must switch to another one. */
     record ControlNodeLeaving() implements SessionMessage {
         @Override
         public MessageKind kind() {
@@ -129,7 +132,7 @@
         }
     }
 
-    /** What has changed of the configuration, see {@link saltdale.control.ConfigurationTree}. */
+    /** A change of the configuration, see {@link saltdale.control.ConfigurationTree}. */
     record ConfigurationChange(
             String session,
             long number,
@@ -151,17 +154,20 @@
 
         static ConfigurationChange read(FieldReader fields) throws MalformedMessage {
             return new ConfigurationChange(
-                    fields.text("session"),
-                    fields.whole("number"),
-                    fields.whole("baseRevision"),
-                    fields.text("baseDigest"),
-                    fields.whole("revision"),
-                    fields.text("digest"),
+                    fields.string("session"),
+                    fields.integer("number"),
+                    fields.integer("baseRevision"),
+                    fields.string("baseDigest"),
+                    fields.integer("revision"),
+                    fields.string("digest"),
                     fields.object("change").map());
         }
     }
 
-    /** There is a configuration of this revision, or a newer one, and no change leads to it: the proxy fetches it. */
+    /**
+     * There is a configuration of at least this revision, and no change leads to it from the proxy's one, so the proxy
+     * must fetch a snapshot.
+     */
     record ConfigurationOffer(String session, long number, long revision) implements SessionUpdate {
         @Override
         public MessageKind kind() {
@@ -174,11 +180,12 @@
         }
 
         static ConfigurationOffer read(FieldReader fields) throws MalformedMessage {
-            return new ConfigurationOffer(fields.text("session"), fields.whole("number"), fields.whole("revision"));
+            return new ConfigurationOffer(
+                    fields.string("session"), fields.integer("number"), fields.integer("revision"));
         }
     }
 
-    /** A proxy asks for the next part of a snapshot; the digest is empty where it has none of it yet. */
+    /** A proxy requests the next part of a snapshot; the digest is empty if it has no part of it yet. */
     record SnapshotRequest(String life, String session, String digest, int offset) implements SessionMessage {
         @Override
         public MessageKind kind() {
@@ -192,14 +199,14 @@
 
         static SnapshotRequest read(FieldReader fields) throws MalformedMessage {
             return new SnapshotRequest(
-                    fields.text("life"),
-                    fields.text("session"),
-                    fields.text("digest"),
-                    fields.within("offset", 0, Integer.MAX_VALUE));
+                    fields.string("life"),
+                    fields.string("session"),
+                    fields.string("digest"),
+                    fields.integerInRange("offset", 0, Integer.MAX_VALUE));
         }
     }
 
-    /** Bytes of a snapshot, from this offset of so many in total. */
+    /** A part of a snapshot that starts at {@code offset}; {@code total} is the size of the whole snapshot in bytes. */
     record SnapshotPart(String session, String digest, int offset, int total, byte[] bytes) implements SessionMessage {
         @Override
         public MessageKind kind() {
@@ -213,15 +220,18 @@
 
         static SnapshotPart read(FieldReader fields) throws MalformedMessage {
             return new SnapshotPart(
-                    fields.text("session"),
-                    fields.text("digest"),
-                    fields.within("offset", 0, Integer.MAX_VALUE),
-                    fields.within("total", 1, ConfigurationSnapshot.MOST),
+                    fields.string("session"),
+                    fields.string("digest"),
+                    fields.integerInRange("offset", 0, Integer.MAX_VALUE),
+                    fields.integerInRange("total", 1, ConfigurationSnapshot.MOST),
                     fields.bytes("bytes"));
         }
     }
 
-    /** Members that are new or changed, all of them where {@code whole}, and lives that are none any more. */
+    /**
+     * Members that are new or have changed, or all members if {@code whole}, and the incarnations that are no longer
+     * members.
+     */
     record MembersChange(
             String session, long number, boolean whole, List<Member> changed, List<String> gone, String digest)
             implements SessionUpdate {
@@ -238,16 +248,16 @@
 
         static MembersChange read(FieldReader fields) throws MalformedMessage {
             return new MembersChange(
-                    fields.text("session"),
-                    fields.whole("number"),
-                    fields.flag("whole"),
+                    fields.string("session"),
+                    fields.integer("number"),
+                    fields.bool("whole"),
                     fields.list("changed", Member::of),
-                    fields.texts("gone"),
-                    fields.text("digest"));
+                    fields.strings("gone"),
+                    fields.string("digest"));
         }
     }
 
-    /** Instances of the services that the proxy owns, those that changed. */
+    /** Changed instances of the services that the proxy owns. */
     record InstancesChange(String session, long number, List<Instance> instances) implements SessionUpdate {
         @Override
         public MessageKind kind() {
@@ -262,7 +272,7 @@
 
         static InstancesChange read(FieldReader fields) throws MalformedMessage {
             return new InstancesChange(
-                    fields.text("session"), fields.whole("number"), fields.list("instances", Instance::of));
+                    fields.string("session"), fields.integer("number"), fields.list("instances", Instance::of));
         }
     }
 }
--- a/control/src/main/java/saltdale/control/message/SlotMessage.java
+++ b/control/src/main/java/saltdale/control/message/SlotMessage.java
@@ -4,9 +4,12 @@
 import saltdale.control.Instance;
 import saltdale.control.MalformedMessage;
 
-/** Messages between a proxy that carries a request and the owner of its service's slots. */
+/** Messages between a proxy that carries a request and the proxy that owns the slots of the service. */
 public sealed interface SlotMessage extends Message {
-    /** Asks for a slot; times are what is left in milliseconds, {@code avoidedInstances} are instances that failed it. */
+    /**
+     * Requests a slot. {@code remainingMillis} is the time left until the deadline, {@code targetRemainingMillis} until
+     * the target latency; {@code avoidedInstances} have failed the request before.
+     */
     record SlotRequest(
             long number,
             String service,
@@ -46,20 +49,20 @@
 
         static SlotRequest read(FieldReader fields) throws MalformedMessage {
             return new SlotRequest(
-                    fields.whole("number"),
-                    fields.text("service"),
-                    fields.text("life"),
-                    fields.text("zone"),
-                    fields.whole("untilMillis"),
-                    fields.whole("targetMillis"),
-                    fields.within("priority", -1, Integer.MAX_VALUE),
-                    fields.flag("counts"),
-                    fields.within("hops", 0, Integer.MAX_VALUE),
-                    fields.texts("avoided"));
+                    fields.integer("number"),
+                    fields.string("service"),
+                    fields.string("life"),
+                    fields.string("zone"),
+                    fields.integer("untilMillis"),
+                    fields.integer("targetMillis"),
+                    fields.integerInRange("priority", -1, Integer.MAX_VALUE),
+                    fields.bool("counts"),
+                    fields.integerInRange("hops", 0, Integer.MAX_VALUE),
+                    fields.strings("avoided"));
         }
     }
 
-    /** The request may go to this instance. */
+    /** The request may be sent to this instance. */
     record SlotGrant(long number, Instance instance) implements SlotMessage {
         @Override
         public MessageKind kind() {
@@ -72,7 +75,7 @@
         }
 
         static SlotGrant read(FieldReader fields) throws MalformedMessage {
-            return new SlotGrant(fields.whole("number"), fields.composed("instance", Instance::of));
+            return new SlotGrant(fields.integer("number"), fields.value("instance", Instance::of));
         }
     }
 
@@ -89,11 +92,11 @@
         }
 
         static SlotQueued read(FieldReader fields) throws MalformedMessage {
-            return new SlotQueued(fields.whole("number"));
+            return new SlotQueued(fields.integer("number"));
         }
     }
 
-    /** Another zone has instances. */
+    /** Another zone has instances; the slot must be requested there. */
     record SlotRedirect(long number, String zone) implements SlotMessage {
         @Override
         public MessageKind kind() {
@@ -106,11 +109,11 @@
         }
 
         static SlotRedirect read(FieldReader fields) throws MalformedMessage {
-            return new SlotRedirect(fields.whole("number"), fields.text("zone"));
+            return new SlotRedirect(fields.integer("number"), fields.string("zone"));
         }
     }
 
-    /** No slot can be had in time; the client may come back after a pause. */
+    /** No slot becomes free in time; the client may retry after {@code retryAfterMillis}. */
     record SlotRefusal(long number, long retryAfterMillis) implements SlotMessage {
         @Override
         public MessageKind kind() {
@@ -123,11 +126,11 @@
         }
 
         static SlotRefusal read(FieldReader fields) throws MalformedMessage {
-            return new SlotRefusal(fields.whole("number"), fields.whole("pauseMillis"));
+            return new SlotRefusal(fields.integer("number"), fields.integer("pauseMillis"));
         }
     }
 
-    /** The request no longer waits, or gives back what it was granted. */
+    /** The request no longer waits for a slot, or returns the one that it was granted. */
     record SlotCancel(String service, String key) implements SlotMessage {
         @Override
         public MessageKind kind() {
@@ -140,11 +143,11 @@
         }
 
         static SlotCancel read(FieldReader fields) throws MalformedMessage {
-            return new SlotCancel(fields.text("service"), fields.text("key"));
+            return new SlotCancel(fields.string("service"), fields.string("key"));
         }
     }
 
-    /** The slot is free again; {@code outcome} is how the attempt ended. */
+    /** The slot is free again; {@code outcome} is the number of the way in which the attempt ended. */
     record SlotReturn(String service, String key, String instance, int outcome, long runMicros) implements SlotMessage {
         @Override
         public MessageKind kind() {
@@ -158,15 +161,15 @@
 
         static SlotReturn read(FieldReader fields) throws MalformedMessage {
             return new SlotReturn(
-                    fields.text("service"),
-                    fields.text("key"),
-                    fields.text("instance"),
-                    fields.within("outcome", 0, Integer.MAX_VALUE),
-                    fields.whole("ranMicros"));
+                    fields.string("service"),
+                    fields.string("key"),
+                    fields.string("instance"),
+                    fields.integerInRange("outcome", 0, Integer.MAX_VALUE),
+                    fields.integer("ranMicros"));
         }
     }
 
-    /** Slots that are in use, told to their new owner. */
+    /** Slots that are in use, reported to their new owner. */
     record SlotsHeld(List<HeldSlot> slots) implements SlotMessage {
         @Override
         public MessageKind kind() {
@@ -183,7 +186,7 @@
         }
     }
 
-    /** A slot in use: the key of its grant and the life of the proxy that holds it. */
+    /** A slot in use: the key of its grant, and the incarnation of the proxy that holds it. */
     record HeldSlot(String service, String instance, String key, String life, long remainingMillis) {
         List<Object> tree() {
             return List.of(service, instance, key, life, remainingMillis);
@@ -199,7 +202,7 @@
                     && list.get(4) instanceof Long remainingMillis) {
                 return new HeldSlot(service, instance, key, life, remainingMillis);
             }
-            throw new MalformedMessage("is no held slot");
+            throw new MalformedMessage("is not a held slot");
         }
     }
 }
--- a/control/src/main/java/saltdale/control/message/package-info.java
+++ b/control/src/main/java/saltdale/control/message/package-info.java
@@ -1,2 +1,2 @@
-/** Messages between the platform's processes: one record a kind, and one codec for all of them. */
+/** The messages between control nodes and proxies: one record per kind, and one codec for all of them. */
 package saltdale.control.message;
