--- a/control/src/main/java/saltdale/control/WorkerTable.java
+++ b/control/src/main/java/saltdale/control/WorkerTable.java
@@ -9,7 +9,7 @@
 
 /** The workers that the platform reports, and an estimate of the memory that is free on each. */
 final class WorkerTable {
-    /** Accepted starts after a refused one until the free memory that the platform reports stops being an upper bound. */
+    /** Number of accepted starts after a refused one until the platform's figure of free memory is ignored again. */
     private static final int CAUTIOUS_STARTS = 10;
 
     private final Environment environment;
--- a/control/src/test/java/saltdale/control/ScalerTest.java
+++ b/control/src/test/java/saltdale/control/ScalerTest.java
@@ -15,11 +15,11 @@
 
 class ScalerTest {
     private static final int SERVICES = 700;
-    private static final int STARTS_UNDER_WAY = 1500;
+    private static final int PENDING_STARTS = 1500;
     private static final int PLANS = 200;
 
     private final InstanceTable instances = new InstanceTable(1, 1);
-    private final PendingStarts underWay = new PendingStarts();
+    private final PendingStarts pendingStarts = new PendingStarts();
     private final Map<String, List<Demand>> demands = new HashMap<>();
 
     private static Configuration configuration(int services) throws Exception {
@@ -32,45 +32,49 @@
         return new Configuration(new Fields(Trees.fromJson(text.getBytes(StandardCharsets.UTF_8))));
     }
 
-    private void waits(String service, String zone, int requests) {
+    private void addWaitingRequests(String service, String zone, int requests) {
         demands.put(service, List.of(new Demand(service, zone, 0, 0, 0, requests, 0)));
     }
 
-    private List<String> starts(Scaler scaler, Configuration configuration, List<Worker> workers) {
-        return scaler.plan(0, configuration, demands, instances, workers, underWay).starts().stream()
+    private List<String> plannedStarts(Scaler scaler, Configuration configuration, List<Worker> workers) {
+        return scaler.plan(0, configuration, demands, instances, workers, pendingStarts).starts().stream()
                 .map(start -> start.service() + " on " + start.worker())
                 .toList();
     }
 
     @Test
-    void instancesOfOneServiceAreSpreadOverTheWorkersOfTheZone() throws Exception {
+    void spreadsInstancesOfAServiceOverTheWorkersOfTheZone() throws Exception {
         List<Worker> workers = List.of(
                 new Worker("a1", "a", true, 900, 900),
                 new Worker("a2", "a", true, 900, 600),
                 new Worker("b1", "b", true, 900, 900));
-        waits("s0", "a", 2);
-        underWay.add("s0", "b", "b1"); // in another zone: not one of those wanted here
-        assertThat(starts(new Scaler(0, 0), configuration(2), workers), containsInAnyOrder("s0 on a1", "s0 on a2"));
-        underWay.add("s0", "a", "a1");
-        underWay.add("s0", "a", "a2");
-        assertThat(starts(new Scaler(0, 0), configuration(2), workers), is(empty()));
+        addWaitingRequests("s0", "a", 2);
+        pendingStarts.add("s0", "b", "b1"); // a pending start in another zone does not count here
+        assertThat(
+                plannedStarts(new Scaler(0, 0), configuration(2), workers), containsInAnyOrder("s0 on a1", "s0 on a2"));
+        pendingStarts.add("s0", "a", "a1");
+        pendingStarts.add("s0", "a", "a2");
+        assertThat(plannedStarts(new Scaler(0, 0), configuration(2), workers), is(empty()));
     }
 
-    /** What there was before looked through all starts under way for each service. */
+    /**
+     * Guards against a plan that scans all pending starts for each service. Its cost shows with many pending starts and
+     * without room for new instances.
+     */
     @Test
     @Timeout(15)
-    void aPlanCostsNoMoreWhereNothingFitsAndManyStartsAreUnderWay() throws Exception {
+    void planningIsFastWithManyPendingStartsAndFullWorkers() throws Exception {
         Configuration configuration = configuration(SERVICES);
         List<Worker> full = List.of(new Worker("a1", "a", true, 900, 0), new Worker("b1", "b", true, 900, 0));
         for (int i = 0; i < SERVICES; i++) {
-            waits("s" + i, "a", 3);
+            addWaitingRequests("s" + i, "a", 3);
         }
-        for (int i = 0; i < STARTS_UNDER_WAY; i++) {
-            underWay.add("s" + i % SERVICES, "a", "a1");
+        for (int i = 0; i < PENDING_STARTS; i++) {
+            pendingStarts.add("s" + i % SERVICES, "a", "a1");
         }
         Scaler scaler = new Scaler(0, 0);
         for (int i = 0; i < PLANS; i++) {
-            assertThat(starts(scaler, configuration, full), is(empty()));
+            assertThat(plannedStarts(scaler, configuration, full), is(empty()));
         }
     }
 }
--- a/node/src/test/java/saltdale/proxy/Attempts.java
+++ b/node/src/test/java/saltdale/proxy/Attempts.java
@@ -5,7 +5,7 @@
 import saltdale.control.Instance;
 import saltdale.control.Member;
 
-/** Attempts for tests of what carries them. */
+/** Creates attempts for tests of the transports that carry them. */
 public final class Attempts {
     private Attempts() {}
 
--- a/node/src/test/java/saltdale/proxy/SimCluster.java
+++ b/node/src/test/java/saltdale/proxy/SimCluster.java
@@ -8,11 +8,11 @@
 import saltdale.control.Environment;
 import saltdale.control.message.Message;
 
-/** The simulated cluster of the proxy's tests, for tests of what carries the bytes. */
+/** Gives tests of transports access to the simulated cluster of the proxy's tests. */
 public final class SimCluster {
     private final SimWorld world;
 
-    /** Control nodes and proxies that serve the first configuration; {@code transports} carry the proxies' bytes. */
+    /** Creates three control nodes, and proxies that serve the first configuration over these transports. */
     public SimCluster(long seed, int proxies, Function<Environment, Transport> transports) {
         world = new SimWorld(seed);
         world.transports = transports::apply;
@@ -27,8 +27,8 @@
         return world.now();
     }
 
-    public void schedule(long nanos, Runnable what) {
-        world.schedule(nanos, what);
+    public void schedule(long nanos, Runnable task) {
+        world.schedule(nanos, task);
     }
 
     public void run(long millis) {
@@ -43,13 +43,14 @@
         return world.violations;
     }
 
+    /** Replaces each message by the result of {@code change}; null drops it. */
     public void rewriteMessages(UnaryOperator<Message> change) {
         world.messageRewriter = (from, to, message) -> change.apply(message);
     }
 
-    /** Has this process do it when it can: after it stands still no more, and never where it is dead. */
-    public void deliver(Environment process, Runnable what) {
-        ((SimMachine.Process) process).deliver(what);
+    /** Runs a task in this process: at once, when the process is resumed if it is frozen, or never if it is dead. */
+    public void deliver(Environment process, Runnable task) {
+        ((SimMachine.Process) process).deliver(task);
     }
 
     public boolean isDead(Environment process) {
@@ -60,7 +61,7 @@
         return ((SimMachine.Process) process).proxy;
     }
 
-    /** The process of one of the proxies; null where it is down or not ready. */
+    /** Returns the process of a proxy, or null if the proxy is down, frozen or not ready. */
     public Environment readyProcess(int proxy) {
         SimMachine machine = machine(proxy);
         return machine.proxy() == null || !machine.proxy().isReady() || machine.frozen ? null : machine.process;
@@ -74,7 +75,7 @@
         return world.proxies.get(proxy);
     }
 
-    /** It stands still for so long. */
+    /** Freezes a proxy for this time. */
     public void freezeFor(int proxy, long millis) {
         SimMachine machine = machine(proxy);
         machine.freeze();
@@ -85,12 +86,13 @@
         });
     }
 
+    /** Kills a proxy and starts it again after 300 ms. */
     public void restart(int proxy) {
         machine(proxy).kill();
         world.schedule(Environment.millis(300), machine(proxy)::start);
     }
 
-    /** It is told to end, and starts anew once it has. */
+    /** Shuts a proxy down gracefully and starts it again. */
     public void rollingRestart(int proxy) {
         SimMachine machine = machine(proxy);
         if (machine.proxy() == null || machine.frozen) {
@@ -110,6 +112,7 @@
         });
     }
 
+    /** Cuts the power of a control node for 1.5 s. */
     public void powerCycle(int controlNode) {
         SimMachine machine = world.controlNodes.get(controlNode);
         machine.powerOff();
@@ -117,8 +120,8 @@
     }
 
     public boolean acceptsConnections(String instance) {
-        SimPlatform.Instance at = world.platform.instances.get(instance);
-        return at != null && at.acceptsConnections();
+        SimPlatform.Instance found = world.platform.instances.get(instance);
+        return found != null && found.acceptsConnections();
     }
 
     public int slots(String instance) {
--- a/proxy/src/test/java/saltdale/control/FaultyOrderHandling.java
+++ b/proxy/src/test/java/saltdale/control/FaultyOrderHandling.java
@@ -4,9 +4,12 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/** Control nodes that deal with operators' orders wrongly, each in one way that the tests of orders must find. */
+/**
+ * Control nodes with one deliberate fault each in the handling of configuration orders. The tests must detect each of
+ * them.
+ */
 public enum FaultyOrderHandling {
-    /** Remembers 64 orders, and refuses those that it forgot as if they had lost. */
+    /** Remembers only 64 orders, and refuses older ones as if another order had won against them. */
     FORGETS_AFTER_64 {
         @Override
         ConfigurationService.Factory service() {
@@ -20,23 +23,25 @@
         }
     },
 
-    /** Acknowledges an order when it is put forward, before a majority has accepted it. */
+    /** Acknowledges an order when it is proposed, before a majority has accepted it. */
     ACKNOWLEDGES_BEFORE_CHOSEN {
         @Override
         ConfigurationService.Factory service() {
-            return (environment, settings, register, peers) -> new Hasty(environment, settings, register, peers, true);
+            return (environment, settings, register, peers) ->
+                    new EarlyReplies(environment, settings, register, peers, true);
         }
     },
 
-    /** Refuses an order for a newer state that may yet lose to another. */
+    /** Refuses an order because of a newer state that is not chosen yet and may lose to another one. */
     REFUSES_BEFORE_CHOSEN {
         @Override
         ConfigurationService.Factory service() {
-            return (environment, settings, register, peers) -> new Hasty(environment, settings, register, peers, false);
+            return (environment, settings, register, peers) ->
+                    new EarlyReplies(environment, settings, register, peers, false);
         }
     },
 
-    /** Checks what an order holds before it looks whether the order was taken. */
+    /** Validates the content of an order before it checks whether the order was already applied. */
     CHECKS_CONTENT_FIRST {
         @Override
         ConfigurationService.Factory service() {
@@ -45,9 +50,9 @@
                         @Override
                         Proposer.Step step(ConfigurationOrder order, ReplicatedState newest, byte[] text) {
                             try {
-                                boolean rises =
+                                boolean isNewer =
                                         order.amends() || order.appliedTo(null).revision() > newest.revision();
-                                return rises ? super.step(order, newest, text) : refusal(400);
+                                return isNewer ? super.step(order, newest, text) : refusal(400);
                             } catch (InvalidConfiguration e) {
                                 return refusal(400);
                             }
@@ -58,7 +63,7 @@
 
     abstract ConfigurationService.Factory service();
 
-    /** A control node with this fault. */
+    /** Creates a control node with this fault. */
     public ControlNode node(
             Environment environment, ControlNodeSettings settings, Platform platform, Map<String, byte[]> records)
             throws MalformedMessage {
@@ -67,46 +72,46 @@
     }
 
     private static Proposer.Step refusal(int status) {
-        return Proposer.Step.stay(new ConfigurationService.Reply(status, "by a wrong variant", null));
+        return Proposer.Step.stay(new ConfigurationService.Reply(status, "refused by a deliberate fault", null));
     }
 
     private static long oldestOf64(ReplicatedState newest) {
-        return newest.revision() - 64; // the tests of a long memory number their changes one by one
+        return newest.revision() - 64; // the tests that use this fault number their changes consecutively
     }
 
-    /** Answers within a ballot: acknowledgements, or else refusals. */
-    private static final class Hasty extends ConfigurationService {
-        private final boolean acknowledges;
-        private final Map<ConfigurationOrder, Consumer<Reply>> answers = new HashMap<>();
+    /** Replies before the ballot is decided: with acknowledgements, or with refusals. */
+    private static final class EarlyReplies extends ConfigurationService {
+        private final boolean acknowledgesEarly;
+        private final Map<ConfigurationOrder, Consumer<Reply>> pendingReplies = new HashMap<>();
 
-        Hasty(
+        EarlyReplies(
                 Environment environment,
                 ControlNodeSettings settings,
                 ReplicatedRegister register,
                 PeerContacts peers,
-                boolean acknowledges) {
+                boolean acknowledgesEarly) {
             super(environment, settings, register, peers);
-            this.acknowledges = acknowledges;
+            this.acknowledgesEarly = acknowledgesEarly;
         }
 
         @Override
-        void propose(ConfigurationOrder order, Consumer<Reply> answer) {
-            answers.put(order, answer);
-            super.propose(order, reply -> answer(order, reply));
+        void propose(ConfigurationOrder order, Consumer<Reply> consumer) {
+            pendingReplies.put(order, consumer);
+            super.propose(order, reply -> reply(order, reply));
         }
 
-        private void answer(ConfigurationOrder order, Reply reply) {
-            Consumer<Reply> answer = answers.remove(order);
-            if (answer != null) {
-                answer.accept(reply);
+        private void reply(ConfigurationOrder order, Reply reply) {
+            Consumer<Reply> consumer = pendingReplies.remove(order);
+            if (consumer != null) {
+                consumer.accept(reply);
             }
         }
 
         @Override
         Proposer.Step step(ConfigurationOrder order, ReplicatedState newest, byte[] text) {
             Proposer.Step step = super.step(order, newest, text);
-            if ((step.next() != null) == acknowledges) {
-                answer(order, (Reply) step.answer());
+            if ((step.next() != null) == acknowledgesEarly) {
+                reply(order, (Reply) step.answer());
             }
             return step;
         }
--- a/proxy/src/test/java/saltdale/control/FaultyVoterChanges.java
+++ b/proxy/src/test/java/saltdale/control/FaultyVoterChanges.java
@@ -2,11 +2,11 @@
 
 import java.util.Map;
 
-/** Control nodes that change their voters in a wrong way: tests must find them out. */
+/** Control nodes with a deliberate fault in the change of voters, which the tests must detect. */
 public final class FaultyVoterChanges {
     private FaultyVoterChanges() {}
 
-    /** A change of voters is ended by the proposer that saw it chosen, or not at all. */
+    /** Only the proposer that saw a change of voters chosen finishes it; no other control node does. */
     public static ControlNode finishedOnlyByProposer(
             Environment environment, ControlNodeSettings settings, Platform platform, Map<String, byte[]> records)
             throws MalformedMessage {
@@ -17,8 +17,8 @@
                 records,
                 new ControlNode.Parts(
                         ConfigurationService::new,
-                        (itsEnvironment, itsSettings, peers, election, id) ->
-                                new VoterChanges(itsEnvironment, itsSettings, peers, election, id) {
+                        (env, nodeSettings, peers, election, id) ->
+                                new VoterChanges(env, nodeSettings, peers, election, id) {
                                     @Override
                                     boolean finishes(ReplicatedState joint, boolean elected) {
                                         return false;
--- a/proxy/src/test/java/saltdale/control/RecentChangesTest.java
+++ b/proxy/src/test/java/saltdale/control/RecentChangesTest.java
@@ -18,66 +18,66 @@
         return Long.toString(100_000 + number).getBytes(StandardCharsets.UTF_8);
     }
 
-    private static ReplicatedState reread(ReplicatedState state) throws MalformedMessage {
+    private static ReplicatedState encodeAndDecode(ReplicatedState state) throws MalformedMessage {
         return ReplicatedState.of(Trees.fromCbor(Trees.cbor(state.tree())));
     }
 
-    /** Against a plain list of all orders, with steps of one to nine bytes. */
+    /** Compares with a plain list of all orders; revisions differ by steps that take one to nine bytes. */
     @Test
-    void findsWhatAPlainListFinds() throws Exception {
+    void agreesWithAPlainListOfOrders() throws Exception {
         Random random = new Random(1);
         for (int run = 0; run < 20; run++) {
             ReplicatedState state = ReplicatedState.first(VOTERS);
             List<Long> bases = new ArrayList<>();
             int bits = run == 0 ? 53 : 1 + random.nextInt(20);
-            int changes = random.nextInt(700);
-            for (int i = 0; i < changes; i++) {
+            int orders = random.nextInt(700);
+            for (int i = 0; i < orders; i++) {
                 long next = state.revision() + 1 + (random.nextLong() & (1L << bits) - 1);
                 bases.add(state.revision());
                 state = state.withText(next, next + "-x", digest(i));
             }
-            RecentChanges memory = reread(state).recentChanges();
-            assertThat(reread(state), is(state));
-            int oldest = Math.max(0, changes - RecentChanges.MOST);
-            for (int i = 0; i < changes; i++) {
+            RecentChanges recentChanges = encodeAndDecode(state).recentChanges();
+            assertThat(encodeAndDecode(state), is(state));
+            int oldest = Math.max(0, orders - RecentChanges.MOST);
+            for (int i = 0; i < orders; i++) {
                 RecentChanges.Finding known =
                         i < oldest ? RecentChanges.Finding.FORGOTTEN : RecentChanges.Finding.TAKEN;
-                assertThat(memory.find(bases.get(i), digest(i)), is(known));
+                assertThat(recentChanges.find(bases.get(i), digest(i)), is(known));
                 RecentChanges.Finding other =
                         i < oldest ? RecentChanges.Finding.FORGOTTEN : RecentChanges.Finding.NOT_TAKEN;
-                assertThat(memory.find(bases.get(i), digest(i + 1)), is(other));
+                assertThat(recentChanges.find(bases.get(i), digest(i + 1)), is(other));
             }
-            assertThat(memory.find(state.revision(), digest(1)), is(RecentChanges.Finding.NOT_TAKEN));
-            assertThat(memory.find(state.revision() + 1, digest(1)), is(RecentChanges.Finding.NOT_TAKEN));
+            assertThat(recentChanges.find(state.revision(), digest(1)), is(RecentChanges.Finding.NOT_TAKEN));
+            assertThat(recentChanges.find(state.revision() + 1, digest(1)), is(RecentChanges.Finding.NOT_TAKEN));
         }
     }
 
-    /** The list of digests in a record of an earlier release tells no bases: its orders count as forgotten. */
+    /** Records of an earlier release hold digests without base revisions, so their orders count as forgotten. */
     @Test
-    void aRecordOfAnEarlierReleaseIsRead() throws Exception {
+    void readsRecordsOfAnEarlierRelease() throws Exception {
         Map<String, Object> old = Fields.tree(
                 "v", 9, "m", List.of(VOTERS.get(0).tree()), "d", Map.of(), "r", 7, "k", "7-x", "c", List.of("0a1b"));
         ReplicatedState state = ReplicatedState.of(Trees.fromCbor(Trees.cbor(old)));
         assertThat(state.revision(), is(7L));
         assertThat(state.recentChanges().find(6, digest(1)), is(RecentChanges.Finding.FORGOTTEN));
         assertThat(state.recentChanges().find(7, digest(1)), is(RecentChanges.Finding.NOT_TAKEN));
-        ReplicatedState next = reread(state.withText(8, "8-x", digest(1)));
+        ReplicatedState next = encodeAndDecode(state.withText(8, "8-x", digest(1)));
         assertThat(next.recentChanges().find(7, digest(1)), is(RecentChanges.Finding.TAKEN));
         assertThat(next.recentChanges().find(6, digest(1)), is(RecentChanges.Finding.FORGOTTEN));
     }
 
     @Test
-    void aMalformedMemoryIsToldAndNotUsed() throws Exception {
+    void rejectsMalformedEntries() throws Exception {
         RecentChanges two = RecentChanges.from(3).with(3, 4, digest(1)).with(4, 400, digest(2));
         assertThat(RecentChanges.of(3, two.entries(), 400), is(two));
-        byte[] cut = java.util.Arrays.copyOf(two.entries(), two.entries().length - 1);
-        assertThrows(MalformedMessage.class, () -> RecentChanges.of(3, cut, 400));
+        byte[] truncated = java.util.Arrays.copyOf(two.entries(), two.entries().length - 1);
+        assertThrows(MalformedMessage.class, () -> RecentChanges.of(3, truncated, 400));
         assertThrows(MalformedMessage.class, () -> RecentChanges.of(3, two.entries(), 401));
         assertThrows(MalformedMessage.class, () -> RecentChanges.of(4, two.entries(), 400));
-        byte[] still = new byte[RecentChanges.DIGEST_BYTES + 1]; // a step of 0
-        assertThrows(MalformedMessage.class, () -> RecentChanges.of(3, still, 3));
-        byte[] endless = new byte[30];
-        java.util.Arrays.fill(endless, (byte) -1);
-        assertThrows(MalformedMessage.class, () -> RecentChanges.of(3, endless, 3));
+        byte[] zeroStep = new byte[RecentChanges.DIGEST_BYTES + 1];
+        assertThrows(MalformedMessage.class, () -> RecentChanges.of(3, zeroStep, 3));
+        byte[] unterminatedStep = new byte[30];
+        java.util.Arrays.fill(unterminatedStep, (byte) -1);
+        assertThrows(MalformedMessage.class, () -> RecentChanges.of(3, unterminatedStep, 3));
     }
 }
--- a/proxy/src/test/java/saltdale/proxy/DiskTest.java
+++ b/proxy/src/test/java/saltdale/proxy/DiskTest.java
@@ -123,7 +123,7 @@
 
     private static void accept(SimMachine controlNode, long round, ReplicatedState state, String text)
             throws Exception {
-        controlNode.process.take(
+        controlNode.process.receive(
                 "10.0.0.2", new Accept(new Ballot(round, "x"), state, text.getBytes(), controlNode.id()));
     }
 }
--- a/proxy/src/test/java/saltdale/proxy/InputTest.java
+++ b/proxy/src/test/java/saltdale/proxy/InputTest.java
@@ -202,7 +202,7 @@
             boolean ofProxy = message instanceof LeaseRenewal
                     || message instanceof DemandReport
                     || message instanceof InstanceReady;
-            to.process.take(ofProxy ? "10.1.0.1" : "10.0.0.3", message);
+            to.process.receive(ofProxy ? "10.1.0.1" : "10.0.0.3", message);
         } catch (MalformedMessage expected) {
             // It says so, and that is all.
         } catch (RuntimeException e) {
--- a/proxy/src/test/java/saltdale/proxy/InvariantsTest.java
+++ b/proxy/src/test/java/saltdale/proxy/InvariantsTest.java
@@ -51,7 +51,7 @@
                 revision,
                 "another",
                 newest.recentChanges());
-        to.process.take("10.0.0.9", new Chosen(next, text.getBytes(StandardCharsets.UTF_8)));
+        to.process.receive("10.0.0.9", new Chosen(next, text.getBytes(StandardCharsets.UTF_8)));
     }
 
     @Test
--- a/proxy/src/test/java/saltdale/proxy/ProxyClusterTest.java
+++ b/proxy/src/test/java/saltdale/proxy/ProxyClusterTest.java
@@ -122,7 +122,7 @@
         ConfigurationTree older = ConfigurationTree.of(Trees.fromJson(config(1).getBytes(StandardCharsets.UTF_8)));
         ConfigurationTree newer = ConfigurationTree.of(Trees.fromJson(config(2).getBytes(StandardCharsets.UTF_8)));
         for (SimMachine controlNode : world.controlNodes) {
-            proxy.process.take(
+            proxy.process.receive(
                     controlNode.host,
                     new ConfigurationChange(
                             session[0], told + 1, 2, newer.digest(), 1, older.digest(), newer.changeTo(older)));
@@ -131,8 +131,8 @@
         ConfigurationSnapshot snapshot = ConfigurationSnapshot.of(older);
         byte[] bytes = snapshot.bytes();
         for (SimMachine controlNode : world.controlNodes) {
-            proxy.process.take(controlNode.host, new ConfigurationOffer(session[0], told + 2, 1));
-            proxy.process.take(
+            proxy.process.receive(controlNode.host, new ConfigurationOffer(session[0], told + 2, 1));
+            proxy.process.receive(
                     controlNode.host, new SnapshotPart(session[0], snapshot.digest(), 0, bytes.length, bytes));
         }
         assertThat("by a snapshot", revision(proxy), is(2L));
--- a/proxy/src/test/java/saltdale/proxy/SimCore.java
+++ b/proxy/src/test/java/saltdale/proxy/SimCore.java
@@ -12,46 +12,46 @@
 import saltdale.control.Voter;
 
 /**
- * The control nodes of a small or a grown site with an operator who sends one order after the other, machines that are
- * lost and replaced within what is tolerated, and checks of what must hold all the while.
+ * The control nodes of a small or a large site, an operator who sends one configuration order after the other, losses
+ * and replacements of machines within the tolerated limits, and checks of what must hold at any time.
  */
 final class SimCore {
-    /** How a machine is lost; each is back, or its successor is there, some time later. */
+    /** How a machine is lost; some time later it is back, or its successor has started. */
     enum Loss {
-        REPLACE, // gone for good; an empty one comes at another address
-        WIPE, // comes back with an empty disk
-        LEAVE, // an empty one comes first, then this one gets SIGTERM
+        REPLACE, // lost for good; an empty machine starts at another address
+        WIPE, // returns with an empty disk
+        LEAVE, // an empty machine starts first, then this one gets SIGTERM
         POWER_OFF,
         KILL,
         FREEZE,
         CUT
     }
 
-    private static final long ACKNOWLEDGE = 5000; // ms, as on all sites
-    private static final long GRACE = 6000;
-    private static final long STEP = 50;
+    private static final long MAX_ACKNOWLEDGE_MS = 5000; // as on all sites
+    private static final long GRACE_MS = 6000;
+    private static final long STEP_MS = 50;
 
     final SimWorld world;
     final int size;
     final int tolerated;
     final long recoveryMs;
     boolean operatorRunning;
-    /** How long a lost machine is away, in ms. */
+    /** How long a lost machine is down. */
     long outageMs = 1000;
 
-    /** How long after its successor's start a leaving member gets SIGTERM, in ms. */
+    /** Time from the start of its successor to the SIGTERM of a leaving member. */
     long departureDelayMs;
-    /** Wrong: a member that leaves ends whether or not its successor is there. */
+    /** Deliberate fault: a leaving member ends whether or not its successor has started. */
     boolean departsAtOnce;
-    /** Wrong: the identity outlasts the disk. */
+    /** Deliberate fault: the identity survives the loss of the disk. */
     boolean keepsIdentityOnWipe;
 
-    private long acknowledged; // the newest revision
-    private long lastEvent; // the newest fault, return or acknowledgement
-    private long caughtUpAt; // when nothing counts as lost any more
-    private final Set<SimMachine> leaving = new HashSet<>(); // SIGTERM was sent
-    private int hosts = 100;
-    private int sentTo;
+    private long acknowledgedRevision; // the newest one
+    private long lastEventAt; // when the last loss, return or acknowledgement happened
+    private long recoveredAt; // when no machine counts as lost any more
+    private final Set<SimMachine> leaving = new HashSet<>(); // members that got SIGTERM
+    private int nextHostNumber = 100;
+    private int ordersSent;
 
     SimCore(long seed, int size) {
         this.size = size;
@@ -64,24 +64,26 @@
     void start() {
         world.startAll();
         world.run(2500);
-        lastEvent = world.now();
+        lastEventAt = world.now();
         startOperator();
-        check(() -> acknowledged >= 1 && world.voters().size() == size && !world.isJoint(), "no first order or voters");
+        check(
+                () -> acknowledgedRevision >= 1 && world.voters().size() == size && !world.isJoint(),
+                "the first order was not acknowledged, or voters are missing");
     }
 
     SimMachine machine(String host) {
         return world.machines.get(host);
     }
 
-    /** A voter; the holder of the duty comes first. */
+    /** Returns a voter by number; number 0 is the duty holder. */
     SimMachine victim(int number) {
-        List<SimMachine> all = new ArrayList<>(running());
+        List<SimMachine> all = new ArrayList<>(runningVoters());
         String holder = world.newestChosen.duty("starting").name();
         all.sort((a, b) -> Boolean.compare(("n-" + b.host).equals(holder), ("n-" + a.host).equals(holder)));
         return all.get(number % all.size());
     }
 
-    private List<SimMachine> running() {
+    private List<SimMachine> runningVoters() {
         return world.controlNodes.stream()
                 .filter(each -> each.process != null && world.voters().contains(each.id()))
                 .toList();
@@ -89,17 +91,17 @@
 
     // Losses.
 
-    private void event(long countsFor) {
-        lastEvent = world.now();
-        caughtUpAt = Math.max(caughtUpAt, world.now() + countsFor * 1_000_000);
+    private void recordEvent(long lossMs) {
+        lastEventAt = world.now();
+        recoveredAt = Math.max(recoveredAt, world.now() + lossMs * 1_000_000);
     }
 
-    /** What is lost now counts as lost for so much longer, in ms. */
+    /** Lets the machines that are lost now count as lost for this much longer. */
     void extendRecovery(long ms) {
-        caughtUpAt += ms * 1_000_000;
+        recoveredAt += ms * 1_000_000;
     }
 
-    /** As many as are tolerated, at once. */
+    /** Loses as many machines at once as are tolerated. */
     void loseTolerated(Loss loss, int from) {
         List<SimMachine> victims = new ArrayList<>();
         for (int i = 0; i < tolerated; i++) {
@@ -112,7 +114,7 @@
         if (one == null || one.process == null) {
             return;
         }
-        event(outageMs + recoveryMs);
+        recordEvent(outageMs + recoveryMs);
         if (leaving.contains(one) && loss != Loss.CUT) {
             remove(one);
             return;
@@ -120,17 +122,17 @@
         switch (loss) {
             case REPLACE -> {
                 remove(one);
-                later(outageMs, this::comes);
+                later(outageMs, this::startReplacement);
             }
             case LEAVE -> {
-                comes();
-                later(departureDelayMs, () -> leaves(one));
+                startReplacement();
+                later(departureDelayMs, () -> sendTerminate(one));
             }
             case FREEZE -> {
                 one.freeze();
-                SimMachine.Process of = one.process;
+                SimMachine.Process frozen = one.process;
                 later(outageMs, () -> {
-                    if (one.process == of) {
+                    if (one.process == frozen) {
                         one.thaw();
                     }
                 });
@@ -141,27 +143,27 @@
             }
             case WIPE -> {
                 wipe(one);
-                later(outageMs, () -> starts(one));
+                later(outageMs, () -> startIfMember(one));
             }
             case KILL -> {
                 one.kill();
-                later(outageMs, () -> starts(one));
+                later(outageMs, () -> startIfMember(one));
             }
             default -> {
                 one.powerOff();
-                later(outageMs, () -> starts(one));
+                later(outageMs, () -> startIfMember(one));
             }
         }
     }
 
-    private void later(long ms, Runnable what) {
+    private void later(long ms, Runnable task) {
         world.schedule(ms * 1_000_000, () -> {
-            event(recoveryMs);
-            what.run();
+            recordEvent(recoveryMs);
+            task.run();
         });
     }
 
-    private void starts(SimMachine one) {
+    private void startIfMember(SimMachine one) {
         if (world.controlNodes.contains(one)) {
             one.start();
         }
@@ -182,99 +184,99 @@
         world.machines.remove(one.host);
     }
 
-    private void comes() {
+    private void startReplacement() {
         List<String> seeds =
                 world.controlNodes.stream().limit(3).map(k -> k.host).toList();
-        world.controlNode("10.0.0." + hosts++, seeds, false).start();
+        world.controlNode("10.0.0." + nextHostNumber++, seeds, false).start();
     }
 
-    /** SIGTERM. Its successor has been there for long, or counts as lost in its place. */
-    private void leaves(SimMachine one) {
-        caughtUpAt = Math.max(world.now(), caughtUpAt - departureDelayMs * 1_000_000);
+    /** Sends SIGTERM. The successor has been running for long, or counts as lost in place of this machine. */
+    private void sendTerminate(SimMachine one) {
+        recoveredAt = Math.max(world.now(), recoveredAt - departureDelayMs * 1_000_000);
         if (one.process == null) {
             remove(one);
         } else if (departsAtOnce) {
-            one.process.deliver(() -> one.controlNode().end(GRACE * 700_000, () -> {}));
+            one.process.deliver(() -> one.controlNode().end(GRACE_MS * 700_000, () -> {}));
             later(50, () -> remove(one));
         } else {
             leaving.add(one);
-            one.terminate(GRACE, () -> remove(one));
+            one.terminate(GRACE_MS, () -> remove(one));
         }
     }
 
     // The operator.
 
-    /** Sends one order after the other; each to the next control node until one has acknowledged it. */
+    /** Sends one order after the other; each goes to one control node after the other until one acknowledges it. */
     void startOperator() {
         if (!operatorRunning) {
             operatorRunning = true;
-            order();
+            sendOrder();
         }
     }
 
-    private void order() {
+    private void sendOrder() {
         if (!operatorRunning) {
             return;
         }
-        SimMachine to = world.controlNodes.get(sentTo++ % world.controlNodes.size());
-        boolean[] over = new boolean[1];
+        SimMachine to = world.controlNodes.get(ordersSent++ % world.controlNodes.size());
+        boolean[] done = new boolean[1];
         if (to.process == null) {
-            world.schedule(100_000_000, this::order);
+            world.schedule(100_000_000, this::sendOrder);
             return;
         }
-        long base = acknowledged;
+        long base = acknowledgedRevision;
         replace(to, base, config(base + 1), reply -> {
-            if (reply.status() == 200 && acknowledged == base) {
-                acknowledged = base + 1;
-                lastEvent = world.now();
+            if (reply.status() == 200 && acknowledgedRevision == base) {
+                acknowledgedRevision = base + 1;
+                lastEventAt = world.now();
                 checkHolders();
             } else if (reply.status() != 200 && reply.status() != 503) {
-                world.violations.add("the order on " + base + " got " + reply.status() + " " + reply.why());
+                world.violations.add("the order based on " + base + " got " + reply.status() + " " + reply.why());
             }
-            again(over, 150);
+            sendNextOrder(done, 150);
         });
-        world.schedule(1_000_000_000, () -> again(over, 0));
+        world.schedule(1_000_000_000, () -> sendNextOrder(done, 0));
     }
 
-    private void again(boolean[] over, long ms) {
-        if (!over[0]) {
-            over[0] = true;
-            world.schedule(ms * 1_000_000, this::order);
+    private void sendNextOrder(boolean[] done, long ms) {
+        if (!done[0]) {
+            done[0] = true;
+            world.schedule(ms * 1_000_000, this::sendOrder);
         }
     }
 
-    // What must hold.
+    // Checks.
 
     void runUntilRecovered() {
-        while (world.now() < caughtUpAt) {
-            world.run(Math.min(STEP, Math.max(1, (caughtUpAt - world.now()) / 1_000_000)));
+        while (world.now() < recoveredAt) {
+            world.run(Math.min(STEP_MS, Math.max(1, (recoveredAt - world.now()) / 1_000_000)));
             checkStep();
         }
         checkRepaired();
     }
 
-    /** A member that got SIGTERM when its successor had long been there is gone after its grace. */
+    /** Checks that members that got SIGTERM with a successor in place are gone after the grace period. */
     void runUntilDeparted() {
         if (!leaving.isEmpty()) {
-            caughtUpAt = Math.max(caughtUpAt, world.now() + GRACE * 1_000_000);
+            recoveredAt = Math.max(recoveredAt, world.now() + GRACE_MS * 1_000_000);
             runUntilRecovered();
         }
         if (!leaving.isEmpty()) {
-            world.violations.add("still leaving after the grace");
+            world.violations.add("still leaving after the grace period");
         }
     }
 
     private void checkStep() {
         checkHolders();
         if (!operatorRunning) {
-            lastEvent = world.now();
-        } else if (world.now() - lastEvent > ACKNOWLEDGE * 1_000_000) {
-            world.violations.add("no order was taken for " + ACKNOWLEDGE + " ms");
+            lastEventAt = world.now();
+        } else if (world.now() - lastEventAt > MAX_ACKNOWLEDGE_MS * 1_000_000) {
+            world.violations.add("no order was acknowledged for " + MAX_ACKNOWLEDGE_MS + " ms");
             operatorRunning = false;
         }
     }
 
-    /** A majority of each set of voters holds what is acknowledged, synced, but for disks that are lost. */
+    /** Checks that a majority of each set of voters has synced what is acknowledged, lost disks left aside. */
     private void checkHolders() {
         if (world.newestChosen == null) {
             return;
@@ -282,7 +284,8 @@
         for (List<Voter> set : world.newestChosen.quorums()) {
             long holders = set.stream().filter(this::holdsOrIsLost).count();
             if (holders <= set.size() / 2) {
-                world.violations.add("at " + millis() + " only " + holders + " of " + set + " hold " + acknowledged);
+                world.violations.add(
+                        "at " + elapsedMs() + " only " + holders + " of " + set + " hold " + acknowledgedRevision);
             }
         }
     }
@@ -296,32 +299,32 @@
     }
 
     private boolean holds(Set<String> records) {
-        return acknowledged == 0
+        return acknowledgedRevision == 0
                 || records.stream()
                         .filter(name -> name.startsWith("text:"))
-                        .anyMatch(name -> Long.parseLong(name.substring(5, name.indexOf('-'))) >= acknowledged);
+                        .anyMatch(name -> Long.parseLong(name.substring(5, name.indexOf('-'))) >= acknowledgedRevision);
     }
 
-    /** All voters are there with their disks, as many as the site has, and no change of voters is under way. */
+    /** Checks that there are as many voters as the site has, all with their disks, and no change of voters. */
     private void checkRepaired() {
         List<String> alive = world.controlNodes.stream().map(SimMachine::id).toList();
         if (world.isJoint() || world.voters().size() != size || !alive.containsAll(world.voters())) {
-            world.violations.add("at " + millis() + " not repaired: voters " + world.newestChosen.voters() + " joint "
-                    + world.isJoint() + ", alive " + alive);
+            world.violations.add("at " + elapsedMs() + " not repaired: voters " + world.newestChosen.voters()
+                    + " joint " + world.isJoint() + ", alive " + alive);
         }
     }
 
-    private void check(BooleanSupplier holds, String otherwise) {
-        if (!world.runUntil(10_000, holds)) {
-            world.violations.add(otherwise);
+    private void check(BooleanSupplier condition, String failure) {
+        if (!world.runUntil(10_000, condition)) {
+            world.violations.add(failure);
         }
     }
 
-    /** The closing fault: disks are lost right after an acknowledgement, and the others lose power. */
+    /** The final fault: right after an acknowledgement some disks are lost and all other machines lose power. */
     void loseDisksAndPower(int from) {
         startOperator();
-        long before = acknowledged;
-        check(() -> acknowledged > before, "no order before the end");
+        long before = acknowledgedRevision;
+        check(() -> acknowledgedRevision > before, "no order was acknowledged before the final fault");
         operatorRunning = false;
         for (SimMachine each : List.copyOf(world.controlNodes)) {
             each.powerOff();
@@ -332,16 +335,16 @@
         world.controlNodes.forEach(SimMachine::start);
         world.run(5000);
         for (SimMachine each : world.controlNodes) {
-            String is = read(world, each);
-            if (is == null || AgreementTest.revision(is) < acknowledged) {
-                world.violations.add(
-                        "after the end " + each.host + " reads " + is + " though " + acknowledged + " is acknowledged");
+            String read = read(world, each);
+            if (read == null || AgreementTest.revision(read) < acknowledgedRevision) {
+                world.violations.add("after the final fault " + each.host + " reads " + read + " though "
+                        + acknowledgedRevision + " is acknowledged");
                 return;
             }
         }
     }
 
-    private long millis() {
+    private long elapsedMs() {
         return world.now() / 1_000_000 - 1_000_000;
     }
 }
--- a/proxy/src/test/java/saltdale/proxy/SimMachine.java
+++ b/proxy/src/test/java/saltdale/proxy/SimMachine.java
@@ -15,7 +15,7 @@
 import saltdale.control.ToleratedLosses;
 import saltdale.control.message.Message;
 
-/** A machine with its disk; at most one process runs on it. */
+/** A simulated machine with a disk; at most one process runs on it. */
 final class SimMachine {
     enum Disk {
         WELL,
@@ -23,7 +23,7 @@
         HANGING
     }
 
-    private record Write(Map<String, byte[]> records, Process of, Consumer<Boolean> done) {}
+    private record Write(Map<String, byte[]> records, Process process, Consumer<Boolean> done) {}
 
     private final SimWorld world;
     final String host;
@@ -32,18 +32,18 @@
     final boolean isControlNode;
     boolean firstStart;
     Map<String, byte[]> synced = new LinkedHashMap<>();
-    private final List<Write> writes = new ArrayList<>(); // not yet synced
+    private final List<Write> writes = new ArrayList<>(); // not synced yet
     private boolean writing;
     Disk disk = Disk.WELL;
     static final long NORMAL_SYNC_NANOS = 3_000_000;
     long syncNanos = NORMAL_SYNC_NANOS;
     Process process;
     boolean frozen;
-    /** How far its time of day is off; only a wrong variant of the code looks at that. */
+    /** Offset of the wall clock; only a deliberately faulty variant reads that clock. */
     long wallClockOffsetNanos;
 
     boolean leasesByWallClock;
-    private final List<Runnable> late = new ArrayList<>();
+    private final List<Runnable> deferred = new ArrayList<>();
 
     SimMachine(
             SimWorld world, String host, String zone, List<String> seeds, boolean isControlNode, boolean firstStart) {
@@ -76,7 +76,7 @@
         }
     }
 
-    /** The process ends at once, and others see their connections to it end; its files stay as they were written. */
+    /** Ends the process at once, and closes its connections as others see them. Files stay as they were written. */
     void kill() {
         end();
         for (SimMachine other : world.machines.values()) {
@@ -88,7 +88,7 @@
         }
     }
 
-    /** No power, and nobody hears of it. */
+    /** Cuts the power; others are not notified of closed connections. */
     void powerOff() {
         end();
     }
@@ -98,24 +98,25 @@
         synced = new LinkedHashMap<>();
     }
 
-    /** SIGTERM, and SIGKILL after the grace; {@code gone} runs once the process has ended. */
-    void terminate(long graceMillis, Runnable gone) {
-        Process of = process;
-        Runnable ends = () -> {
-            if (process == of) {
+    /** Sends SIGTERM, and SIGKILL after the grace period; {@code onEnd} runs once the process has ended. */
+    void terminate(long graceMillis, Runnable onEnd) {
+        Process terminated = process;
+        Runnable kill = () -> {
+            if (process == terminated) {
                 kill();
-                gone.run();
+                onEnd.run();
             }
         };
-        of.deliver(() -> of.controlNode.end(graceMillis * 700_000, () -> world.schedule(50_000_000, ends)));
-        world.schedule(graceMillis * 1_000_000, ends);
+        terminated.deliver(
+                () -> terminated.controlNode.end(graceMillis * 700_000, () -> world.schedule(50_000_000, kill)));
+        world.schedule(graceMillis * 1_000_000, kill);
     }
 
-    /** Of what was not synced some may be there, in order. */
+    /** Ends the process; a random prefix of the writes that were not synced survives. */
     private void end() {
         writes.stream().limit(world.random.nextInt(writes.size() + 1)).forEach(w -> put(w.records));
         writes.clear();
-        late.clear();
+        deferred.clear();
         frozen = false;
         if (process != null) {
             process.dead = true;
@@ -143,12 +144,12 @@
         world.schedule((long) (syncNanos * (0.3 + world.random.nextDouble())), () -> {
             writing = false;
             if (disk != Disk.HANGING && writes.remove(next)) {
-                boolean whole = disk == Disk.WELL;
-                // A refused write may be there all the same.
-                if (whole || world.random.nextInt(4) == 0) {
+                boolean succeeds = disk == Disk.WELL;
+                // A write that fails may have reached the disk all the same.
+                if (succeeds || world.random.nextInt(4) == 0) {
                     put(next.records);
                 }
-                next.of.deliver(() -> next.done.accept(whole));
+                next.process.deliver(() -> next.done.accept(succeeds));
             }
             sync();
         });
@@ -163,16 +164,16 @@
         frozen = process != null;
     }
 
-    /** Timers and messages that were due come now. */
+    /** Resumes the process; timers and messages that came due in the meantime are delivered now. */
     void thaw() {
         frozen = false;
-        List<Runnable> due = List.copyOf(late);
-        late.clear();
-        Process of = process;
-        due.forEach(of::deliver);
+        List<Runnable> due = List.copyOf(deferred);
+        deferred.clear();
+        Process resumed = process;
+        due.forEach(resumed::deliver);
     }
 
-    /** One life of a process. */
+    /** One incarnation of a process. */
     final class Process implements Environment {
         final SimMachine machine = SimMachine.this;
         final Counters counters = new Counters();
@@ -217,19 +218,19 @@
                     proxy.begin();
                 }
             } catch (MalformedMessage e) {
-                world.violations.add("the disk of " + host + " cannot be used: " + e.getMessage());
+                world.violations.add("the disk of " + host + " is not readable: " + e.getMessage());
             }
         }
 
-        /** Has this process do it, when it can. */
-        void deliver(Runnable what) {
+        /** Runs a task in this process: at once, after the resumption if it is frozen, or never if it is dead. */
+        void deliver(Runnable task) {
             if (dead) {
                 return;
             }
             if (frozen) {
-                late.add(what);
+                deferred.add(task);
             } else {
-                what.run();
+                task.run();
             }
         }
 
@@ -244,16 +245,16 @@
         }
 
         @Override
-        public Runnable after(long nanos, Runnable what) {
-            boolean[] off = new boolean[1];
+        public Runnable after(long nanos, Runnable task) {
+            boolean[] cancelled = new boolean[1];
             world.schedule(
                     nanos,
                     () -> deliver(() -> {
-                        if (!off[0]) {
-                            what.run();
+                        if (!cancelled[0]) {
+                            task.run();
                         }
                     }));
-            return () -> off[0] = true;
+            return () -> cancelled[0] = true;
         }
 
         @Override
@@ -266,7 +267,7 @@
         @Override
         public void persist(Map<String, byte[]> records, Consumer<Boolean> done) {
             if (world.acknowledgesBeforeSync) {
-                writes.add(new Write(new LinkedHashMap<>(records), this, whole -> {}));
+                writes.add(new Write(new LinkedHashMap<>(records), this, synced -> {}));
                 deliver(() -> done.accept(true));
             } else {
                 writes.add(new Write(new LinkedHashMap<>(records), this, done));
@@ -286,14 +287,14 @@
         }
 
         @Override
-        public void note(String what) {
+        public void note(String text) {
             if (Boolean.getBoolean("sim.notes")) {
-                System.out.println(world.now() / 1_000_000 - 1_000_000 + " " + host + " " + what);
+                System.out.println(world.now() / 1_000_000 - 1_000_000 + " " + host + " " + text);
             }
         }
 
-        /** A message that has come; throws where it is malformed. */
-        void take(String from, Message message) throws MalformedMessage {
+        /** Handles a received message; throws if it is malformed. */
+        void receive(String from, Message message) throws MalformedMessage {
             if (controlNode != null) {
                 controlNode.message(from, message);
             } else {
--- a/proxy/src/test/java/saltdale/proxy/SimOperator.java
+++ b/proxy/src/test/java/saltdale/proxy/SimOperator.java
@@ -9,11 +9,11 @@
 import java.util.function.Supplier;
 import saltdale.control.ControlNode;
 
-/** What operators send, and how they go about it. */
+/** The requests of operators and clients to a simulated cluster. */
 final class SimOperator {
     private SimOperator() {}
 
-    /** A configuration of this revision: one function, two routes to it, and as many further ones. */
+    /** A configuration of this revision: one function, two routes to it, and {@code further} more routes. */
     static String config(long revision, int further) {
         List<String> routes = new ArrayList<>(
                 List.of(route("r-0", "/a/", "idempotent", "fn"), route("r-1", "/b/", "non_idempotent", "fn")));
@@ -36,24 +36,24 @@
                 + "\",\"max_attempts\":3}";
     }
 
-    static void replace(SimMachine at, long base, String body, Consumer<ControlNode.Reply> answer) {
+    static void replace(SimMachine at, long base, String body, Consumer<ControlNode.Reply> onReply) {
         at.process.deliver(() ->
-                at.controlNode().change(false, Long.toString(base), body.getBytes(StandardCharsets.UTF_8), answer));
+                at.controlNode().change(false, Long.toString(base), body.getBytes(StandardCharsets.UTF_8), onReply));
     }
 
-    /** The status that comes within five seconds; 0 where none does. */
+    /** Returns the status of the reply, or 0 if none comes within five seconds. */
     static int replace(SimWorld world, SimMachine at, long base, String body) {
         return change(world, at, false, Long.toString(base), body);
     }
 
     static int change(SimWorld world, SimMachine at, boolean amends, String base, String body) {
-        List<ControlNode.Reply> got = new ArrayList<>();
+        List<ControlNode.Reply> replies = new ArrayList<>();
         at.process.deliver(
-                () -> at.controlNode().change(amends, base, body.getBytes(StandardCharsets.UTF_8), got::add));
-        return world.runUntil(5000, () -> !got.isEmpty()) ? got.get(0).status() : 0;
+                () -> at.controlNode().change(amends, base, body.getBytes(StandardCharsets.UTF_8), replies::add));
+        return world.runUntil(5000, () -> !replies.isEmpty()) ? replies.get(0).status() : 0;
     }
 
-    /** Repeats the change at all control nodes in turn until one acknowledges it. */
+    /** Sends the change to all control nodes in turn until one acknowledges it. Returns whether one did in time. */
     static boolean replaceUntilAcknowledged(SimWorld world, long base, String body, long ms) {
         long end = world.now() + ms * 1_000_000;
         while (world.now() < end) {
@@ -67,7 +67,7 @@
         return false;
     }
 
-    /** A cluster whose proxies know the first configuration, with two workers in each zone. */
+    /** Starts a cluster with two workers in each zone, whose proxies have the first configuration. */
     static SimWorld servingCluster(long seed, int controlNodes, int proxies) {
         return servingCluster(new SimWorld(seed), controlNodes, proxies);
     }
@@ -85,7 +85,7 @@
         return world;
     }
 
-    /** So many calls a second for a while, each to any proxy that runs and is ready; returns at once. */
+    /** Schedules this many calls per second for a while, each to a random ready proxy, and returns at once. */
     static void load(SimWorld world, double perSecond, long ms) {
         load(world, perSecond, ms, () -> world.random.nextBoolean() ? "/a/1" : "/b/1");
     }
@@ -105,11 +105,12 @@
         });
     }
 
-    /** The configuration as this control node reads it from a majority; null where it cannot. */
+    /** Returns the configuration as this control node reads it from a majority, or null if it cannot. */
     static String read(SimWorld world, SimMachine at) {
-        List<ControlNode.Reply> got = new ArrayList<>();
-        at.process.deliver(() -> at.controlNode().read(got::add));
-        boolean came = world.runUntil(5000, () -> !got.isEmpty()) && got.get(0).status() == 200;
-        return came ? new String(got.get(0).body(), StandardCharsets.UTF_8) : null;
+        List<ControlNode.Reply> replies = new ArrayList<>();
+        at.process.deliver(() -> at.controlNode().read(replies::add));
+        boolean replied =
+                world.runUntil(5000, () -> !replies.isEmpty()) && replies.get(0).status() == 200;
+        return replied ? new String(replies.get(0).body(), StandardCharsets.UTF_8) : null;
     }
 }
--- a/proxy/src/test/java/saltdale/proxy/SimPlatform.java
+++ b/proxy/src/test/java/saltdale/proxy/SimPlatform.java
@@ -17,11 +17,11 @@
 import saltdale.control.Platform;
 
 /**
- * The platform of a simulated cluster: workers, instances and their lagging list; and what proxies carry to the
- * instances.
+ * Simulates the platform of a cluster with its workers, its instances and a list of them that lags behind, and the
+ * calls of clients that proxies forward to the instances.
  */
 final class SimPlatform {
-    /** A start or stop as it reached the platform. */
+    /** A start or stop that has reached the platform. */
     record Duty(long at, String kind, String holder, long fence, String what, int status) {}
 
     static final class Worker {
@@ -61,12 +61,11 @@
 
         void drain() {
             drainingAt = world.now();
-            goneAt = world.now()
-                    + Environment.millis(listLagMs + 4500); // from when the list shows it, and a little longer
+            goneAt = world.now() + Environment.millis(listLagMs + 4500); // a little after the drain time as listed
         }
     }
 
-    /** One call of a client, and all that became of it. */
+    /** A call of a client, with its attempts and its responses. */
     static final class OutgoingCall {
         final boolean idempotent;
         final List<Integer> answers = new ArrayList<>();
@@ -79,7 +78,7 @@
             this.idempotent = idempotent;
         }
 
-        /** The process that took it is gone. */
+        /** Whether the process that accepted the call has ended. */
         boolean isLost() {
             return at == null || at.dead;
         }
@@ -89,36 +88,36 @@
         }
     }
 
-    private final class Sending {
+    private final class Exchange {
         final Attempt attempt;
         final SimMachine.Process from;
         final Instance to;
         boolean closed;
         boolean working;
 
-        Sending(Attempt attempt, SimMachine.Process from, Instance to) {
+        Exchange(Attempt attempt, SimMachine.Process from, Instance to) {
             this.attempt = attempt;
             this.from = from;
             this.to = to;
         }
 
-        void tell(Attempt.End end) {
+        void end(Attempt.End end) {
             world.schedule(
                     world.randomDelayNanos(),
                     () -> from.deliver(() -> {
                         if (!closed) {
-                            asked().ends.add(end);
-                            sendings.remove(attempt);
+                            call().ends.add(end);
+                            exchanges.remove(attempt);
                             from.proxy.ended(attempt, end);
                         }
                     }));
         }
 
-        OutgoingCall asked() {
+        OutgoingCall call() {
             return (OutgoingCall) attempt.request.clientContext;
         }
 
-        /** The instance sees its connection end and drops the work. */
+        /** Closes the connection; the instance then aborts the work. */
         void close() {
             closed = true;
             world.schedule(world.randomDelayNanos(), this::done);
@@ -139,15 +138,19 @@
     final Map<String, Integer> memory = new HashMap<>();
     final List<Duty> duties = new ArrayList<>();
     final List<OutgoingCall> calls = new ArrayList<>();
-    final List<Long> slotViolations = new ArrayList<>(); // when an instance got more than its slots
-    final List<String> rateViolations = new ArrayList<>(); // calls beyond the platform's rates
-    final List<String> failedConnections = new ArrayList<>(); // instances that took no connection, as often
-    final List<Long> callsAfterDrain = new ArrayList<>(); // calls that reached a draining instance too late
+    /** Times at which an instance got more requests than it has slots. */
+    final List<Long> slotViolations = new ArrayList<>();
+
+    final List<String> rateViolations = new ArrayList<>(); // calls that exceeded the platform's rate limits
+    final List<String> failedConnections = new ArrayList<>(); // by instance id, one entry per attempt
+    /** Times at which a call reached an instance that had been draining for too long. */
+    final List<Long> callsAfterDrain = new ArrayList<>();
+
     private final Map<String, Instance> byNonce = new HashMap<>();
     private final Map<Long, SimMachine.Process> holders = new HashMap<>(); // by fence
-    private final Map<Attempt, Sending> sendings = new LinkedHashMap<>();
-    private final Deque<String> lists = new ArrayDeque<>(); // of the last second
-    private final Deque<String> changes = new ArrayDeque<>();
+    private final Map<Attempt, Exchange> exchanges = new LinkedHashMap<>();
+    private final Deque<String> listCalls = new ArrayDeque<>(); // calls of the last second
+    private final Deque<String> dutyCalls = new ArrayDeque<>();
     long highestFence;
     long bootMs = 500;
     long listLagMs = 800;
@@ -155,11 +158,11 @@
     double lostResponseProbability;
     boolean unresponsive;
     boolean refusesOldFences = true;
-    /** Hosts whose calls to the platform never come, and those whose starts and stops come late, by how much. */
+    /** Hosts whose calls never reach the platform, and the delays of the starts and stops by host. */
     final Set<String> unreachableHosts = new HashSet<>();
 
     final Map<String, Long> dutyDelayMs = new HashMap<>();
-    double breakProbability; // share of calls that an instance breakProbability off after it has begun
+    double breakProbability; // that an instance breaks a call off after it has started it
     double rejectProbability;
     double unsentProbability;
     private int instanceCount;
@@ -169,19 +172,19 @@
     }
 
     Worker addWorker(String name, String zone, long megabytes) {
-        Worker made = new Worker(name, zone, megabytes);
-        workers.put(name, made);
-        return made;
+        Worker added = new Worker(name, zone, megabytes);
+        workers.put(name, added);
+        return added;
     }
 
     Platform clientFor(SimMachine.Process process) {
         return new Platform() {
             @Override
             public void listInstances(String token, Consumer<Response> answer) {
-                asked(
+                request(
                         process,
                         "list" + (token == null ? "" : token),
-                        lists,
+                        listCalls,
                         world.rates.listCallsPerSecond(),
                         () -> page(token),
                         answer);
@@ -189,10 +192,10 @@
 
             @Override
             public void listWorkers(Consumer<Response> answer) {
-                asked(
+                request(
                         process,
                         "workers",
-                        lists,
+                        listCalls,
                         world.rates.listCallsPerSecond(),
                         SimPlatform.this::workerList,
                         answer);
@@ -201,10 +204,10 @@
             @Override
             public void startInstance(
                     String holder, long fence, String service, String worker, String nonce, Consumer<Response> answer) {
-                asked(
+                request(
                         process,
                         "begin",
-                        changes,
+                        dutyCalls,
                         world.rates.dutyCallsPerSecond(),
                         () -> duty(
                                 "begin",
@@ -212,42 +215,42 @@
                                 holder,
                                 fence,
                                 service + " " + nonce,
-                                () -> begun(service, worker, nonce)),
+                                () -> createInstance(service, worker, nonce)),
                         answer);
             }
 
             @Override
             public void stopInstance(String holder, long fence, String id, Consumer<Response> answer) {
-                asked(
+                request(
                         process,
                         "stop",
-                        changes,
+                        dutyCalls,
                         world.rates.dutyCallsPerSecond(),
-                        () -> duty("stop", process, holder, fence, id, () -> stopped(id)),
+                        () -> duty("stop", process, holder, fence, id, () -> removeInstance(id)),
                         answer);
             }
         };
     }
 
-    private void asked(
+    private void request(
             SimMachine.Process process,
-            String what,
-            Deque<String> calls,
+            String call,
+            Deque<String> recentCalls,
             double rate,
-            Supplier<Platform.Response> made,
+            Supplier<Platform.Response> result,
             Consumer<Platform.Response> answer) {
-        boolean isDuty = what.equals("begin") || what.equals("stop");
+        boolean isDuty = call.equals("begin") || call.equals("stop");
         long late = isDuty ? Environment.millis(dutyDelayMs.getOrDefault(process.machine.host, 0L)) : 0;
         world.schedule(world.randomDelayNanos() + late, () -> {
-            calls.removeIf(c -> world.now() / 1_000_000 - Long.parseLong(c.substring(0, c.indexOf(' '))) >= 1000);
-            boolean over = calls.size() >= rate;
-            calls.add(world.now() / 1_000_000 + " " + process.machine.host + " " + what);
-            if (over) {
-                rateViolations.add(calls.pollLast() + " after " + calls);
+            recentCalls.removeIf(c -> world.now() / 1_000_000 - Long.parseLong(c.substring(0, c.indexOf(' '))) >= 1000);
+            boolean exceedsRate = recentCalls.size() >= rate;
+            recentCalls.add(world.now() / 1_000_000 + " " + process.machine.host + " " + call);
+            if (exceedsRate) {
+                rateViolations.add(recentCalls.pollLast() + " after " + recentCalls);
             }
             Platform.Response reply = unresponsive || unreachableHosts.contains(process.machine.host)
                     ? null
-                    : over ? new Platform.Response(429, null) : made.get();
+                    : exceedsRate ? new Platform.Response(429, null) : result.get();
             boolean lost = reply == null || world.random.nextDouble() < lostResponseProbability;
             world.schedule(
                     lost ? Environment.millis(1200) : world.randomDelayNanos(),
@@ -323,20 +326,20 @@
             String holder,
             long fence,
             String what,
-            Supplier<Platform.Response> does) {
+            Supplier<Platform.Response> execute) {
         SimMachine.Process other = holders.putIfAbsent(fence, process);
         if (other != null && other != process) {
-            world.violations.add(
-                    "fence " + fence + " is used by two: " + other.machine.host + ", " + process.machine.host);
+            world.violations.add("fence " + fence + " is used by two processes: " + other.machine.host + ", "
+                    + process.machine.host);
         }
         Platform.Response answer =
-                fence < highestFence && refusesOldFences ? new Platform.Response(403, null) : does.get();
+                fence < highestFence && refusesOldFences ? new Platform.Response(403, null) : execute.get();
         highestFence = Math.max(highestFence, fence);
         duties.add(new Duty(world.now(), kind, holder, fence, what, answer.status()));
         return answer;
     }
 
-    private Platform.Response begun(String service, String worker, String nonce) {
+    private Platform.Response createInstance(String service, String worker, String nonce) {
         Worker on = workers.get(worker);
         Instance instance = byNonce.get(service + " " + nonce);
         if (instance == null) {
@@ -350,7 +353,7 @@
         return new Platform.Response(200, Fields.tree("identifier", instance.id, "address", instance.address));
     }
 
-    private Platform.Response stopped(String id) {
+    private Platform.Response removeInstance(String id) {
         Instance instance = instances.get(id);
         if (instance == null) {
             return new Platform.Response(404, null);
@@ -373,7 +376,7 @@
 
     // Calls of clients.
 
-    /** A client's call to this proxy; nothing comes of it where the proxy is gone. */
+    /** Sends a client's call to this proxy; if the proxy is down, the call gets status 0. */
     OutgoingCall call(SimMachine at, String hostname, String path, long leftMs) {
         RouteDecision decision = at.proxy() == null ? null : at.proxy().route(hostname, path);
         Configuration.Route route = decision instanceof RouteDecision.Found found ? found.route() : null;
@@ -389,10 +392,10 @@
         return asked;
     }
 
-    /** A process has ended: its connections do too. */
+    /** Closes the connections of a process that has ended. */
     void processEnded(SimMachine.Process process) {
-        List.copyOf(sendings.values()).stream().filter(s -> s.from == process).forEach(s -> {
-            sendings.remove(s.attempt);
+        List.copyOf(exchanges.values()).stream().filter(s -> s.from == process).forEach(s -> {
+            exchanges.remove(s.attempt);
             s.close();
         });
     }
@@ -401,25 +404,25 @@
         return new Transport() {
             @Override
             public void carry(Attempt attempt) {
-                Sending sending = new Sending(attempt, process, instances.get(attempt.instance));
-                OutgoingCall asked = sending.asked();
+                Exchange exchange = new Exchange(attempt, process, instances.get(attempt.instance));
+                OutgoingCall asked = exchange.call();
                 if (!asked.idempotent && asked.ends.stream().anyMatch(end -> end.status() != ExecutionStatus.NOT_RUN)) {
-                    world.violations.add(attempt.request.id + " is carried again after " + asked.ends);
+                    world.violations.add(attempt.request.id + " is sent again after " + asked.ends);
                 }
-                sendings.put(attempt, sending);
+                exchanges.put(attempt, exchange);
                 if (world.random.nextDouble() < unsentProbability) {
-                    sending.tell(Attempt.End.UNSENT);
+                    exchange.end(Attempt.End.UNSENT);
                 } else {
-                    world.schedule(world.randomDelayNanos(), () -> reached(sending));
+                    world.schedule(world.randomDelayNanos(), () -> reached(exchange));
                 }
             }
 
             @Override
             public boolean abandon(Attempt attempt) {
-                Sending sending = sendings.remove(attempt);
-                if (sending != null) {
-                    sending.asked().ends.add(Attempt.End.ABANDONED);
-                    sending.close();
+                Exchange exchange = exchanges.remove(attempt);
+                if (exchange != null) {
+                    exchange.call().ends.add(Attempt.End.ABANDONED);
+                    exchange.close();
                 }
                 return false;
             }
@@ -449,40 +452,40 @@
 
             @Override
             public void forget(String id) {
-                // No connection is kept here.
+                // The simulation keeps no connections.
             }
         };
     }
 
-    private void reached(Sending sending) {
-        Instance to = sending.to;
-        if (sending.closed) {
+    private void reached(Exchange exchange) {
+        Instance to = exchange.to;
+        if (exchange.closed) {
             return;
         }
         if (!to.acceptsConnections()) {
             failedConnections.add(to.id);
-            sending.tell(Attempt.End.NOT_CONNECTED);
+            exchange.end(Attempt.End.NOT_CONNECTED);
             return;
         }
-        // The list has shown it as draining for longer than drain_ms.
+        // The list has shown the instance as draining for longer than drain_ms.
         if (to.drainingAt != Long.MAX_VALUE && world.now() - to.drainingAt > Environment.millis(listLagMs + 3000)) {
             callsAfterDrain.add(world.now());
         }
         if (to.busy >= slots.get(to.service)) {
             slotViolations.add(world.now());
-            sending.tell(Attempt.End.TURNED_AWAY);
+            exchange.end(Attempt.End.TURNED_AWAY);
         } else if (world.random.nextDouble() < rejectProbability) {
-            sending.tell(Attempt.End.TURNED_AWAY);
+            exchange.end(Attempt.End.TURNED_AWAY);
         } else {
             to.busy++;
-            sending.working = true;
-            sending.asked().runs++;
+            exchange.working = true;
+            exchange.call().runs++;
             boolean breaking = world.random.nextDouble() < breakProbability;
             long work = (long) (workMs * 1e6 * (0.5 + world.random.nextDouble()));
             world.schedule(work, () -> {
-                if (sending.working) {
-                    sending.done();
-                    sending.tell(breaking ? Attempt.End.BROKEN : Attempt.End.ANSWERED);
+                if (exchange.working) {
+                    exchange.done();
+                    exchange.end(breaking ? Attempt.End.BROKEN : Attempt.End.ANSWERED);
                 }
             });
         }
--- a/proxy/src/test/java/saltdale/proxy/SimWorld.java
+++ b/proxy/src/test/java/saltdale/proxy/SimWorld.java
@@ -25,26 +25,26 @@
 import saltdale.control.message.MessageCodec;
 
 /**
- * A whole cluster in one thread, all of one seed: a steady clock, connections, disks, processes; instances by
- * the platform.
+ * Simulates a whole cluster in one thread and deterministically from one seed: a monotonic clock, connections, disks
+ * and processes. {@link SimPlatform} simulates the platform with its instances.
  */
 final class SimWorld {
     static final long HEARTBEAT_NANOS = Environment.millis(1200);
     static final String[] ZONES = {"z-a", "z-b", "z-c"};
 
-    /** Changes what is sent, as a wrong variant of the code would; null where it sends nothing. */
+    /** Replaces a message, as a faulty variant of the code would send it; null drops the message. */
     interface MessageRewriter {
         Message of(String from, String to, Message message);
     }
 
-    /** Makes the control node of a process; tests put wrong variants in its place. */
+    /** Creates the control node of a process; tests use it to create deliberately faulty variants. */
     interface ControlNodeFactory {
         ControlNode of(
                 Environment environment, ControlNodeSettings settings, Platform platform, Map<String, byte[]> records)
                 throws MalformedMessage;
     }
 
-    private record Event(long at, long order, Runnable what) {}
+    private record Event(long at, long order, Runnable task) {}
 
     final SplittableRandom random;
     final SimPlatform platform;
@@ -52,21 +52,21 @@
     final List<SimMachine> controlNodes = new ArrayList<>();
     final List<SimMachine> proxies = new ArrayList<>();
     final Set<String> cutLinks = new HashSet<>(); // "from>to"
-    final Map<Long, ReplicatedState> chosenByVersion = new HashMap<>(); // chosen states told, by version
-    final List<String> violations = new ArrayList<>(); // what must never be, as seen
-    /** Sees each message that is sent. */
+    final Map<Long, ReplicatedState> chosenByVersion = new HashMap<>(); // announced chosen states, by version
+    final List<String> violations = new ArrayList<>(); // violations of what must always hold
+    /** Gets each message that is sent. */
     Consumer<Message> messageObserver = message -> {};
 
-    /** What carries the bytes of a proxy. */
+    /** Creates the transport of a proxy. */
     Function<SimMachine.Process, Transport> transports;
 
     MessageRewriter messageRewriter = (from, to, message) -> message;
-    /** Looks at the world after each event. */
+    /** Runs after each event. */
     Runnable afterEachEvent = () -> {};
 
-    final Set<String> stalledHosts = new HashSet<>(); // hosts whose messages leave only once they are released
-    private final List<Runnable> held = new ArrayList<>();
-    /** Sees each message that is sent, with the hosts of its sender and its receiver. */
+    final Set<String> stalledHosts = new HashSet<>(); // hosts whose messages are held back until they are released
+    private final List<Runnable> heldBack = new ArrayList<>();
+    /** Gets each message that is sent, with the hosts of its sender and its receiver. */
     interface SendObserver {
         void sent(String from, String to, Message message);
     }
@@ -74,18 +74,18 @@
     SendObserver sendObserver = (from, to, message) -> {};
 
     Platform.Rates rates = new Platform.Rates(26, 105, List.of("starting"));
-    boolean acknowledgesBeforeSync; // wrong: what is written is told of at once
-    int toleratedLosses = 1; // machines
+    boolean acknowledgesBeforeSync; // deliberate fault: writes are acknowledged before they are synced
+    int toleratedLosses = 1; // in machines
     int toleratedZones;
 
     ControlNodeFactory controlNodeFactory = ControlNode::new;
-    ReplicatedState newestChosen; // the newest chosen state told
+    ReplicatedState newestChosen; // the newest announced chosen state
     private final PriorityQueue<Event> events =
             new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
-    private final Map<String, Long> arrived = new HashMap<>();
-    /** Bits a second of all that a machine sends and receives, by host; machines without an entry have no limit. */
+    private final Map<String, Long> lastArrivalAt = new HashMap<>();
+    /** Bits per second that a machine sends and receives in total, by host; machines without an entry have no limit. */
     final Map<String, Long> linkSpeeds = new HashMap<>();
-    /** How many bytes a message takes on the links; a wrong variant makes them more. */
+    /** The bytes that a message takes on the links; deliberately faulty variants make it more. */
     ToLongBiFunction<Message, byte[]> wireBytes = (message, bytes) -> withHeaders(bytes.length);
 
     private final Map<String, Long> linkFreeAt = new HashMap<>(); // by host
@@ -104,31 +104,31 @@
         return now;
     }
 
-    void schedule(long nanos, Runnable what) {
-        events.add(new Event(now + Math.max(0, nanos), order++, what));
+    void schedule(long nanos, Runnable task) {
+        events.add(new Event(now + Math.max(0, nanos), order++, task));
     }
 
     void run(long ms) {
         runUntil(ms, () -> false);
     }
 
-    /** Runs until this holds; whether it did within the time. */
-    boolean runUntil(long ms, BooleanSupplier holds) {
+    /** Runs until the condition holds, for at most this time. Returns whether it holds. */
+    boolean runUntil(long ms, BooleanSupplier condition) {
         long end = now + Environment.millis(ms);
-        while (!holds.getAsBoolean()) {
+        while (!condition.getAsBoolean()) {
             if (events.isEmpty() || events.peek().at > end) {
                 now = end;
-                return holds.getAsBoolean();
+                return condition.getAsBoolean();
             }
             Event next = events.poll();
             now = next.at;
-            next.what.run();
+            next.task.run();
             afterEachEvent.run();
         }
         return true;
     }
 
-    /** The way of a message: mostly short, now and then long. */
+    /** Returns a random network delay: short as a rule, long for one message in twenty. */
     long randomDelayNanos() {
         return (long) ((0.2 + random.nextDouble() * (random.nextInt(20) == 0 ? 40 : 1.5)) * 1e6);
     }
@@ -136,25 +136,25 @@
     // Machines.
 
     SimMachine controlNode(String host, List<String> seeds, boolean firstStart) {
-        SimMachine made =
+        SimMachine machine =
                 new SimMachine(this, host, ZONES[controlNodes.size() % ZONES.length], seeds, true, firstStart);
-        controlNodes.add(made);
-        return made;
+        controlNodes.add(machine);
+        return machine;
     }
 
     SimMachine proxy(String host, String zone) {
-        SimMachine made = new SimMachine(
+        SimMachine machine = new SimMachine(
                 this,
                 host,
                 zone,
                 controlNodes.stream().limit(3).map(k -> k.host).toList(),
                 false,
                 false);
-        proxies.add(made);
-        return made;
+        proxies.add(machine);
+        return machine;
     }
 
-    /** So many control nodes at their first start, and so many proxies spread over the zones, not yet begun. */
+    /** Adds control nodes before their first start and proxies spread over the zones; starts none of them. */
     SimWorld withNodes(int controlNodeCount, int proxyCount) {
         toleratedLosses = controlNodeCount / 2;
         List<String> hosts = new ArrayList<>();
@@ -182,18 +182,18 @@
         cutLinks.add(from.host + ">" + to.host);
     }
 
-    /** Cuts it from all other control nodes. */
+    /** Cuts the links between this control node and all others, in both directions. */
     void isolate(SimMachine controlNode) {
         controlNodes.stream().filter(k -> k != controlNode).forEach(k -> cut(controlNode, k));
     }
 
     // Messages.
 
-    /** What stalled processes have sent leaves now, late and all at once. */
+    /** Sends the messages of stalled hosts that were held back back, all at once. */
     void releaseStalled() {
         stalledHosts.clear();
-        List<Runnable> due = List.copyOf(held);
-        held.clear();
+        List<Runnable> due = List.copyOf(heldBack);
+        heldBack.clear();
         due.forEach(Runnable::run);
     }
 
@@ -202,37 +202,37 @@
         if (message == null) {
             return;
         } else if (stalledHosts.contains(from)) {
-            held.add(() -> leaves(from, host, message));
+            heldBack.add(() -> transmit(from, host, message));
             return;
         }
-        leaves(from, host, message);
+        transmit(from, host, message);
     }
 
-    private void leaves(String from, String host, Message message) {
+    private void transmit(String from, String host, Message message) {
         messageObserver.accept(message);
         sendObserver.sent(from, host, message);
-        if (message instanceof Chosen news) {
-            chosen(news.state());
+        if (message instanceof Chosen announced) {
+            recordChosen(announced.state());
         }
-        String way = from + ">" + host;
-        if (cutLinks.contains(way)) {
+        String link = from + ">" + host;
+        if (cutLinks.contains(link)) {
             return;
         }
         byte[] bytes = MessageCodec.encode(message);
         if (host.equals(from)) {
-            arrives(way, host, from, bytes);
+            arrive(link, host, from, bytes);
             return;
         }
         long onWire = wireBytes.applyAsLong(message, bytes);
-        overLink(from, onWire, () -> travels(way, () -> overLink(host, onWire, () -> arrives(way, host, from, bytes))));
+        overLink(from, onWire, () -> delay(link, () -> overLink(host, onWire, () -> arrive(link, host, from, bytes))));
     }
 
-    /** The frame's length and the headers of TCP and IP. */
+    /** Adds the length field of the frame and the headers of TCP and IP. */
     static long withHeaders(long bytes) {
         return bytes + 4 + 40 * (1 + bytes / 1460);
     }
 
-    /** Does this once the bytes are through the machine's link, behind all that came before; at once without limit. */
+    /** Runs a task once the machine's link has carried these bytes after all earlier ones; at once without a limit. */
     private void overLink(String host, long bytes, Runnable then) {
         Long speed = linkSpeeds.get(host);
         if (speed == null) {
@@ -244,37 +244,37 @@
         schedule(free - now, then);
     }
 
-    /** Something else goes over a machine's link, requests and answers for instance. */
+    /** Adds other traffic to a machine's link, such as requests and responses. */
     void addLinkTraffic(String host, long bytes) {
         overLink(host, bytes, () -> {});
     }
 
-    /** In order between two hosts; between others any. */
-    private void travels(String way, Runnable then) {
-        long due = Math.max(now + randomDelayNanos(), arrived.getOrDefault(way, 0L));
-        arrived.put(way, due);
+    /** Delays a message by a random time; the messages from one host to another keep their order. */
+    private void delay(String link, Runnable then) {
+        long due = Math.max(now + randomDelayNanos(), lastArrivalAt.getOrDefault(link, 0L));
+        lastArrivalAt.put(link, due);
         schedule(due - now, then);
     }
 
-    private void arrives(String way, String host, String from, byte[] bytes) {
+    private void arrive(String link, String host, String from, byte[] bytes) {
         schedule(0, () -> {
             SimMachine to = machines.get(host);
-            if (to != null && to.process != null && !cutLinks.contains(way)) {
+            if (to != null && to.process != null && !cutLinks.contains(link)) {
                 SimMachine.Process process = to.process;
-                process.deliver(() -> take(process, from, bytes));
+                process.deliver(() -> receive(process, from, bytes));
             }
         });
     }
 
-    private void take(SimMachine.Process process, String from, byte[] bytes) {
+    private void receive(SimMachine.Process process, String from, byte[] bytes) {
         try {
-            process.take(from, MessageCodec.decode(bytes));
+            process.receive(from, MessageCodec.decode(bytes));
         } catch (MalformedMessage e) {
-            violations.add("malformed, of " + from + ": " + e.getMessage());
+            violations.add("malformed message from " + from + ": " + e.getMessage());
         }
     }
 
-    private void chosen(ReplicatedState state) {
+    private void recordChosen(ReplicatedState state) {
         ReplicatedState before = chosenByVersion.putIfAbsent(state.version(), state);
         if (before != null && !before.equals(state)) {
             violations.add("version " + state.version() + " is both " + before + " and " + state);
@@ -284,14 +284,14 @@
         }
     }
 
-    /** Ids of the voters of the newest state told. */
+    /** The ids of the voters in the newest announced state. */
     List<String> voters() {
         return newestChosen == null
                 ? List.of()
                 : newestChosen.voters().stream().map(Voter::id).toList();
     }
 
-    /** Whether a change of voters is under way, by the newest state told. */
+    /** Whether a change of voters is in progress in the newest announced state. */
     boolean isJoint() {
         return newestChosen != null && newestChosen.isJoint();
     }
