--- a/net/src/main/java/saltdale/protocol/HostListUpdate.java
+++ b/net/src/main/java/saltdale/protocol/HostListUpdate.java
@@ -7,12 +7,25 @@
 public final class HostListUpdate {
     /** The state of one runner in the list. */
     public enum Health {
+        /** The runner accepts jobs. */
         UP,
+        /** The runner finishes its jobs and accepts no new ones. */
         DRAINING,
+        /** The runner is no longer part of the list. */
         REMOVED
     }
 
-    /** One runner; {@code startedUnixMillis} is its start time, 0 if it started long ago. */
+    /**
+     * An entry of the list.
+     *
+     * @param name the unique name of the runner
+     * @param address the numeric host and port that the runner listens on
+     * @param site the zone of the runner
+     * @param kind the machine class of the runner
+     * @param block the number of the cell that the runner belongs to
+     * @param share the capacity of the runner relative to an ordinary one
+     * @param startedUnixMillis the start time of the runner in Unix time, or 0 if it started long ago
+     */
     public record Host(
             String name,
             String address,
@@ -23,10 +36,12 @@
             double share,
             long startedUnixMillis) {}
 
+    /** The sequence number of the message. */
     public final long seq;
     /** Whether the message holds all runners. */
     public final boolean complete;
 
+    /** All runners, or those whose entries changed. */
     public final List<Host> hosts;
 
     private HostListUpdate(long seq, boolean complete, List<Host> hosts) {
--- a/net/src/main/java/saltdale/protocol/JobUpdate.java
+++ b/net/src/main/java/saltdale/protocol/JobUpdate.java
@@ -6,18 +6,26 @@
 public final class JobUpdate {
     /** The state of the job. */
     public enum State {
+        /** The runner has started to execute the job. */
         STARTED,
+        /** The job is being executed and has made progress. */
         RUNNING,
+        /** The job is complete; the update holds its result. */
         DONE,
+        /** The job ended with an error. */
         FAILED,
+        /** The runner hands the job back instead of completing it; this counts as a rejection by the runner. */
         RETURNED,
+        /** The runner has lost the job, which may have been executed in part. */
         LOST
     }
 
+    /** The identifier of the job. */
     public String jobId;
     /** The name of the runner that sent the update. */
     public String runner;
 
+    /** The state of the job when the update was sent. */
     public State state;
     /** The response body for the client; present if the job is done. */
     public byte[] result;
--- a/net/src/main/java/saltdale/serving/ServerConnection.java
+++ b/net/src/main/java/saltdale/serving/ServerConnection.java
@@ -15,8 +15,10 @@
 public final class ServerConnection implements Connection.Handler {
     /** Handles the requests of server connections and provides their settings. */
     public interface Handler {
+        /** Returns the event loop on which the connections run. */
         EventLoop loop();
 
+        /** Returns the budget that the connections are accepted from. */
         SocketBudget socketBudget();
 
         /**
--- a/net/src/main/java/saltdale/transport/Connection.java
+++ b/net/src/main/java/saltdale/transport/Connection.java
@@ -111,6 +111,7 @@
         }
     }
 
+    /** Returns whether the connection is connecting or connected, including while it closes gracefully. */
     public boolean isOpen() {
         return !closed;
     }
--- a/net/src/test/java/saltdale/transport/TransportTest.java
+++ b/net/src/test/java/saltdale/transport/TransportTest.java
@@ -96,7 +96,7 @@
             loop.schedule(Duration.ofMillis(20), () -> events.add("timer"));
             peer.write(bytes(10));
         }
-        for (long from = System.nanoTime(); System.nanoTime() - from < 300_000_000; ) {
+        for (long startNanos = System.nanoTime(); System.nanoTime() - startNanos < 300_000_000; ) {
             Thread.onSpinWait(); // stands in for a stopped process: the loop makes no progress
         }
         events.clear();
--- a/storage/src/main/java/saltdale/storage/StoreFile.java
+++ b/storage/src/main/java/saltdale/storage/StoreFile.java
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Reads and verifies the file. An unreadable disk causes an exception; otherwise {@link #isValid} tells whether the
-     * file is a valid copy.
+     * Reads and verifies the file; {@link #isValid} returns the result. An exception is thrown only if the file cannot
+     * be read at all, which says nothing about its contents.
      */
     void open() throws IOException {
         close();
@@ -77,7 +77,7 @@
             flaw = "missing";
             return;
         }
-        // An earlier process may have written data that it never synced.
+        // Data that an earlier process wrote but never synced must not be trusted before it is synced.
         try (FileChannel channel = file.open("rw")) {
             channel.force(true);
         }
--- a/storage/src/test/java/saltdale/storage/MapDbRecordStore.java
+++ b/storage/src/test/java/saltdale/storage/MapDbRecordStore.java
@@ -102,6 +102,7 @@
         }
     }
 
+    /** Creates volumes whose calls are recorded on the simulated disk. */
     private final class RecordingVolumeFactory extends VolumeFactory {
         @Override
         public Volume makeVolume(
@@ -127,12 +128,13 @@
         }
     }
 
+    /** Applies each change both to the simulated disk and to the real file. */
     private final class RecordingVolume extends Volume {
         private final Volume delegate;
         private final int file;
 
-        RecordingVolume(Volume real, int file) {
-            this.delegate = real;
+        RecordingVolume(Volume delegate, int file) {
+            this.delegate = delegate;
             this.file = file;
         }
 
@@ -184,20 +186,20 @@
         }
 
         @Override
-        public void putData(long position, byte[] from, int offset, int count) {
-            write(position, Arrays.copyOfRange(from, offset, offset + count));
+        public void putData(long position, byte[] source, int offset, int count) {
+            write(position, Arrays.copyOfRange(source, offset, offset + count));
         }
 
         @Override
-        public void putData(long position, ByteBuffer from) {
-            byte[] bytes = new byte[from.remaining()];
-            from.get(bytes);
+        public void putData(long position, ByteBuffer source) {
+            byte[] bytes = new byte[source.remaining()];
+            source.get(bytes);
             write(position, bytes);
         }
 
         @Override
-        public void clear(long from, long to) {
-            write(from, new byte[(int) (to - from)]);
+        public void clear(long start, long end) {
+            write(start, new byte[(int) (end - start)]);
         }
 
         @Override
@@ -221,8 +223,8 @@
         }
 
         @Override
-        public void getData(long position, byte[] to, int offset, int count) {
-            delegate.getData(position, to, offset, count);
+        public void getData(long position, byte[] target, int offset, int count) {
+            delegate.getData(position, target, offset, count);
         }
 
         @Override
--- a/storage/src/test/java/saltdale/storage/PowerCutRuns.java
+++ b/storage/src/test/java/saltdale/storage/PowerCutRuns.java
@@ -31,8 +31,11 @@
     /** How many disk images after a power cut were opened. */
     int imageCount;
 
+    /** How many power cuts were simulated. */
     int cutCount;
+    /** How often each kind of fault was found. */
     final Map<String, Integer> faults = new TreeMap<>();
+    /** Stack traces of the first faults that were caused by an exception. */
     final List<String> examples = new ArrayList<>();
 
     /** Whether disk calls also fail occasionally, and processes are killed during a write. */
@@ -44,18 +47,20 @@
 
     int failedWrites;
 
-    PowerCutRuns(StoreOpener opener, long seed, int bigRecord) {
+    PowerCutRuns(StoreOpener opener, long seed, int bigRecordBytes) {
         this.opener = opener;
         this.random = new Random(seed);
-        this.bigRecordBytes = bigRecord;
+        this.bigRecordBytes = bigRecordBytes;
     }
 
+    /** Returns the records in a form that can be compared with {@code equals}. */
     static Map<String, ByteBuffer> state(Map<String, byte[]> records) {
         Map<String, ByteBuffer> state = new HashMap<>();
         records.forEach((name, bytes) -> state.put(name, ByteBuffer.wrap(bytes)));
         return state;
     }
 
+    /** Returns the state after the changes were written. */
     static Map<String, ByteBuffer> withChanges(Map<String, ByteBuffer> state, Map<String, byte[]> changes) {
         Map<String, ByteBuffer> next = new HashMap<>(state);
         changes.forEach((name, bytes) -> {
@@ -68,12 +73,12 @@
         return next;
     }
 
-    static Map<String, byte[]> randomChanges(Random random, int bigRecord) {
+    static Map<String, byte[]> randomChanges(Random random, int bigRecordBytes) {
         Map<String, byte[]> changes = new LinkedHashMap<>();
         for (int i = random.nextInt(3); i >= 0; i--) {
             int choice = random.nextInt(20);
-            byte[] record =
-                    new byte[choice == 0 ? bigRecord : choice < 4 ? random.nextInt(20_000) : random.nextInt(2_000)];
+            byte[] record = new byte
+                    [choice == 0 ? bigRecordBytes : choice < 4 ? random.nextInt(20_000) : random.nextInt(2_000)];
             random.nextBytes(record);
             changes.put("record " + random.nextInt(12), choice == 19 ? null : record);
         }
@@ -159,6 +164,7 @@
         return false;
     }
 
+    /** Cuts the power after the calls to the disk and checks what the store reads in each case. */
     private void checkCuts(SimulatedDisk disk, List<ExpectedStates> expected, int mixes) {
         SimulatedDisk.Replay replay = disk.new Replay();
         while (true) {
@@ -242,7 +248,6 @@
 
     @Override
     public String toString() {
-        return cutCount + " power cuts, " + imageCount + " disk images, " + failedWrites + " failed writes, faults "
-                + faults;
+        return cutCount + " cuts, " + imageCount + " disk images, " + failedWrites + " failed writes, faults " + faults;
     }
 }
--- a/storage/src/test/java/saltdale/storage/RecordStoreTest.java
+++ b/storage/src/test/java/saltdale/storage/RecordStoreTest.java
@@ -119,12 +119,12 @@
         Random random = new Random(7);
         SimulatedDisk disk = new SimulatedDisk();
         Map<String, ByteBuffer> last = Map.of();
-        List<Map<String, ByteBuffer>> all = new ArrayList<>();
+        List<Map<String, ByteBuffer>> earlier = new ArrayList<>();
         try (RecordStore recordStore = PowerCutTest.open(disk)) {
             for (int i = 0; i < 30; i++) {
                 Map<String, byte[]> changes = PowerCutRuns.randomChanges(random, 20_000);
                 recordStore.write(changes);
-                all.add(last);
+                earlier.add(last);
                 last = PowerCutRuns.withChanges(last, changes);
             }
         }
@@ -137,9 +137,9 @@
             try (RecordStore recordStore = PowerCutTest.open(new SimulatedDisk(files))) {
                 Map<String, ByteBuffer> found = PowerCutRuns.state(recordStore.read());
                 if (both) {
-                    assertThat("damage " + i, found, anyOf(equalTo(last), in(all)));
+                    assertThat("damage " + i, found, anyOf(equalTo(last), in(earlier)));
                 } else {
-                    assertThat("damage " + i, found, anyOf(equalTo(last), equalTo(all.get(all.size() - 1))));
+                    assertThat("damage " + i, found, anyOf(equalTo(last), equalTo(earlier.get(earlier.size() - 1))));
                 }
             } catch (RecordStoreException e) {
                 assertThat("damage " + i + ": " + e.getCause(), both);
@@ -177,6 +177,7 @@
         assertThat(damagedNames, is(greaterThan(60)));
     }
 
+    /** Truncates the file, flips bits in it or overwrites a part of it. */
     private static byte[] damage(Random random, byte[] bytes) {
         switch (random.nextInt(4)) {
             case 0:
@@ -192,9 +193,9 @@
                 return flipped;
             default:
                 byte[] overwritten = bytes.clone();
-                int from = random.nextInt(bytes.length);
-                byte[] junk = randomBytes(random, Math.min(bytes.length - from, 1 + random.nextInt(20_000)));
-                System.arraycopy(junk, 0, overwritten, from, junk.length);
+                int start = random.nextInt(bytes.length);
+                byte[] garbage = randomBytes(random, Math.min(bytes.length - start, 1 + random.nextInt(20_000)));
+                System.arraycopy(garbage, 0, overwritten, start, garbage.length);
                 return overwritten;
         }
     }
--- a/storage/src/test/java/saltdale/storage/SimulatedDisk.java
+++ b/storage/src/test/java/saltdale/storage/SimulatedDisk.java
@@ -32,8 +32,11 @@
 
     /** What happens on a power loss to calls that no sync has covered. */
     enum UnsyncedCalls {
+        /** None of them takes effect. */
         LOST,
+        /** All of them take effect. */
         APPLIED,
+        /** Each one takes effect, is lost or is torn at random. */
         MIXED
     }
 
@@ -86,6 +89,7 @@
     /** Whether calls are recorded in {@link #calls}. */
     boolean recording = true;
 
+    /** How many syncs of files have succeeded. */
     int syncCount;
     /** The number of the first call that fails (a write fails after half of its bytes), or -1 for none. */
     int failingCall = -1;
--- a/storage/src/test/java/saltdale/storage/SimulatedDiskPath.java
+++ b/storage/src/test/java/saltdale/storage/SimulatedDiskPath.java
@@ -160,35 +160,35 @@
         }
 
         @Override
-        public int read(ByteBuffer to) {
-            int count = read(to, position);
+        public int read(ByteBuffer target) {
+            int count = read(target, position);
             position += Math.max(0, count);
             return count;
         }
 
         @Override
-        public int read(ByteBuffer to, long from) {
+        public int read(ByteBuffer target, long offset) {
             SimulatedDisk.Contents contents = disk.contents(file);
-            int count = (int) Math.min(to.remaining(), contents.length - from);
+            int count = (int) Math.min(target.remaining(), contents.length - offset);
             if (count <= 0) {
-                return to.hasRemaining() ? -1 : 0;
+                return target.hasRemaining() ? -1 : 0;
             }
-            to.put(contents.bytes, (int) from, count);
+            target.put(contents.bytes, (int) offset, count);
             return count;
         }
 
         @Override
-        public int write(ByteBuffer from) throws IOException {
-            int count = write(from, position);
+        public int write(ByteBuffer source) throws IOException {
+            int count = write(source, position);
             position += count;
             return count;
         }
 
         @Override
-        public int write(ByteBuffer from, long to) throws IOException {
-            byte[] bytes = new byte[from.remaining()];
-            from.get(bytes);
-            disk.write(file, to, bytes);
+        public int write(ByteBuffer source, long offset) throws IOException {
+            byte[] bytes = new byte[source.remaining()];
+            source.get(bytes);
+            disk.write(file, offset, bytes);
             return bytes.length;
         }
 
@@ -198,8 +198,8 @@
         }
 
         @Override
-        public FileChannel position(long to) {
-            position = to;
+        public FileChannel position(long newPosition) {
+            position = newPosition;
             return this;
         }
 
@@ -222,8 +222,8 @@
         }
 
         @Override
-        public FileLock tryLock(long from, long count, boolean shared) {
-            return new FileLock(this, from, count, shared) {
+        public FileLock tryLock(long start, long size, boolean shared) {
+            return new FileLock(this, start, size, shared) {
                 @Override
                 public boolean isValid() {
                     return true;
--- a/storage/src/test/java/saltdale/storage/SingleStoreRecordStore.java
+++ b/storage/src/test/java/saltdale/storage/SingleStoreRecordStore.java
@@ -81,7 +81,7 @@
                 throw new IOException("file is not a record store: " + file);
             }
             records = openRecords(store);
-            // An earlier process may have written data that it never synced.
+            // Data that an earlier process wrote but never synced must not be trusted before it is synced.
             store.sync();
         } catch (IOException | RuntimeException e) {
             throw failure("cannot open", e);
