--- a/storage/src/test/java/saltdale/storage/MapDbRecordStore.java
+++ b/storage/src/test/java/saltdale/storage/MapDbRecordStore.java
@@ -19,9 +19,9 @@
 import org.mapdb.volume.VolumeFactory;
 
 /**
- * A record store in MapDB with its log, as {@code DBMaker.fileDB(...).fileChannelEnable().transactionEnable()}
- * makes it, on
- * files whose every call is told to a {@link SimulatedDisk}; see {@link PowerCutTest} for what it loses.
+ * A record store in MapDB with its write-ahead log, as made by
+ * {@code DBMaker.fileDB(...).fileChannelEnable().transactionEnable()}, on files whose calls are recorded in a
+ * {@link SimulatedDisk}. {@link PowerCutTest} shows what it loses.
  */
 final class MapDbRecordStore implements RecordStore {
     private final Path folder;
@@ -35,8 +35,8 @@
         for (Map.Entry<String, byte[]> entry : disk.currentFiles().entrySet()) {
             Files.write(folder.resolve(entry.getKey()), entry.getValue());
         }
-        boolean made = !disk.exists("vault");
-        // As DBMaker calls it, with the checksum of the header.
+        boolean isNew = !disk.exists("vault");
+        // The same arguments as DBMaker passes, with the header checksum enabled.
         StoreWAL store = StoreWAL.make(
                 folder.resolve("vault").toString(),
                 new RecordingVolumeFactory(),
@@ -50,7 +50,7 @@
                 false,
                 true,
                 false);
-        db = new DB(store, !made, false, MapDbRecordStore.class.getClassLoader(), 0);
+        db = new DB(store, !isNew, false, MapDbRecordStore.class.getClassLoader(), 0);
         records =
                 db.treeMap("records", Serializer.STRING, Serializer.BYTE_ARRAY).createOrOpen();
         db.commit();
@@ -89,6 +89,7 @@
         folder.toFile().delete();
     }
 
+    /** Records on the simulated disk that MapDB has deleted files, which it does without a call to the volume. */
     private void recordDeletedFiles() {
         for (String name : disk.currentFiles().keySet()) {
             if (!Files.exists(folder.resolve(name))) {
@@ -101,6 +102,7 @@
         }
     }
 
+    /** Creates volumes whose calls are recorded on the simulated disk. */
     private final class RecordingVolumeFactory extends VolumeFactory {
         @Override
         public Volume makeVolume(
@@ -126,12 +128,13 @@
         }
     }
 
+    /** Applies each change both to the simulated disk and to the real file. */
     private final class RecordingVolume extends Volume {
         private final Volume delegate;
         private final int file;
 
-        RecordingVolume(Volume real, int file) {
-            this.delegate = real;
+        RecordingVolume(Volume delegate, int file) {
+            this.delegate = delegate;
             this.file = file;
         }
 
@@ -183,20 +186,20 @@
         }
 
         @Override
-        public void putData(long position, byte[] from, int offset, int count) {
-            write(position, Arrays.copyOfRange(from, offset, offset + count));
+        public void putData(long position, byte[] source, int offset, int count) {
+            write(position, Arrays.copyOfRange(source, offset, offset + count));
         }
 
         @Override
-        public void putData(long position, ByteBuffer from) {
-            byte[] bytes = new byte[from.remaining()];
-            from.get(bytes);
+        public void putData(long position, ByteBuffer source) {
+            byte[] bytes = new byte[source.remaining()];
+            source.get(bytes);
             write(position, bytes);
         }
 
         @Override
-        public void clear(long from, long to) {
-            write(from, new byte[(int) (to - from)]);
+        public void clear(long start, long end) {
+            write(start, new byte[(int) (end - start)]);
         }
 
         @Override
@@ -220,8 +223,8 @@
         }
 
         @Override
-        public void getData(long position, byte[] to, int offset, int count) {
-            delegate.getData(position, to, offset, count);
+        public void getData(long position, byte[] target, int offset, int count) {
+            delegate.getData(position, target, offset, count);
         }
 
         @Override
