--- a/control/src/main/java/saltdale/control/Acceptor.java
+++ b/control/src/main/java/saltdale/control/Acceptor.java
@@ -16,26 +16,31 @@
 import saltdale.control.message.BallotMessage.TextNeeded;
 
 /**
- * What a control node promised and accepted in ballots. Nothing is told of either before it is synced; what could not
- * be written is not told at all, and the ballot goes on without this control node.
+ * The acceptor of the consensus protocol: what this control node has promised and accepted. Replies are sent only after
+ * the vote has been synced to disk; if a write fails, no reply is sent, and the ballot goes on without
+ * this control node.
  */
 final class Acceptor {
-    static final String RECORD = "acceptor";
-    static final String TEXT = "text:";
+    static final String VOTE_RECORD = "acceptor";
+    static final String TEXT_RECORD_PREFIX = "text:";
 
     private final Environment environment;
     private final String id;
-    private final Map<String, byte[]> origin = new LinkedHashMap<>(); // records without which a vote is of no use
-    private Ballot promised = Ballot.NONE;
-    private Ballot accepted = Ballot.NONE;
-    private ReplicatedState state; // null until one was accepted
-    private final NavigableMap<Long, Long> firstAccepted = new TreeMap<>(); // by version, when; those unknown yet
-    private byte[] text; // of state.textKey; null where it names none
-    private String synced = ""; // the text that is on disk for certain; none while another's write may take it away
-    private String writing = ""; // the text of the newest write
-    private long changes; // of the text that is written
-    private final Set<String> written = new HashSet<>(); // those that may be
-    private final List<Runnable> unwritten = new ArrayList<>(); // replies that wait for the next write
+    private final Map<String, byte[]> initialRecords = new LinkedHashMap<>(); // records without which a vote is useless
+    private Ballot promisedBallot = Ballot.NONE;
+    private Ballot acceptedBallot = Ballot.NONE;
+    private ReplicatedState acceptedState; // null until a state has been accepted
+    /** The time of first acceptance, by version, of the versions not yet known to be chosen. */
+    private final NavigableMap<Long, Long> firstAcceptedAt = new TreeMap<>();
+
+    private byte[] acceptedText; // the text that the accepted state's textKey names; null if it names none
+    /** The key of the text that is certainly on disk; empty while a pending write may remove it. */
+    private String syncedTextKey = "";
+
+    private String writingTextKey = ""; // key of the text in the newest write
+    private long textGeneration; // counts the changes of the text to be written
+    private final Set<String> possibleTextKeys = new HashSet<>(); // keys of the texts that may be on disk
+    private final List<Runnable> pendingReplies = new ArrayList<>(); // replies to be sent after the next write
     private boolean diskBusy;
 
     Acceptor(Environment environment, String id) {
@@ -44,153 +49,170 @@
     }
 
     /**
-     * Records that go with each vote until one is synced: the id, and the first voters. Guards against a vote that is
-     * synced while their own write was refused: it would be lost with them.
+     * Adds records that are written with each vote until one write is synced: the node id and the initial voters.
+     * Without them a vote would be lost if it were synced after their own write had failed.
      */
     void writeWithNextVote(Map<String, byte[]> records) {
-        origin.putAll(records);
+        initialRecords.putAll(records);
     }
 
-    /** Takes over what was synced before. */
+    /** Restores the state that was synced before a restart. */
     void restore(Map<String, byte[]> records) throws MalformedMessage {
-        byte[] record = records.get(RECORD);
-        if (record == null) {
+        byte[] voteRecord = records.get(VOTE_RECORD);
+        if (voteRecord == null) {
             return;
         }
-        Fields from = new Fields(Trees.fromCbor(record));
-        promised = Ballot.of(from, "p");
-        accepted = Ballot.of(from, "a");
-        state = from.has("s") ? ReplicatedState.of(from.object("s")) : null;
-        if (state != null) {
-            firstAccepted.put(state.version(), Long.MIN_VALUE / 2); // before this life
+        Fields fields = new Fields(Trees.fromCbor(voteRecord));
+        promisedBallot = Ballot.of(fields, "p");
+        acceptedBallot = Ballot.of(fields, "a");
+        acceptedState = fields.has("s") ? ReplicatedState.of(fields.object("s")) : null;
+        if (acceptedState != null) {
+            firstAcceptedAt.put(acceptedState.version(), Long.MIN_VALUE / 2); // before this process started
         }
-        if (state != null && !state.textKey().isEmpty()) {
-            text = records.get(TEXT + state.textKey());
-            if (text == null) {
-                throw new MalformedMessage("the text " + state.textKey() + " is missing on disk");
+        if (acceptedState != null && !acceptedState.textKey().isEmpty()) {
+            acceptedText = records.get(TEXT_RECORD_PREFIX + acceptedState.textKey());
+            if (acceptedText == null) {
+                throw new MalformedMessage("the configuration text " + acceptedState.textKey() + " is missing on disk");
             }
-            synced = state.textKey();
-            writing = synced;
+            syncedTextKey = acceptedState.textKey();
+            writingTextKey = syncedTextKey;
         }
         records.keySet().stream()
-                .filter(name -> name.startsWith(TEXT))
-                .forEach(name -> written.add(name.substring(TEXT.length())));
+                .filter(name -> name.startsWith(TEXT_RECORD_PREFIX))
+                .forEach(name -> possibleTextKeys.add(name.substring(TEXT_RECORD_PREFIX.length())));
     }
 
+    /** The state accepted last; {@code null} if there is none. */
     ReplicatedState acceptedState() {
-        return state;
+        return acceptedState;
     }
 
-    /** The version of the state accepted last; -1 where none was. */
+    /** The version of the state accepted last; -1 if there is none. */
     long acceptedVersion() {
-        return state == null ? -1 : state.version();
+        return acceptedState == null ? -1 : acceptedState.version();
     }
 
-    /** When a state of a version above that was first accepted; what was accepted of it and below is forgotten. */
-    long undecidedSince(long known) {
-        firstAccepted.headMap(known, true).clear();
-        return firstAccepted.values().stream().min(Long::compare).orElse(Long.MAX_VALUE);
+    /**
+     * When a state of a version above {@code chosenVersion} was first accepted; {@link Long#MAX_VALUE} if there is
+     * none. Forgets the times of that version and of older ones.
+     */
+    long undecidedSince(long chosenVersion) {
+        firstAcceptedAt.headMap(chosenVersion, true).clear();
+        return firstAcceptedAt.values().stream().min(Long::compare).orElse(Long.MAX_VALUE);
     }
 
+    /** The configuration text of the accepted state; {@code null} if it names none. */
     byte[] acceptedText() {
-        return text;
+        return acceptedText;
     }
 
+    /** The highest ballot promised so far. */
     Ballot promisedBallot() {
-        return promised;
+        return promisedBallot;
     }
 
-    /** Answers a ballot's first question, once what it promises is synced. */
-    void prepare(Ballot ballot, String knownKey, Consumer<Reply> reply) {
-        if (ballot.compareTo(promised) < 0) {
-            reply.accept(new Refusal(id, ballot, promised));
+    /** Answers the prepare request of a ballot, once the promise is synced. */
+    void prepare(Ballot ballot, String knownTextKey, Consumer<Reply> reply) {
+        if (ballot.compareTo(promisedBallot) < 0) {
+            reply.accept(new Refusal(id, ballot, promisedBallot));
             return;
         }
-        promised = ballot;
-        Ballot of = accepted;
-        ReplicatedState told = state;
-        byte[] toldText = told == null || told.textKey().equals(knownKey) ? null : text;
-        persist(() -> reply.accept(new Promise(id, ballot, of, told, toldText)));
+        promisedBallot = ballot;
+        Ballot previousBallot = acceptedBallot;
+        ReplicatedState previousState = acceptedState;
+        byte[] previousText =
+                previousState == null || previousState.textKey().equals(knownTextKey) ? null : acceptedText;
+        persist(() -> reply.accept(new Promise(id, ballot, previousBallot, previousState, previousText)));
     }
 
     /**
-     * Accepts what a ballot puts forward, unless another was promised; {@code newText} is null where we may have
-     * it.
+     * Accepts the state that a ballot proposes, unless a later ballot was promised. {@code newText} is {@code null} if
+     * this acceptor may already have the text.
      */
-    void accept(Ballot ballot, ReplicatedState next, byte[] newText, Consumer<Reply> reply) {
-        if (ballot.compareTo(promised) < 0) {
-            reply.accept(new Refusal(id, ballot, promised));
+    void accept(Ballot ballot, ReplicatedState proposed, byte[] newText, Consumer<Reply> reply) {
+        if (ballot.compareTo(promisedBallot) < 0) {
+            reply.accept(new Refusal(id, ballot, promisedBallot));
             return;
         }
-        boolean have =
-                next.textKey().isEmpty() || state != null && next.textKey().equals(state.textKey());
-        if (!have && newText == null) {
+        boolean hasText = proposed.textKey().isEmpty()
+                || acceptedState != null && proposed.textKey().equals(acceptedState.textKey());
+        if (!hasText && newText == null) {
             reply.accept(new TextNeeded(id, ballot));
             return;
         }
-        promised = ballot;
-        accepted = ballot;
-        text = next.textKey().isEmpty() ? null : have ? text : newText;
-        firstAccepted.tailMap(next.version(), false).clear(); // a later ballot found that these were not chosen
-        firstAccepted.putIfAbsent(next.version(), environment.now());
-        state = next;
+        promisedBallot = ballot;
+        acceptedBallot = ballot;
+        acceptedText = proposed.textKey().isEmpty() ? null : hasText ? acceptedText : newText;
+        firstAcceptedAt.tailMap(proposed.version(), false).clear(); // a later ballot found that these were not chosen
+        firstAcceptedAt.putIfAbsent(proposed.version(), environment.now());
+        acceptedState = proposed;
         persist(() -> reply.accept(new Accepted(id, ballot)));
     }
 
     /**
-     * Has what is promised and accepted written; {@code onSynced} runs once that outlasts a loss of power, else
-     * never.
+     * Writes the promised ballot and the accepted state to disk. {@code onSynced} runs once they would survive a power
+     * failure, and never if the write fails.
      */
     private void persist(Runnable onSynced) {
-        unwritten.add(onSynced);
+        pendingReplies.add(onSynced);
         if (!diskBusy) {
             write();
         }
     }
 
-    /** One write for all that came while the last one was under way: a slow disk holds up no queue of ballots. */
+    /**
+     * Writes everything that arrived during the previous write at once, so that ballots do not queue up behind
+     * a slow disk.
+     */
     private void write() {
         diskBusy = true;
-        List<Runnable> replies = List.copyOf(unwritten);
-        unwritten.clear();
-        String key = state == null ? "" : state.textKey();
-        Map<String, byte[]> records = records(key);
-        long of = changes;
-        environment.persist(records, whole -> {
-            if (whole && of == changes) {
-                synced = key;
-                written.removeIf(each -> !each.equals(key));
+        List<Runnable> replies = List.copyOf(pendingReplies);
+        pendingReplies.clear();
+        String key = acceptedState == null ? "" : acceptedState.textKey();
+        Map<String, byte[]> records = recordsToWrite(key);
+        long generation = textGeneration;
+        environment.persist(records, succeeded -> {
+            if (succeeded && generation == textGeneration) {
+                syncedTextKey = key;
+                possibleTextKeys.removeIf(textKey -> !textKey.equals(key));
             }
-            if (whole) {
-                origin.clear(); // they are on disk now
+            if (succeeded) {
+                initialRecords.clear(); // they are on disk now
                 replies.forEach(Runnable::run);
             }
             diskBusy = false;
-            if (!unwritten.isEmpty()) {
+            if (!pendingReplies.isEmpty()) {
                 write();
             }
         });
     }
 
-    private Map<String, byte[]> records(String key) {
+    private Map<String, byte[]> recordsToWrite(String key) {
         Map<String, byte[]> records = new LinkedHashMap<>();
-        records.putAll(origin);
+        records.putAll(initialRecords);
         records.put(
-                RECORD,
+                VOTE_RECORD,
                 Trees.toCbor(Fields.tree(
-                        "p", promised.tree(), "a", accepted.tree(), "s", state == null ? null : state.tree())));
-        if (!key.equals(writing)) {
-            writing = key;
-            synced = "";
-            changes++;
+                        "p",
+                        promisedBallot.tree(),
+                        "a",
+                        acceptedBallot.tree(),
+                        "s",
+                        acceptedState == null ? null : acceptedState.tree())));
+        if (!key.equals(writingTextKey)) {
+            writingTextKey = key;
+            syncedTextKey = "";
+            textGeneration++;
         }
-        // Guards against a text whose own write failed while a later one goes through: it goes along until one is
-        // synced.
-        if (!key.isEmpty() && !key.equals(synced)) {
-            records.put(TEXT + key, text);
-            written.add(key);
+        // The write of a text may fail while a later write succeeds, so the text is included in each write until
+        // one is synced.
+        if (!key.isEmpty() && !key.equals(syncedTextKey)) {
+            records.put(TEXT_RECORD_PREFIX + key, acceptedText);
+            possibleTextKeys.add(key);
         }
-        written.stream().filter(each -> !each.equals(key)).forEach(each -> records.put(TEXT + each, null));
+        possibleTextKeys.stream()
+                .filter(textKey -> !textKey.equals(key))
+                .forEach(textKey -> records.put(TEXT_RECORD_PREFIX + textKey, null));
         return records;
     }
 }
--- a/control/src/main/java/saltdale/control/Ballot.java
+++ b/control/src/main/java/saltdale/control/Ballot.java
@@ -2,8 +2,12 @@
 
 import java.util.List;
 
-/** The number of a ballot: no two processes, and no two lives of one, ever use the same. */
+/**
+ * A ballot number. The incarnation identifies one run of a process, so no two processes, and no two runs of one
+ * process, ever use the same number.
+ */
 public record Ballot(long round, String incarnation) implements Comparable<Ballot> {
+    /** Lower than every ballot number in use. */
     public static final Ballot NONE = new Ballot(0, "");
 
     @Override
@@ -11,6 +15,7 @@
         return round != other.round ? Long.compare(round, other.round) : incarnation.compareTo(other.incarnation);
     }
 
+    /** The ballot number as a tree for {@link Trees}. */
     public List<Object> tree() {
         return List.of(round, incarnation);
     }
@@ -19,13 +24,14 @@
         return of(fields.list(name));
     }
 
+    /** Reads a ballot number from a tree. */
     public static Ballot of(Object tree) throws MalformedMessage {
         if (tree instanceof List<?> list
                 && list.size() == 2
                 && list.get(0) instanceof Long round
-                && list.get(1) instanceof String life) {
-            return new Ballot(round, life);
+                && list.get(1) instanceof String incarnation) {
+            return new Ballot(round, incarnation);
         }
-        throw new MalformedMessage("is no ballot");
+        throw new MalformedMessage("not a ballot number");
     }
 }
--- a/control/src/main/java/saltdale/control/ConfigurationCodec.java
+++ b/control/src/main/java/saltdale/control/ConfigurationCodec.java
@@ -7,40 +7,48 @@
 import java.util.List;
 import java.util.Map;
 
-/** What operators send, as text: read, amended by named items, written. Items keep all fields that they came with. */
+/**
+ * Reads, amends and writes the configuration text that operators send. Items keep all the fields that they came with,
+ * known or not.
+ */
 final class ConfigurationCodec {
     private static final int TEXT_DIGEST_BYTES = 12;
 
     private ConfigurationCodec() {}
 
+    /** Parses a configuration. */
     static Map<String, Object> read(byte[] text) throws InvalidConfiguration {
         try {
             Map<String, Object> tree = Trees.fromJson(text);
-            tree.replaceAll((name, value) -> whole(value));
+            tree.replaceAll((name, value) -> normalizeNumbers(value));
             return tree;
         } catch (MalformedMessage e) {
-            throw new InvalidConfiguration("not whole JSON: " + e.getMessage());
+            throw new InvalidConfiguration("not a complete JSON document: " + e.getMessage());
         }
     }
 
-    /** Numbers without a fraction become whole ones, whatever the reader made of them; in place. */
+    /**
+     * Converts floating-point numbers without a fraction to integers, in place, whatever type the JSON parser
+     * chose for them.
+     */
     @SuppressWarnings("unchecked")
-    private static Object whole(Object tree) {
+    private static Object normalizeNumbers(Object tree) {
         if (tree instanceof Map<?, ?> map) {
-            ((Map<String, Object>) map).replaceAll((name, value) -> whole(value));
+            ((Map<String, Object>) map).replaceAll((name, value) -> normalizeNumbers(value));
         } else if (tree instanceof List<?> list) {
-            ((List<Object>) list).replaceAll(ConfigurationCodec::whole);
+            ((List<Object>) list).replaceAll(ConfigurationCodec::normalizeNumbers);
         } else if (tree instanceof Double value) {
             return value == Math.rint(value) && Math.abs(value) < 1e15 ? (Object) value.longValue() : (Object) value;
         }
         return tree;
     }
 
+    /** Writes a configuration as JSON. */
     static byte[] write(Map<String, Object> tree) {
         return Trees.toJson(tree);
     }
 
-    /** The configuration with items set and removed by name, and a new revision. */
+    /** Applies an amendment: sets and removes items by name, and sets the new revision. */
     static Map<String, Object> amend(Map<String, Object> present, Fields change) throws InvalidConfiguration {
         Map<String, Object> next = new LinkedHashMap<>(present);
         try {
@@ -77,20 +85,20 @@
         items.add(item.map());
     }
 
-    /** Names a text by what it holds. */
+    /** A digest that identifies a text. */
     static String textDigest(byte[] text) {
         return HexFormat.of().formatHex(digest(text), 0, TEXT_DIGEST_BYTES);
     }
 
-    /** A digest of these parts, told apart from one another. */
+    /** A digest of these parts, including the boundaries between them. */
     static byte[] digest(byte[]... parts) {
         try {
-            MessageDigest sha = MessageDigest.getInstance("SHA-256");
+            MessageDigest sha256 = MessageDigest.getInstance("SHA-256");
             for (byte[] part : parts) {
-                sha.update(part);
-                sha.update((byte) 0);
+                sha256.update(part);
+                sha256.update((byte) 0);
             }
-            return sha.digest();
+            return sha256.digest();
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e);
         }
--- a/control/src/main/java/saltdale/control/ConfigurationHistory.java
+++ b/control/src/main/java/saltdale/control/ConfigurationHistory.java
@@ -5,65 +5,81 @@
 import java.util.Map;
 
 /**
- * The newest configuration and those shortly before it, so that a proxy is told what changed since the one that it has.
- * A snapshot serves who has none of them; it is made anew only when too much has changed since the last one.
+ * The newest configuration and the ones shortly before it, so that a proxy can be sent the changes since the one that
+ * it has. A proxy that has none of them fetches a snapshot, which is rebuilt only when too much has changed since the
+ * last one.
  */
 final class ConfigurationHistory {
-    private static final int MOST_TREES = 64;
-    private static final int MOST_SNAPSHOTS = 2; // one that is being fetched, and the next
-    /** A change of more than this share of a configuration is told as a snapshot, which is compressed. */
-    private static final int LARGEST_SHARE = 8;
+    private static final int MAX_TREES = 64;
+    private static final int MAX_SNAPSHOTS = 2; // the one being fetched, and the next one
+    /**
+     * A change is replaced by a snapshot, which is compressed, if its size times this exceeds that
+     * of the configuration.
+     */
+    private static final int CHANGE_SIZE_FACTOR = 8;
 
     private final Map<Long, ConfigurationTree> trees = new LinkedHashMap<>(); // by revision
-    private final Map<Long, Map<String, Object>> changes = new HashMap<>(); // to the newest, by their base
+    /** The changes to the newest configuration, by base revision. */
+    private final Map<Long, Map<String, Object>> changes = new HashMap<>();
+
     private final Map<String, ConfigurationSnapshot> snapshots = new LinkedHashMap<>(); // by digest
     private ConfigurationTree newest;
-    private ConfigurationSnapshot latest;
+    private ConfigurationSnapshot latestSnapshot;
 
-    /** Takes the next configuration; items that did not change are kept once for all. */
+    /** Adds the next configuration; unchanged items are shared with the previous one. */
     void add(ConfigurationTree next) throws MalformedMessage {
-        ConfigurationTree sharing = newest == null ? next : newest.withChange(newest.changeTo(next));
-        newest = sharing.digest().equals(next.digest()) ? sharing : next;
+        ConfigurationTree shared = newest == null ? next : newest.withChange(newest.changeTo(next));
+        newest = shared.digest().equals(next.digest()) ? shared : next;
         changes.clear();
         trees.put(newest.revision(), newest);
-        removeOldest(trees, MOST_TREES);
+        removeOldest(trees, MAX_TREES);
     }
 
-    /** Null where there is none yet. */
+    /** The newest configuration; {@code null} if there is none yet. */
     ConfigurationTree newest() {
         return newest;
     }
 
-    /** The change from a base to the newest; null where the base is not known here, or too much has changed. */
+    /**
+     * The change from a base to the newest configuration; {@code null} if the base is not known here, or too
+     * much has changed.
+     */
     Map<String, Object> changeSince(long revision, String digest) {
         ConfigurationTree base = trees.get(revision);
         if (base == null || !base.digest().equals(digest)) {
             return null;
         }
         Map<String, Object> change = changes.computeIfAbsent(revision, r -> base.changeTo(newest));
-        return ConfigurationTree.sizeOf(change) * LARGEST_SHARE > newest.size() && newest.size() > LARGEST_SHARE * 4
+        return ConfigurationTree.changeSize(change) * CHANGE_SIZE_FACTOR > newest.size()
+                        && newest.size() > CHANGE_SIZE_FACTOR * 4
                 ? null
                 : change;
     }
 
-    /** The snapshot with this digest while it is kept, else one from which a change leads to the newest. */
+    /**
+     * The snapshot with this digest if it is still kept, or else one from which a change leads to
+     * the newest configuration.
+     */
     ConfigurationSnapshot snapshot(String digest) {
-        ConfigurationSnapshot asked = snapshots.get(digest);
-        if (asked != null) {
-            return asked;
+        ConfigurationSnapshot requested = snapshots.get(digest);
+        if (requested != null) {
+            return requested;
         }
-        boolean leads = latest != null
-                && changeSince(latest.tree().revision(), latest.tree().digest()) != null;
-        if (!leads) {
-            latest = ConfigurationSnapshot.of(newest);
-            snapshots.put(latest.digest(), latest);
-            removeOldest(snapshots, MOST_SNAPSHOTS);
+        boolean leadsToNewest = latestSnapshot != null
+                && changeSince(
+                                latestSnapshot.tree().revision(),
+                                latestSnapshot.tree().digest())
+                        != null;
+        if (!leadsToNewest) {
+            latestSnapshot = ConfigurationSnapshot.of(newest);
+            snapshots.put(latestSnapshot.digest(), latestSnapshot);
+            removeOldest(snapshots, MAX_SNAPSHOTS);
         }
-        return latest;
+        return latestSnapshot;
     }
 
-    private static void removeOldest(Map<?, ?> map, int most) {
-        if (map.size() > most) {
+    private static void removeOldest(Map<?, ?> map, int maxEntries) {
+        if (map.size() > maxEntries) {
             map.remove(map.keySet().iterator().next());
         }
     }
--- a/control/src/main/java/saltdale/control/ConfigurationService.java
+++ b/control/src/main/java/saltdale/control/ConfigurationService.java
@@ -3,29 +3,31 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Consumer;
 
-/** The operators' configuration: changes by agreement, reads of the newest version, and the one in force here. */
+/**
+ * The operators' configuration: changes it by consensus, reads the newest version, and holds the version in force here.
+ */
 class ConfigurationService {
-    /** Makes the service of a control node. */
+    /** Creates the service of a control node; tests supply faulty variants. */
     interface Factory {
         ConfigurationService create(
                 Environment environment, ControlNodeSettings settings, ReplicatedRegister register, PeerContacts peers);
     }
 
-    /** An answer to an operator; {@code body} is null where it has none. */
+    /** The response to an operator's request; {@code body} is {@code null} if there is none. */
     record Reply(int status, String reason, byte[] body) {}
 
-    private static final byte[] EMPTY =
+    private static final byte[] EMPTY_CONFIGURATION =
             "{\"revision\":0,\"routes\":[],\"services\":[]}".getBytes(StandardCharsets.UTF_8);
-    private static final Reply TAKEN = new Reply(200, "taken", null);
-    private static final Reply UNSETTLED = new Reply(503, "no majority of the core answered in time", null);
+    private static final Reply APPLIED = new Reply(200, "taken", null);
+    private static final Reply NO_MAJORITY = new Reply(503, "no majority of the control nodes answered in time", null);
 
     private final Environment environment;
     private final ControlNodeSettings settings;
     private final ReplicatedRegister register;
     private final PeerContacts peers;
     private final ConfigurationHistory history = new ConfigurationHistory();
-    private ConfigurationVersion current; // the newest known to be chosen
-    private ConfigurationVersion proposed; // what the last order here came to, which may be chosen next
+    private ConfigurationVersion current; // the newest version known to be chosen
+    private ConfigurationVersion proposed; // the result of the last update proposed here, which may be chosen next
 
     ConfigurationService(
             Environment environment, ControlNodeSettings settings, ReplicatedRegister register, PeerContacts peers) {
@@ -35,23 +37,23 @@
         this.peers = peers;
     }
 
-    /** The newest configuration known to be chosen; null where there is none yet. */
+    /** The newest configuration known to be chosen; {@code null} if there is none yet. */
     Configuration current() {
         return current == null ? null : current.configuration();
     }
 
-    /** The newest configuration and those before it, as they are told to proxies. */
+    /** The newest configuration and the ones before it, for updates to proxies. */
     ConfigurationHistory history() {
         return history;
     }
 
-    /** A newer state was chosen. */
+    /** Called when a newer state was chosen. */
     void onChosen(ReplicatedState state, byte[] text) {
         if (text == null || current != null && state.revision() <= current.revision()) {
             return;
         }
         try {
-            current = version(state.textKey(), text);
+            current = versionFor(state.textKey(), text);
             history.add(ConfigurationTree.of(current.tree()));
         } catch (InvalidConfiguration | MalformedMessage e) {
             environment.check(
@@ -59,8 +61,8 @@
         }
     }
 
-    /** The version with this key; its text is read only where that was not done before. */
-    private ConfigurationVersion version(String key, byte[] text) throws InvalidConfiguration {
+    /** The version with this key; its text is parsed only if it is not at hand already. */
+    private ConfigurationVersion versionFor(String key, byte[] text) throws InvalidConfiguration {
         if (current != null && current.key().equals(key)) {
             return current;
         } else if (proposed != null && proposed.key().equals(key)) {
@@ -69,83 +71,89 @@
         return ConfigurationVersion.read(key, text);
     }
 
-    /** Replaces the whole configuration, or amends it; {@code basedOn} is the version that the change builds on. */
-    void change(boolean amends, String basedOn, byte[] body, Consumer<Reply> answer) {
-        long base;
+    /** Replaces the whole configuration, or amends it; {@code basedOn} is the revision that the change is based on. */
+    void change(boolean isAmendment, String basedOn, byte[] body, Consumer<Reply> answer) {
+        long baseRevision;
         try {
-            base = Long.parseLong(basedOn == null ? "" : basedOn.strip());
+            baseRevision = Long.parseLong(basedOn == null ? "" : basedOn.strip());
         } catch (NumberFormatException e) {
-            base = -1;
+            baseRevision = -1;
         }
-        if (base < 0) {
-            answer.accept(new Reply(400, "X-Saltdale-Based-On-Version is missing or no number", null));
+        if (baseRevision < 0) {
+            answer.accept(new Reply(400, "X-Saltdale-Based-On-Version is missing or not a number", null));
         } else {
-            ConfigurationUpdate order = new ConfigurationUpdate(amends, base, body);
-            propose(order, reply -> answer.accept(checked(order, reply)));
+            ConfigurationUpdate update = new ConfigurationUpdate(isAmendment, baseRevision, body);
+            propose(update, reply -> answer.accept(checkAcknowledged(update, reply)));
         }
     }
 
-    void propose(ConfigurationUpdate order, Consumer<Reply> answer) {
+    /**
+     * Proposes an update; the answer follows once it is known to be applied or rejected, or the time limit has passed.
+     */
+    void propose(ConfigurationUpdate update, Consumer<Reply> answer) {
         register.propose(
-                (newest, text) -> applyUpdate(order, newest, text),
+                (newest, text) -> applyUpdate(update, newest, text),
                 timeLimit(),
-                reply -> answer.accept(reply == null ? UNSETTLED : (Reply) reply));
+                reply -> answer.accept(reply == null ? NO_MAJORITY : (Reply) reply));
     }
 
-    private Reply checked(ConfigurationUpdate order, Reply reply) {
+    /** Checks that an update that is reported as applied is part of the newest chosen state. */
+    private Reply checkAcknowledged(ConfigurationUpdate update, Reply reply) {
         ReplicatedState chosen = register.chosen();
-        boolean holdsIt = chosen != null
-                && chosen.recentChanges().find(order.baseRevision(), order.digest())
+        boolean isRecorded = chosen != null
+                && chosen.recentChanges().find(update.baseRevision(), update.digest())
                         == RecentChanges.LookupResult.APPLIED;
         environment.check(
                 Invariant.ACKNOWLEDGED_IS_CHOSEN,
-                reply.status() != TAKEN.status() || holdsIt,
-                () -> "the order on " + order.baseRevision() + ", the newest state known to be chosen is " + chosen);
+                reply.status() != APPLIED.status() || isRecorded,
+                () -> "update based on revision " + update.baseRevision() + ", newest state known to be chosen: "
+                        + chosen);
         return reply;
     }
 
     /**
-     * What an order comes to on top of this state. Whether it was taken before is looked up first: no later check, of
-     * its base or its content, may refuse an order that was taken. The proposer gives the answer once the state is
-     * known to be chosen, so that a refusal holds for good.
+     * Applies an update to a state. Whether the update was applied before is looked up first: no later check, of its
+     * base revision or its content, may reject an update that was applied. The proposer answers only once the state is
+     * known to be chosen, so that a rejection is final.
      */
-    Proposer.ChangeResult applyUpdate(ConfigurationUpdate order, ReplicatedState newest, byte[] text) {
-        RecentChanges.LookupResult finding = newest.recentChanges().find(order.baseRevision(), order.digest());
-        if (finding == RecentChanges.LookupResult.APPLIED) {
-            return Proposer.ChangeResult.unchanged(TAKEN);
-        } else if (finding == RecentChanges.LookupResult.FORGOTTEN) {
+    Proposer.ChangeResult applyUpdate(ConfigurationUpdate update, ReplicatedState newest, byte[] text) {
+        RecentChanges.LookupResult lookup = newest.recentChanges().find(update.baseRevision(), update.digest());
+        if (lookup == RecentChanges.LookupResult.APPLIED) {
+            return Proposer.ChangeResult.unchanged(APPLIED);
+        } else if (lookup == RecentChanges.LookupResult.FORGOTTEN) {
             return Proposer.ChangeResult.unchanged(new Reply(
                     503,
-                    "orders are remembered from revision "
-                            + newest.recentChanges().coveredFrom() + " on",
+                    "updates are only remembered if they are based on revision "
+                            + newest.recentChanges().coveredFrom() + " or later",
                     null));
-        } else if (order.baseRevision() != newest.revision()) {
+        } else if (update.baseRevision() != newest.revision()) {
             return Proposer.ChangeResult.unchanged(
-                    new Reply(412, "revision " + newest.revision() + " is in place", null));
+                    new Reply(412, "revision " + newest.revision() + " is in force", null));
         }
         try {
             ConfigurationVersion next =
-                    order.applyTo(order.isAmendment() && text != null ? version(newest.textKey(), text) : null);
+                    update.applyTo(update.isAmendment() && text != null ? versionFor(newest.textKey(), text) : null);
             if (next.revision() <= newest.revision()) {
-                throw new InvalidConfiguration("revision is not above " + newest.revision());
+                throw new InvalidConfiguration("revision must be above " + newest.revision());
             }
             proposed = next;
             return new Proposer.ChangeResult(
-                    newest.withConfiguration(next.revision(), next.key(), order.digest()), next.text(), TAKEN);
+                    newest.withConfiguration(next.revision(), next.key(), update.digest()), next.text(), APPLIED);
         } catch (InvalidConfiguration e) {
             return Proposer.ChangeResult.unchanged(new Reply(400, e.getMessage(), null));
         }
     }
 
-    /** Tells the newest configuration, as a majority knows it. */
+    /** Reads the newest configuration, as confirmed by a majority. */
     void read(Consumer<Reply> answer) {
         register.propose(
-                (newest, text) -> Proposer.ChangeResult.unchanged(new Reply(200, "", text == null ? EMPTY : text)),
+                (newest, text) ->
+                        Proposer.ChangeResult.unchanged(new Reply(200, "", text == null ? EMPTY_CONFIGURATION : text)),
                 timeLimit(),
-                reply -> answer.accept(reply == null ? UNSETTLED : (Reply) reply));
+                reply -> answer.accept(reply == null ? NO_MAJORITY : (Reply) reply));
     }
 
-    /** Who has no majority says so soon, so that the caller goes to another. */
+    /** The time limit of a ballot. A node without a majority answers early, so that the caller turns to another one. */
     private long timeLimit() {
         return peers.hasQuorum() ? settings.acknowledgeTimeoutNanos() * 3 / 5 : settings.acknowledgeTimeoutNanos() / 5;
     }
--- a/control/src/main/java/saltdale/control/ConfigurationSnapshot.java
+++ b/control/src/main/java/saltdale/control/ConfigurationSnapshot.java
@@ -5,21 +5,24 @@
 import java.util.zip.Deflater;
 import java.util.zip.Inflater;
 
-/** A whole configuration, compressed, as a proxy without a base fetches it part by part; the digest is of its bytes. */
+/**
+ * A whole configuration, compressed, which a proxy without a known base fetches part by part; the digest is that of the
+ * compressed bytes.
+ */
 public record ConfigurationSnapshot(ConfigurationTree tree, String digest, byte[] bytes) {
-    /** So many bytes a configuration may have, unpacked. */
+    /** The largest size of an uncompressed configuration, in bytes. */
     public static final int MAX_UNPACKED_BYTES = 64 << 20;
 
-    private static final int BLOCK = 16_384;
+    private static final int BLOCK_BYTES = 16_384;
 
-    /** Packs a configuration. */
+    /** Compresses a configuration. */
     public static ConfigurationSnapshot of(ConfigurationTree tree) {
         Deflater deflater = new Deflater();
         try {
             deflater.setInput(Trees.toCbor(tree.toMap()));
             deflater.finish();
-            ByteArrayOutputStream out = new ByteArrayOutputStream(BLOCK);
-            byte[] block = new byte[BLOCK];
+            ByteArrayOutputStream out = new ByteArrayOutputStream(BLOCK_BYTES);
+            byte[] block = new byte[BLOCK_BYTES];
             while (!deflater.finished()) {
                 out.write(block, 0, deflater.deflate(block));
             }
@@ -30,20 +33,20 @@
         }
     }
 
-    /** Unpacks a configuration, after a check of the digest. */
+    /** Decompresses a configuration, after checking the digest. */
     public static ConfigurationTree read(byte[] bytes, String digest) throws MalformedMessage {
         if (!ConfigurationCodec.textDigest(bytes).equals(digest)) {
-            throw new MalformedMessage("configuration snapshot: the digest differs");
+            throw new MalformedMessage("configuration snapshot: digest mismatch");
         }
         Inflater inflater = new Inflater();
         try {
             inflater.setInput(bytes);
             ByteArrayOutputStream out = new ByteArrayOutputStream(bytes.length * 8);
-            byte[] block = new byte[BLOCK];
+            byte[] block = new byte[BLOCK_BYTES];
             while (!inflater.finished()) {
                 int count = inflater.inflate(block);
                 if (count == 0 && !inflater.finished() || out.size() + count > MAX_UNPACKED_BYTES) {
-                    throw new MalformedMessage("configuration snapshot: cut short or too large");
+                    throw new MalformedMessage("configuration snapshot: truncated or too large");
                 }
                 out.write(block, 0, count);
             }
--- a/control/src/main/java/saltdale/control/ConfigurationTree.java
+++ b/control/src/main/java/saltdale/control/ConfigurationTree.java
@@ -8,9 +8,9 @@
 import java.util.Objects;
 
 /**
- * A configuration as fields and lists of named items. Two of them differ by a change, a tree that holds no more than
- * the fields and items that differ; both ends of a change check the digest of what comes out. Immutable; what did not
- * change is shared.
+ * A configuration as fields and lists of named items. The difference of two configurations is a change: a tree that
+ * holds only the fields and items that differ. Sender and receiver of a change both check the digest of the result.
+ * Immutable; unchanged parts are shared.
  */
 public final class ConfigurationTree {
     private static final String SET = "set"; // fields, by name
@@ -18,8 +18,8 @@
     private static final String ITEMS = "items"; // new and changed items, by list
     private static final String REMOVED = "removed"; // names of items, by list
 
-    private final Map<String, Object> fields; // all that is no list of named items
-    private final Map<String, Map<String, Object>> lists; // items by the name of the list and their own
+    private final Map<String, Object> fields; // everything that is not a list of named items
+    private final Map<String, Map<String, Object>> lists; // items by list name and item name
     private final SetDigest digest;
 
     private ConfigurationTree(Map<String, Object> fields, Map<String, Map<String, Object>> lists, SetDigest digest) {
@@ -28,29 +28,29 @@
         this.digest = digest;
     }
 
-    /** Takes a configuration apart. */
-    public static ConfigurationTree of(Map<String, Object> whole) {
+    /** Splits a configuration into fields and items. */
+    public static ConfigurationTree of(Map<String, Object> configuration) {
         Map<String, Object> fields = new LinkedHashMap<>();
         Map<String, Map<String, Object>> lists = new LinkedHashMap<>();
         SetDigest digest = SetDigest.EMPTY;
-        for (Map.Entry<String, Object> each : whole.entrySet()) {
-            Map<String, Object> items = named(each.getValue());
+        for (Map.Entry<String, Object> entry : configuration.entrySet()) {
+            Map<String, Object> items = namedItems(entry.getValue());
             if (items == null) {
-                fields.put(each.getKey(), each.getValue());
-                digest = digest.plus(field(each.getKey(), each.getValue()));
+                fields.put(entry.getKey(), entry.getValue());
+                digest = digest.plus(fieldPart(entry.getKey(), entry.getValue()));
                 continue;
             }
-            lists.put(each.getKey(), items);
-            digest = digest.plus(each.getKey());
+            lists.put(entry.getKey(), items);
+            digest = digest.plus(entry.getKey());
             for (Object item : items.values()) {
-                digest = digest.plus(item(each.getKey(), item));
+                digest = digest.plus(itemPart(entry.getKey(), item));
             }
         }
         return new ConfigurationTree(fields, lists, digest);
     }
 
-    /** The items of a list by name; null where this is no list, or one of other things. */
-    private static Map<String, Object> named(Object value) {
+    /** The items of a list by name; {@code null} if the value is not a list of uniquely named items. */
+    private static Map<String, Object> namedItems(Object value) {
         if (!(value instanceof List<?> list)) {
             return null;
         }
@@ -65,37 +65,37 @@
         return items;
     }
 
-    private static Object field(String name, Object value) {
+    private static Object fieldPart(String name, Object value) {
         return Arrays.asList("field", name, value);
     }
 
-    private static Object item(String list, Object item) {
+    private static Object itemPart(String list, Object item) {
         return List.of("item", list, item);
     }
 
-    /** The revision, -1 where there is none. */
+    /** The revision; -1 if there is none. */
     public long revision() {
         return fields.get("revision") instanceof Long revision ? revision : -1;
     }
 
-    /** The digest of all fields and items; their order does not count. */
+    /** The digest of all fields and items, independent of their order. */
     public String digest() {
         return digest.text();
     }
 
-    /** How many fields and items there are. */
+    /** The number of fields and items. */
     public int size() {
         return fields.size() + lists.values().stream().mapToInt(Map::size).sum();
     }
 
     /** The whole configuration as one tree. */
     public Map<String, Object> toMap() {
-        Map<String, Object> whole = new LinkedHashMap<>(fields);
-        lists.forEach((name, items) -> whole.put(name, new ArrayList<>(items.values())));
-        return whole;
+        Map<String, Object> configuration = new LinkedHashMap<>(fields);
+        lists.forEach((name, items) -> configuration.put(name, new ArrayList<>(items.values())));
+        return configuration;
     }
 
-    /** The change that makes the next configuration of this one. */
+    /** The change that turns this configuration into {@code next}. */
     public Map<String, Object> changeTo(ConfigurationTree next) {
         List<Object> dropped = new ArrayList<>();
         fields.keySet().stream().filter(name -> !next.fields.containsKey(name)).forEach(dropped::add);
@@ -117,11 +117,11 @@
             if (!changed.isEmpty() || !lists.containsKey(name)) {
                 items.put(name, changed);
             }
-            List<String> gone = present.keySet().stream()
+            List<String> removedNames = present.keySet().stream()
                     .filter(item -> !nextItems.containsKey(item))
                     .toList();
-            if (!gone.isEmpty()) {
-                removed.put(name, gone);
+            if (!removedNames.isEmpty()) {
+                removed.put(name, removedNames);
             }
         });
         Map<String, Object> change = new LinkedHashMap<>();
@@ -132,8 +132,8 @@
         return change;
     }
 
-    /** How many fields and items a change holds. */
-    static int sizeOf(Map<String, Object> change) {
+    /** The number of fields and items in a change. */
+    static int changeSize(Map<String, Object> change) {
         int size = ((List<?>) change.get(DROPPED)).size() + ((Map<?, ?>) change.get(SET)).size();
         for (String part : List.of(REMOVED, ITEMS)) {
             for (Object list : ((Map<?, ?>) change.get(part)).values()) {
@@ -143,15 +143,15 @@
         return size;
     }
 
-    /** What comes out of this one by a change; the caller compares the digest. */
+    /** The result of applying a change to this configuration; the caller compares the digest. */
     public ConfigurationTree withChange(Map<String, Object> change) throws MalformedMessage {
         Fields parts = new Fields(change);
         Editor editor = new Editor();
         for (String name : parts.texts(DROPPED)) {
             editor.drop(name);
         }
-        for (Map.Entry<String, Object> each : parts.object(SET).map().entrySet()) {
-            editor.set(each.getKey(), each.getValue());
+        for (Map.Entry<String, Object> entry : parts.object(SET).map().entrySet()) {
+            editor.set(entry.getKey(), entry.getValue());
         }
         Fields removed = parts.object(REMOVED);
         for (String list : removed.map().keySet()) {
@@ -177,21 +177,21 @@
 
         void drop(String name) {
             if (nextFields.containsKey(name)) {
-                nextDigest = nextDigest.minus(field(name, nextFields.remove(name)));
+                nextDigest = nextDigest.minus(fieldPart(name, nextFields.remove(name)));
             }
             Map<String, Object> items = nextLists.remove(name);
             if (items != null) {
                 nextDigest = nextDigest.minus(name);
-                items.values().forEach(item -> nextDigest = nextDigest.minus(item(name, item)));
+                items.values().forEach(item -> nextDigest = nextDigest.minus(itemPart(name, item)));
             }
         }
 
         void set(String name, Object value) {
             if (nextFields.containsKey(name)) {
-                nextDigest = nextDigest.minus(field(name, nextFields.get(name)));
+                nextDigest = nextDigest.minus(fieldPart(name, nextFields.get(name)));
             }
             nextFields.put(name, value);
-            nextDigest = nextDigest.plus(field(name, value));
+            nextDigest = nextDigest.plus(fieldPart(name, value));
         }
 
         Map<String, Object> items(String list) {
@@ -208,16 +208,16 @@
         void remove(String list, String name) {
             Object item = items(list).remove(name);
             if (item != null) {
-                nextDigest = nextDigest.minus(item(list, item));
+                nextDigest = nextDigest.minus(itemPart(list, item));
             }
         }
 
         void put(String list, String name, Map<String, Object> item) {
-            Object before = items(list).put(name, item);
-            if (before != null) {
-                nextDigest = nextDigest.minus(item(list, before));
+            Object previous = items(list).put(name, item);
+            if (previous != null) {
+                nextDigest = nextDigest.minus(itemPart(list, previous));
             }
-            nextDigest = nextDigest.plus(item(list, item));
+            nextDigest = nextDigest.plus(itemPart(list, item));
         }
     }
 }
--- a/control/src/main/java/saltdale/control/ConfigurationUpdate.java
+++ b/control/src/main/java/saltdale/control/ConfigurationUpdate.java
@@ -5,50 +5,54 @@
 import java.util.Map;
 
 /**
- * A change of the configuration as an operator sent it. One that is sent again as it was has the same digest. What it
- * comes to is worked out when it is needed and only once, however many ballots it takes.
+ * A change of the configuration as an operator sent it. A retry of the same change has the same digest. The resulting
+ * version is computed on demand and cached, however many ballots the change takes.
  */
 final class ConfigurationUpdate {
-    private final boolean amends;
-    private final long base;
+    private final boolean isAmendment;
+    private final long baseRevision;
     private final byte[] body;
     private final byte[] digest;
     private Map<String, Object> tree;
     private ConfigurationVersion result;
-    private String resultOf; // the key of the version that an amendment was applied to
+    private String resultBaseKey; // key of the version that result was computed from
 
-    /** {@code amends}: names single items, else a whole configuration; {@code base}: the revision it builds on. */
-    ConfigurationUpdate(boolean amends, long base, byte[] body) {
-        this.amends = amends;
-        this.base = base;
+    /**
+     * Creates an update. {@code isAmendment}: the body sets and removes single items, rather than holding a whole
+     * configuration; {@code baseRevision}: the revision that the update is based on.
+     */
+    ConfigurationUpdate(boolean isAmendment, long baseRevision, byte[] body) {
+        this.isAmendment = isAmendment;
+        this.baseRevision = baseRevision;
         this.body = body;
-        byte[] kind = {(byte) (amends ? 1 : 0)};
-        byte[] basedOn = Long.toString(base).getBytes(StandardCharsets.UTF_8);
+        byte[] kind = {(byte) (isAmendment ? 1 : 0)};
+        byte[] basedOn = Long.toString(baseRevision).getBytes(StandardCharsets.UTF_8);
         digest = Arrays.copyOf(ConfigurationCodec.digest(kind, basedOn, body), RecentChanges.DIGEST_BYTES);
     }
 
+    /** The revision that the update is based on. */
     long baseRevision() {
-        return base;
+        return baseRevision;
     }
 
-    /** Tells it from other orders on the same base. */
+    /** Distinguishes this update from others with the same base revision. */
     byte[] digest() {
         return digest;
     }
 
-    /** Whether what it comes to depends on the version that it builds on. */
+    /** Whether the result depends on the version that the update is based on. */
     boolean isAmendment() {
-        return amends;
+        return isAmendment;
     }
 
-    /** The version that follows this one by the order; {@code newest} is null for a whole configuration. */
+    /** The version that results from applying this update; {@code newest} is {@code null} for a whole configuration. */
     ConfigurationVersion applyTo(ConfigurationVersion newest) throws InvalidConfiguration {
         String key = newest == null ? "" : newest.key();
-        if (result == null || !key.equals(resultOf)) {
+        if (result == null || !key.equals(resultBaseKey)) {
             tree = tree == null ? ConfigurationCodec.read(body) : tree;
             Map<String, Object> present = newest == null ? Map.of() : newest.tree();
-            result = ConfigurationVersion.of(amends ? ConfigurationCodec.amend(present, new Fields(tree)) : tree);
-            resultOf = key;
+            result = ConfigurationVersion.of(isAmendment ? ConfigurationCodec.amend(present, new Fields(tree)) : tree);
+            resultBaseKey = key;
         }
         return result;
     }
--- a/control/src/main/java/saltdale/control/ConfigurationVersion.java
+++ b/control/src/main/java/saltdale/control/ConfigurationVersion.java
@@ -2,15 +2,18 @@
 
 import java.util.Map;
 
-/** One version of the configuration: its text as it is agreed on, the key that names it, and what was read from it. */
+/**
+ * One version of the configuration: the key that identifies it, its text as agreed on, and the tree and configuration
+ * read from it.
+ */
 record ConfigurationVersion(String key, byte[] text, Map<String, Object> tree, Configuration configuration) {
-    /** The version that this text holds; it is checked. */
+    /** Parses and validates a text. */
     static ConfigurationVersion read(String key, byte[] text) throws InvalidConfiguration {
         Map<String, Object> tree = ConfigurationCodec.read(text);
         return new ConfigurationVersion(key, text, tree, new Configuration(new Fields(tree)));
     }
 
-    /** The version of this tree, which is checked before it is written. */
+    /** Validates a tree and writes its text. */
     static ConfigurationVersion of(Map<String, Object> tree) throws InvalidConfiguration {
         Configuration configuration = new Configuration(new Fields(tree));
         byte[] text = ConfigurationCodec.write(tree);
--- a/control/src/main/java/saltdale/control/ControlNode.java
+++ b/control/src/main/java/saltdale/control/ControlNode.java
@@ -25,20 +25,29 @@
 import saltdale.control.message.SessionMessage.SnapshotRequest;
 
 /**
- * One replica of the control plane: takes part in the consensus, keeps the leases of proxies, sends them their news,
- * and, while it holds the duty, starts and stops instances. No I/O and no clock of its own.
+ * One replica of the control plane. It takes part in the consensus, keeps the leases of the proxies, sends them
+ * configuration, membership and instance news, and starts and stops instances while it holds the duty to do so. It has
+ * no I/O and no clock of its own; see {@link Environment}.
  */
 public final class ControlNode {
-    /** An answer to an operator; {@code body} is null where it has none. */
+    /**
+     * The response to an operator's request: an HTTP status, a reason, and a body, which is {@code null} if
+     * there is none.
+     */
     public record Reply(int status, String reason, byte[] body) {
         private static Reply of(ConfigurationService.Reply reply) {
             return new Reply(reply.status(), reply.reason(), reply.body());
         }
     }
 
-    private static final long SOON = Environment.millisToNanos(5); // several changes that come at once are told of once
-    static final String IDENTITY_RECORD = "identity"; // record of the id
-    private static final String BEGUN = "begun"; // the state from which all began
+    /** The delay before a membership change is announced, so that several simultaneous changes are announced once. */
+    private static final long BATCH_DELAY_NANOS = Environment.millisToNanos(5);
+
+    /** The name of the record that holds the node id. */
+    static final String IDENTITY_RECORD = "identity";
+
+    /** The name of the record that holds the initial state of the cluster. */
+    private static final String INITIAL_STATE_RECORD = "begun";
 
     private final Environment environment;
     private final ControlNodeSettings nodeSettings;
@@ -47,24 +56,27 @@
     private final PeerContacts peers;
     private final DutyElection election;
     private final VoterChanges voterChanges;
-    private final ConfigurationService configurations;
+    private final ConfigurationService configurationService;
     private final InstanceLifecycle instanceLifecycle;
     private final MembershipTable members;
     private final InstanceTable instances;
     private final DemandTable demand;
     private final Subscriptions subscriptions;
     private boolean proposing;
-    private boolean ending;
-    private Runnable onLeft; // set once this control node is about to end and has given up its duties
-    private boolean left;
-    private boolean spreading;
+    private boolean shuttingDown;
+    private Runnable onShutDown; // set once this node is shutting down and has given up its duties
+    private boolean shutDownCompleted;
+    private boolean membersNoticeScheduled;
 
-    /** The parts of which tests bring wrong variants. */
-    record Components(ConfigurationService.Factory configurations, VoterChanges.Factory voterChanges) {
+    /** The components that tests replace by faulty variants. */
+    record Components(ConfigurationService.Factory configurationService, VoterChanges.Factory voterChanges) {
         static final Components DEFAULT = new Components(ConfigurationService::new, VoterChanges::new);
     }
 
-    /** {@code records} are those on disk; where there are none the control node is new, or has lost them. */
+    /**
+     * Creates a control node. {@code records} are the records on disk; they are empty if the node is new, or has lost
+     * its disk.
+     */
     public ControlNode(
             Environment environment, ControlNodeSettings nodeSettings, Platform platform, Map<String, byte[]> records)
             throws MalformedMessage {
@@ -76,111 +88,128 @@
             ControlNodeSettings nodeSettings,
             Platform platform,
             Map<String, byte[]> records,
-            Components parts)
+            Components components)
             throws MalformedMessage {
         this.environment = environment;
         this.nodeSettings = nodeSettings;
-        String life = Long.toHexString(environment.random().nextLong());
-        boolean first = nodeSettings.firstStart()
+        String incarnation = Long.toHexString(environment.random().nextLong());
+        boolean isInitialVoter = nodeSettings.firstStart()
                 && records.isEmpty()
                 && nodeSettings.seeds().contains(nodeSettings.host());
         id = records.containsKey(IDENTITY_RECORD)
                 ? new String(records.get(IDENTITY_RECORD), StandardCharsets.UTF_8)
-                : first
+                : isInitialVoter
                         ? Voter.initialId(nodeSettings.host())
                         : Long.toHexString(environment.random().nextLong());
-        register = new ReplicatedRegister(environment, id, life, this::chosen);
+        register = new ReplicatedRegister(environment, id, incarnation, this::onChosen);
         peers = new PeerContacts(
                 environment,
                 nodeSettings,
-                new PeerIdentity(id, nodeSettings.name(), nodeSettings.host(), life),
+                new PeerIdentity(id, nodeSettings.name(), nodeSettings.host(), incarnation),
                 register);
-        election = new DutyElection(environment, nodeSettings, register, peers, id, life);
-        voterChanges = parts.voterChanges().create(environment, nodeSettings, peers, election, id);
-        configurations = parts.configurations().create(environment, nodeSettings, register, peers);
+        election = new DutyElection(environment, nodeSettings, register, peers, id, incarnation);
+        voterChanges = components.voterChanges().create(environment, nodeSettings, peers, election, id);
+        configurationService = components.configurationService().create(environment, nodeSettings, register, peers);
         members = new MembershipTable(nodeSettings.memberLeaseNanos() + nodeSettings.heartbeatNanos() * 3 / 10);
         instances = new InstanceTable(8 * nodeSettings.heartbeatNanos(), 40 * nodeSettings.heartbeatNanos());
         demand = new DemandTable(3 * nodeSettings.heartbeatNanos());
         subscriptions = new Subscriptions(
-                environment, nodeSettings, configurations.history(), members, instances, peers::hasQuorum);
+                environment, nodeSettings, configurationService.history(), members, instances, peers::hasQuorum);
         instanceLifecycle = new InstanceLifecycle(environment, this, platform, nodeSettings);
         restore(records);
     }
 
     private void restore(Map<String, byte[]> records) throws MalformedMessage {
         register.restore(records);
-        ReplicatedState begun = nodeSettings.firstStart()
+        ReplicatedState initialState = nodeSettings.firstStart()
                 ? ReplicatedState.initial(nodeSettings.seeds().stream()
                         .sorted()
                         .map(host -> new Voter(Voter.initialId(host), host, host))
                         .toList())
-                : records.containsKey(BEGUN)
-                        ? ReplicatedState.of(new Fields(Trees.fromCbor(records.get(BEGUN))))
+                : records.containsKey(INITIAL_STATE_RECORD)
+                        ? ReplicatedState.of(new Fields(Trees.fromCbor(records.get(INITIAL_STATE_RECORD))))
                         : null;
-        if (begun != null) {
-            register.initialize(begun);
+        if (initialState != null) {
+            register.initialize(initialState);
         }
         if (!records.containsKey(IDENTITY_RECORD)) {
-            Map<String, byte[]> own = new HashMap<>(Map.of(IDENTITY_RECORD, id.getBytes(StandardCharsets.UTF_8)));
-            if (begun != null) {
-                // Guards against all being killed before any has accepted a state: none would know whom to ask.
-                own.put(BEGUN, Trees.toCbor(begun.tree()));
+            Map<String, byte[]> ownRecords =
+                    new HashMap<>(Map.of(IDENTITY_RECORD, id.getBytes(StandardCharsets.UTF_8)));
+            if (initialState != null) {
+                // Without this record, no node would know whom to ask if all were killed before any had
+                // accepted a state.
+                ownRecords.put(INITIAL_STATE_RECORD, Trees.toCbor(initialState.tree()));
             }
-            register.writeWithNextVote(own);
-            persistIdentity(own);
+            register.writeWithNextVote(ownRecords);
+            persistIdentity(ownRecords);
         }
     }
 
-    /** Guards against a disk that is full at the first start: the id and the voters known must be found again. */
-    private void persistIdentity(Map<String, byte[]> own) {
-        environment.persist(own, whole -> {
-            if (!whole) {
-                environment.schedule(nodeSettings.heartbeatNanos(), () -> persistIdentity(own));
+    /**
+     * Writes the node id and the initial voters, and retries until that succeeds: the disk may be full at the first
+     * start, and both must be found again after a restart.
+     */
+    private void persistIdentity(Map<String, byte[]> ownRecords) {
+        environment.persist(ownRecords, succeeded -> {
+            if (!succeeded) {
+                environment.schedule(nodeSettings.heartbeatNanos(), () -> persistIdentity(ownRecords));
             }
         });
     }
 
+    /** Starts the heartbeats, the periodic checks, and the management of instances. */
     public void start() {
         heartbeat();
         tick();
         instanceLifecycle.begin();
     }
 
-    // What others of the program see.
+    // Accessors.
 
+    /** The name of this control node, from its settings. */
     String name() {
         return nodeSettings.name();
     }
 
+    /** The instances known to this control node. */
     InstanceTable instances() {
         return instances;
     }
 
+    /** The demand reported by the proxies. */
     DemandTable demand() {
         return demand;
     }
 
-    /** The newest configuration known to be chosen; null where there is none yet. */
+    /** The newest configuration known to be chosen; {@code null} if there is none yet. */
     Configuration configuration() {
-        return configurations.current();
+        return configurationService.current();
     }
 
+    /** The number of voters; 1 while the voters are not known. */
     int voterCount() {
         return register.quorumState() == null
                 ? 1
                 : register.quorumState().voters().size();
     }
 
-    /** Whether this control node holds the duty and knows that nobody can have taken it over. */
+    /**
+     * Whether this control node holds the duty of starting and stopping instances, and no other node can have
+     * taken it over.
+     */
     boolean holdsDuty() {
         return election.holds();
     }
 
+    /** The fencing number of the present lease of the duty; it rises with each new holder. */
     long fence() {
         return election.fence();
     }
 
-    /** Whether a majority of voters answered what was sent within the lease; a process that stood still has none. */
+    /**
+     * Whether a majority of voters answered messages sent within the lease. False right after this
+     * process was suspended.
+     */
     public boolean hasMajority() {
         return peers.hasQuorum();
     }
@@ -193,22 +222,25 @@
     }
 
     private void sendHeartbeats() {
-        peers.sendHeartbeats(ending, members.takeUnreportedRenewals(), members.recentlyEnded(environment.now()));
+        peers.sendHeartbeats(shuttingDown, members.takeUnreportedRenewals(), members.recentlyEnded(environment.now()));
     }
 
-    /** Others hear soon who has come or gone: owners that know it at different times grant the same slots. */
-    private void membersChanged() {
-        if (!spreading) {
-            spreading = true;
-            environment.schedule(SOON, () -> {
-                spreading = false;
+    /**
+     * Announces a membership change to proxies and control nodes soon: owners that learn of it at different times would
+     * grant the same slots.
+     */
+    private void onMembersChanged() {
+        if (!membersNoticeScheduled) {
+            membersNoticeScheduled = true;
+            environment.schedule(BATCH_DELAY_NANOS, () -> {
+                membersNoticeScheduled = false;
                 publish();
                 sendHeartbeats();
             });
         }
     }
 
-    private void heard(Heartbeat heartbeat) {
+    private void handleHeartbeat(Heartbeat heartbeat) {
         long edition = members.edition();
         members.mergeRenewals(heartbeat.renewals(), environment.now());
         members.markEnded(heartbeat.ended(), environment.now());
@@ -220,24 +252,25 @@
 
     // Messages from other processes.
 
-    /** Takes a message; {@code fromHost} is where its sender can be reached. */
+    /** Handles a message; {@code fromHost} is where its sender can be reached. */
     public void handleMessage(String fromHost, Message message) throws MalformedMessage {
         if (message instanceof BallotMessage ballot) {
             register.handleMessage(fromHost, ballot);
         } else if (message instanceof Heartbeat heartbeat) {
-            heard(heartbeat);
+            handleHeartbeat(heartbeat);
         } else if (message instanceof HeartbeatAck ack) {
             peers.onHeartbeatAck(ack);
         } else if (message instanceof LeaseRenewal renewal) {
-            renewed(fromHost, renewal);
+            handleRenewal(fromHost, renewal);
         } else if (message instanceof ContactProbe probe) {
-            environment.send(fromHost, new ContactReply(probe.number(), hasMajority() && !ending, controlHosts()));
+            environment.send(
+                    fromHost, new ContactReply(probe.number(), hasMajority() && !shuttingDown, controlHosts()));
         } else if (message instanceof SnapshotRequest request) {
-            if (hasMajority()) { // else it may be old
+            if (hasMajority()) { // without a majority, the snapshot may be outdated
                 subscriptions.onSnapshotRequest(request);
             }
         } else if (message instanceof DemandReport report) {
-            demanded(report);
+            handleDemandReport(report);
         } else if (message instanceof InstanceReady ready) {
             Instance instance = instances.get(ready.instance());
             if (instance != null && instance.phase() == Instance.Phase.BOOTING) {
@@ -248,32 +281,34 @@
         } else if (message instanceof StartIntents intents) {
             instanceLifecycle.told(intents);
         } else {
-            throw new MalformedMessage("message " + message.kind() + " is not for a control node");
+            throw new MalformedMessage("message " + message.kind() + " is not meant for a control node");
         }
     }
 
-    /** Sends to all other control nodes. */
+    /** Sends a message to all other control nodes. */
     void sendToControlNodes(Message message) {
         peers.broadcast(message);
     }
 
-    /** Merges copies of instances; news of our own goes to the other control nodes too. */
-    void mergeInstances(List<Instance> copies, boolean tell) {
-        List<Instance> fresh = new ArrayList<>();
+    /**
+     * Merges copies of instances into the table; changes made by this node are also sent to the other control nodes.
+     */
+    void mergeInstances(List<Instance> copies, boolean sendToPeers) {
+        List<Instance> changed = new ArrayList<>();
         for (Instance copy : copies) {
             if (instances.merge(copy, environment.now())) {
-                fresh.add(copy);
+                changed.add(copy);
             }
         }
-        if (!fresh.isEmpty()) {
-            if (tell) {
-                sendToControlNodes(new InstanceUpdates(fresh));
+        if (!changed.isEmpty()) {
+            if (sendToPeers) {
+                sendToControlNodes(new InstanceUpdates(changed));
             }
             publish();
         }
     }
 
-    private void demanded(DemandReport report) {
+    private void handleDemandReport(DemandReport report) {
         demand.reported(report.life(), report.demands(), environment.now());
         PeerContacts.Peer holder = report.forwarded() ? null : election.holder();
         if (holder != null) {
@@ -282,15 +317,15 @@
         instanceLifecycle.look();
     }
 
-    // Proxies: leases and news.
+    // Leases and news of the proxies.
 
-    private void renewed(String fromHost, LeaseRenewal renewal) {
+    private void handleRenewal(String fromHost, LeaseRenewal renewal) {
         Member member = renewal.member();
         long now = environment.now();
         long edition = members.edition();
         members.renew(member, renewal.count(), now, true);
         if (members.edition() != edition) {
-            membersChanged();
+            onMembersChanged();
         }
         if (members.member(member.incarnation()) == null) {
             subscriptions.endSession(member.incarnation());
@@ -305,86 +340,95 @@
                         renewal.count(), hasMajority(), validMillis, renewal.session(), newsSent, controlHosts()));
     }
 
-    /** Where proxies find control nodes. */
+    /** The hosts at which proxies find control nodes. */
     private List<String> controlHosts() {
-        ReplicatedState basis = register.quorumState();
-        return basis == null
+        ReplicatedState quorumState = register.quorumState();
+        return quorumState == null
                 ? List.of(nodeSettings.host())
-                : basis.voters().stream().map(Voter::host).toList();
+                : quorumState.voters().stream().map(Voter::host).toList();
     }
 
+    /** Sends every proxy what has changed for it. */
     void publish() {
         subscriptions.publish();
     }
 
     // The configuration.
 
-    private void chosen(ReplicatedState state, byte[] text) {
-        environment.log("chosen " + state.version() + ": revision " + state.revision() + ", voters "
+    private void onChosen(ReplicatedState state, byte[] text) {
+        environment.log("chosen state " + state.version() + ": configuration revision " + state.revision() + ", voters "
                 + state.voters().stream().map(Voter::host).toList() + (state.isJoint() ? " (joint)" : "") + ", "
                 + state.duties());
-        configurations.onChosen(state, text);
+        configurationService.onChosen(state, text);
         publish();
         instanceLifecycle.look();
     }
 
-    /** Replaces the whole configuration, or amends it. */
-    public void changeConfiguration(boolean amends, String basedOn, byte[] body, Consumer<Reply> answer) {
-        configurations.change(amends, basedOn, body, reply -> answer.accept(Reply.of(reply)));
+    /**
+     * Replaces the whole configuration, or amends it if {@code isAmendment}; {@code basedOn} is the revision that the
+     * change is based on.
+     */
+    public void changeConfiguration(boolean isAmendment, String basedOn, byte[] body, Consumer<Reply> answer) {
+        configurationService.change(isAmendment, basedOn, body, reply -> answer.accept(Reply.of(reply)));
     }
 
-    /** Tells the newest configuration, as a majority knows it. */
+    /** Reads the newest configuration, as confirmed by a majority. */
     public void readConfiguration(Consumer<Reply> answer) {
-        configurations.read(reply -> answer.accept(Reply.of(reply)));
+        configurationService.read(reply -> answer.accept(Reply.of(reply)));
     }
 
     // Duties and voters.
 
+    /** Periodic work: updates the quorum state, expires leases, and proposes changes. */
     private void tick() {
         environment.schedule(nodeSettings.heartbeatNanos() / 6, this::tick);
         long now = environment.now();
-        boolean had = peers.updateQuorum();
+        boolean hadQuorum = peers.updateQuorum();
         long edition = members.edition();
-        // Guards against a control node that stood still or was cut off: all renewals it missed come to it first.
+        // A control node that was suspended or cut off first receives all the renewals it missed; only then may
+        // leases expire.
         if (peers.hasSteadyQuorum()) {
             members.expire(now);
         }
         if (members.edition() != edition) {
-            membersChanged();
+            onMembersChanged();
         }
-        if (had && !hasMajority()) {
+        if (hadQuorum && !hasMajority()) {
             environment.counters().increment(Counter.QUORUM_LOSSES);
-            environment.log("the quorum is lost");
+            environment.log("lost the quorum");
             subscriptions.broadcast(new QuorumLost());
-        } else if (!had && hasMajority()) {
-            environment.log("there is a quorum");
+        } else if (!hadQuorum && hasMajority()) {
+            environment.log("has a quorum");
             publish();
         }
         if (!proposing && register.quorumState() != null) {
-            proposeWhatIsDue();
+            proposeNextChange();
         }
-        leaveIfDispensable();
+        completeShutDownIfReplaced();
     }
 
-    private void proposeWhatIsDue() {
+    /** Proposes the next pending change, if there is one: a claim of the duty, or a change of voters. */
+    private void proposeNextChange() {
         ReplicatedState state = register.chosen();
-        if (state == null || leavesUndecided()) {
-            // What is chosen is known only once a majority was asked: after a start, and where whoever had a state
-            // accepted may have gone before it told that it was chosen.
+        if (state == null || mustResolveUndecidedState()) {
+            // Only a ballot that asks a majority tells what is chosen: after a start, and where a proposer may have
+            // stopped after its state was accepted but before it announced that it was chosen.
             propose((newest, text) -> Proposer.ChangeResult.unchanged(Boolean.TRUE));
         } else if (hasMajority()) {
-            if (!ending && election.mayClaim(state)) {
+            if (!shuttingDown && election.mayClaim(state)) {
                 propose(election.claim(state));
                 return;
             }
-            Proposer.Change change = voterChanges.nextChange(state, holdsDuty() || election.isVacant(state), ending);
+            Proposer.Change change =
+                    voterChanges.nextChange(state, holdsDuty() || election.isVacant(state), shuttingDown);
             if (change != null) {
                 propose(change);
             }
         }
     }
 
-    private boolean leavesUndecided() {
+    /** Whether a state accepted here has been undecided for so long that a ballot must settle it. */
+    private boolean mustResolveUndecidedState() {
         return register.hasUndecidedState()
                 && environment.now() - register.undecidedSince() > nodeSettings.heartbeatNanos() / 2
                 && peers.reachesMajority();
@@ -392,43 +436,45 @@
 
     private void propose(Proposer.Change change) {
         proposing = true;
-        // Guards against all control nodes at once: the first one's ballot spares the others theirs.
+        // A random delay keeps the control nodes from all proposing at once; the first one's ballot makes the
+        // others' unnecessary.
         environment.schedule(
                 (long) (nodeSettings.heartbeatNanos() / 8 * environment.random().nextDouble()),
                 () -> register.proposeWithPriority(change, nodeSettings.heartbeatNanos(), done -> proposing = false));
     }
 
-    /** The settings, read again, name these control nodes. */
-    public void setSeeds(List<String> hosts) {
-        peers.setSeeds(hosts);
+    /** Sets the seed hosts, after the settings were read again. */
+    public void setSeeds(List<String> seedHosts) {
+        peers.setSeeds(seedHosts);
     }
 
     /**
-     * Ends in order: others may take over its duties at once. While another control node can take its place among the
-     * voters, this one goes on voting until that has been agreed, but no longer than {@code within}.
+     * Shuts this control node down in an orderly way: its duties can be taken over at once. While another control node
+     * can take its place among the voters, this node goes on voting until that has been agreed, but no longer than
+     * {@code timeoutNanos}.
      */
-    public void shutDown(long within, Runnable done) {
-        ending = true;
+    public void shutDown(long timeoutNanos, Runnable onDone) {
+        shuttingDown = true;
         subscriptions.broadcast(new ControlNodeLeaves());
         sendHeartbeats();
-        environment.schedule(within, () -> leave(done));
+        environment.schedule(timeoutNanos, () -> completeShutDown(onDone));
         election.resign(answer -> {
-            onLeft = done;
-            leaveIfDispensable();
+            onShutDown = onDone;
+            completeShutDownIfReplaced();
         });
     }
 
-    private void leaveIfDispensable() {
+    private void completeShutDownIfReplaced() {
         ReplicatedState state = register.chosen();
-        if (onLeft != null && (state == null || !voterChanges.isAwaitingSuccessor(state))) {
-            leave(onLeft);
+        if (onShutDown != null && (state == null || !voterChanges.isAwaitingSuccessor(state))) {
+            completeShutDown(onShutDown);
         }
     }
 
-    private void leave(Runnable done) {
-        if (!left) {
-            left = true;
-            done.run();
+    private void completeShutDown(Runnable onDone) {
+        if (!shutDownCompleted) {
+            shutDownCompleted = true;
+            onDone.run();
         }
     }
 }
--- a/control/src/main/java/saltdale/control/ControlNodeSettings.java
+++ b/control/src/main/java/saltdale/control/ControlNodeSettings.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** What a control node is told of its machine and of the deployment; spans in nanoseconds. */
+/** The settings of a control node: its machine and the deployment. */
 public record ControlNodeSettings(
         String name,
         String host,
--- a/control/src/main/java/saltdale/control/Environment.java
+++ b/control/src/main/java/saltdale/control/Environment.java
@@ -7,34 +7,38 @@
 import saltdale.control.message.Message;
 
 /**
- * What a role needs of the world; simulated clusters bring their own. All of it is called and calls back in one
- * thread.
+ * What a process role needs from its surroundings: clock, timers, network, disk and log. Simulated clusters have their
+ * own implementation. All methods are called, and call back, on one thread.
  */
 public interface Environment {
-    /** The steady clock, in nanoseconds. */
+    /** The monotonic clock, in nanoseconds. */
     long now();
 
+    /** The random number generator of this process. */
     SplittableRandom random();
 
-    /** Does this after so many nanoseconds; what is returned takes it back. */
-    Runnable schedule(long nanos, Runnable what);
+    /** Runs a task after a delay; the returned {@code Runnable} cancels it. */
+    Runnable schedule(long delayNanos, Runnable task);
 
-    /** Sends to the process at this host, if it can be reached; nothing tells whether it came. */
+    /** Sends a message to the process at this host, if it can be reached; there is no delivery notification. */
     void send(String host, Message message);
 
-    /** Puts these records on disk, all or none (null removes); tells true once they outlast a loss of power. */
-    void persist(Map<String, byte[]> records, Consumer<Boolean> done);
+    /**
+     * Writes these records to disk, all or none; a null value removes the record. Reports true once they would survive
+     * a power failure.
+     */
+    void persist(Map<String, byte[]> records, Consumer<Boolean> onComplete);
 
-    /** Notes what is worth reading after something went wrong. */
-    void log(String what);
+    /** Writes a message to the log that is read after a failure. */
+    void log(String message);
 
-    /** What this process counts. */
+    /** The counters of this process. */
     Counters counters();
 
-    /** An invariant does not hold: it is written out, with what led to it; tests fail by it. */
+    /** Reports the violation of an invariant, with the details that led to it; tests fail on it. */
     void reportViolation(Invariant invariant, String detail);
 
-    /** Counts and reports a violation unless this holds. */
+    /** Counts and reports a violation unless {@code holds}. */
     default void check(Invariant invariant, boolean holds, Supplier<String> detail) {
         if (!holds) {
             counters().countViolation(invariant);
@@ -42,7 +46,8 @@
         }
     }
 
-    static long millisToNanos(long ms) {
-        return ms * 1_000_000;
+    /** Converts milliseconds to nanoseconds. */
+    static long millisToNanos(long millis) {
+        return millis * 1_000_000;
     }
 }
--- a/control/src/main/java/saltdale/control/InvalidConfiguration.java
+++ b/control/src/main/java/saltdale/control/InvalidConfiguration.java
@@ -1,10 +1,10 @@
 package saltdale.control;
 
-/** Why a configuration is not taken. */
+/** Thrown if a configuration is rejected; the message tells the reason. */
 public final class InvalidConfiguration extends Exception {
     private static final long serialVersionUID = 1L;
 
-    InvalidConfiguration(String what) {
-        super(what, null, false, false);
+    InvalidConfiguration(String reason) {
+        super(reason, null, false, false);
     }
 }
--- a/control/src/main/java/saltdale/control/Invariant.java
+++ b/control/src/main/java/saltdale/control/Invariant.java
@@ -2,24 +2,29 @@
 
 import java.util.Locale;
 
-/** What must hold at all times; each is checked where it could break, and a violation is counted and written out. */
+/**
+ * The invariants of the control plane. Each is checked at run time where it could break, and a violation is
+ * counted and logged.
+ */
 public enum Invariant {
-    /** An order is acknowledged only if the newest state known to be chosen here holds it. */
+    /** A configuration update is acknowledged only if the newest state known to be chosen here contains it. */
     ACKNOWLEDGED_IS_CHOSEN,
-    /** Of two states that are chosen, the one of the higher version has no lower revision. */
+    /** Of two chosen states, the one of the higher version does not have the lower revision. */
     REVISION_RISES,
-    /** A configuration that is chosen can be read and is valid. */
+    /** A chosen configuration can be parsed and is valid. */
     CHOSEN_IS_VALID,
-    /** A control node tells proxies of the configuration and the members only while it has a quorum. */
+    /** A control node sends proxies the configuration and the members only while it has a quorum. */
     NEWS_WITH_QUORUM,
     /** The configuration in force at a proxy is never replaced by an older one. */
     NO_STEP_BACK,
-    /** A proxy denies a route only if its control node served it within {@code config_apply_ms}. */
+    /**
+     * A proxy rejects a request for an unknown route only if its control node served it within {@code config_apply_ms}.
+     */
     DENIED_IN_CONTACT,
-    /** A proxy whose control node is silent for too long does not stay there while another one serves. */
+    /** A proxy whose control node has been silent for too long does not stay with it while another one can serve. */
     SERVING_NODE_TAKEN;
 
-    /** The name under which its violations are told, in lower case. */
+    /** The name of the metric that counts the violations. */
     public String metricName() {
         return "invariant_violations_" + name().toLowerCase(Locale.ROOT);
     }
--- a/control/src/main/java/saltdale/control/LeaseTimes.java
+++ b/control/src/main/java/saltdale/control/LeaseTimes.java
@@ -1,30 +1,33 @@
 package saltdale.control;
 
 /**
- * How long leases last, as parts of the heartbeat interval; all in nanoseconds. Whoever holds one stops before anybody
- * else may take its place: quorum lease, member lease, vacancy, in this order.
+ * The durations of leases, derived from the heartbeat interval; all in nanoseconds. A holder stops before anyone else
+ * may take its place: the quorum lease is the shortest, followed by the member lease and the vacancy timeout.
  */
 public final class LeaseTimes {
     private LeaseTimes() {}
 
-    /** A control node that heard of no majority for so long answers nothing, and a duty's holder does nothing. */
-    static long quorumLeaseNanos(long heartbeat) {
-        return heartbeat + heartbeat / 4;
+    /**
+     * A control node that has not heard from a majority for this long answers no requests, and a duty
+     * holder stops acting.
+     */
+    static long quorumLeaseNanos(long heartbeatNanos) {
+        return heartbeatNanos + heartbeatNanos / 4;
     }
 
     /**
-     * A proxy may act as a member for so long after a majority could have heard of it; control nodes count a little
-     * longer.
+     * A proxy may act as a member for this long after the last time a majority could have heard of it; control nodes
+     * wait a little longer.
      */
-    public static long memberLeaseNanos(long heartbeat) {
-        return heartbeat + heartbeat / 2;
+    public static long memberLeaseNanos(long heartbeatNanos) {
+        return heartbeatNanos + heartbeatNanos / 2;
     }
 
     /**
-     * A control node unheard for so long has lost its duties; longer than the quorum lease, however late its last word
-     * came.
+     * A control node not heard for this long has lost its duties. Longer than the quorum lease, however late its last
+     * message arrived.
      */
-    static long vacancyTimeoutNanos(long heartbeat) {
-        return quorumLeaseNanos(heartbeat) + heartbeat / 2;
+    static long vacancyTimeoutNanos(long heartbeatNanos) {
+        return quorumLeaseNanos(heartbeatNanos) + heartbeatNanos / 2;
     }
 }
--- a/control/src/main/java/saltdale/control/MalformedMessage.java
+++ b/control/src/main/java/saltdale/control/MalformedMessage.java
@@ -1,10 +1,10 @@
 package saltdale.control;
 
-/** A message, a record or a call that is not of the shape that was asked for; nothing was changed by it. */
+/** Thrown if a message, a record on disk or a request does not have the expected format; nothing was changed by it. */
 public final class MalformedMessage extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public MalformedMessage(String what) {
-        super(what, null, false, false);
+    public MalformedMessage(String reason) {
+        super(reason, null, false, false);
     }
 }
--- a/control/src/main/java/saltdale/control/PeerContacts.java
+++ b/control/src/main/java/saltdale/control/PeerContacts.java
@@ -15,27 +15,32 @@
 import saltdale.control.message.Message;
 
 /**
- * Heartbeats with the other control nodes: who has been heard of and when, and since when a majority of the voters is
- * known to have answered.
+ * Exchanges heartbeats with the other control nodes: records when each was last heard, and up to when a majority of the
+ * voters is known to have answered.
  */
 final class PeerContacts {
-    private static final int REMEMBERED_HEARTBEATS = 4; // intervals for which an acknowledgement still counts
-    private static final int FORGOTTEN_AFTER = 60; // intervals after which one that is no voter and no seed is dropped
+    /** Heartbeat intervals for which an acknowledgement still counts. */
+    private static final int ACK_VALIDITY_HEARTBEATS = 4;
+    /** Heartbeat intervals after which a silent peer that is neither a voter nor a seed is removed. */
+    private static final int PEER_EXPIRY_HEARTBEATS = 60;
+
     private static final long NEVER = Long.MIN_VALUE / 2;
 
-    /** An acknowledgement: when its heartbeat was sent, and the version that the other had accepted by then. */
-    private record Answer(long sentAt, long accepted) {}
+    /** An acknowledgement: when its heartbeat was sent, and the version that the peer had accepted by then. */
+    private record Acknowledgement(long sentAt, long acceptedVersion) {}
 
-    /** Another control node; its identity is null until it was heard. */
+    /** Another control node; its identity is {@code null} until it is first heard. */
     static final class Peer {
         final String host;
         PeerIdentity identity;
         boolean leaving;
         long lastHeardAt;
-        private long reachedAt = NEVER; // when the newest heartbeat was sent that it has acknowledged
-        private long agreedAt = NEVER; // the same, of those after which it had accepted nothing unknown to us
-        private final List<Answer> ahead = new ArrayList<>(); // by which it had accepted what we do not know yet
-        private final Map<Long, Long> sentAt = new LinkedHashMap<>(); // by the heartbeat's number
+        private long reachedAt = NEVER; // when the newest heartbeat that it acknowledged was sent
+        private long agreedAt = NEVER; // the same, but only of heartbeats by which it had accepted nothing unknown here
+        /** Acknowledgements of heartbeats by which the peer had accepted a version not yet known here. */
+        private final List<Acknowledgement> acksOfUnknownVersions = new ArrayList<>();
+
+        private final Map<Long, Long> heartbeatsSentAt = new LinkedHashMap<>(); // by heartbeat number
 
         Peer(String host) {
             this.host = host;
@@ -45,13 +50,17 @@
             return identity != null && identity.id().equals(id);
         }
 
+        /** Discards all acknowledgements of this peer. */
         void clearContact() {
             reachedAt = NEVER;
             agreedAt = NEVER;
-            ahead.clear();
+            acksOfUnknownVersions.clear();
         }
 
-        /** How duties name it: one that began anew has forgotten what it was about. */
+        /**
+         * The name under which it holds a duty; it includes the incarnation, since a restarted process has forgotten
+         * its work.
+         */
         String holderName() {
             return identity.id() + "/" + identity.life();
         }
@@ -63,154 +72,171 @@
 
     private final Environment environment;
     private final ControlNodeSettings settings;
-    private final PeerIdentity own;
+    private final PeerIdentity ownIdentity;
     private final ReplicatedRegister register;
     private final Map<String, Peer> peers = new LinkedHashMap<>(); // by host
     private List<String> seeds = List.of();
-    private long heartbeats;
+    private long lastHeartbeatNumber;
     private boolean hadQuorum;
     private long quorumSince;
 
-    PeerContacts(Environment environment, ControlNodeSettings settings, PeerIdentity own, ReplicatedRegister register) {
+    PeerContacts(
+            Environment environment,
+            ControlNodeSettings settings,
+            PeerIdentity ownIdentity,
+            ReplicatedRegister register) {
         this.environment = environment;
         this.settings = settings;
-        this.own = own;
+        this.ownIdentity = ownIdentity;
         this.register = register;
         quorumSince = environment.now();
         setSeeds(settings.seeds());
     }
 
-    /** The settings name these control nodes now; none of them is forgotten. */
+    /** Sets the seed hosts from the settings; seeds are never removed. */
     void setSeeds(List<String> hosts) {
         seeds = List.copyOf(hosts);
-        seeds.stream().filter(host -> !host.equals(own.host())).forEach(this::peer);
+        seeds.stream().filter(host -> !host.equals(ownIdentity.host())).forEach(this::getOrAddPeer);
     }
 
+    /** All known peers. */
     Collection<Peer> peers() {
         return peers.values();
     }
 
-    /** The peer at this host, known or not. */
+    /** The peer at this host; {@code null} if there is none. */
     Peer peerAt(String host) {
         return peers.get(host);
     }
 
-    private Peer peer(String host) {
+    private Peer getOrAddPeer(String host) {
         return peers.computeIfAbsent(host, Peer::new);
     }
 
-    /** Sends to all other control nodes. */
+    /** Sends a message to all other control nodes. */
     void broadcast(Message message) {
         peers.keySet().forEach(host -> environment.send(host, message));
     }
 
-    /** Sends a heartbeat to every control node known, with what has been heard of members. */
+    /**
+     * Sends a heartbeat to every known control node, with the members' lease renewals heard here and the members that
+     * have ended.
+     */
     void sendHeartbeats(boolean leaving, List<Renewal> renewals, List<String> ended) {
-        heartbeats++;
+        lastHeartbeatNumber++;
         long now = environment.now();
-        ReplicatedState basis = register.quorumState();
-        Set<String> to = new LinkedHashSet<>(peers.keySet());
-        if (basis != null) {
-            basis.voterSets().forEach(set -> set.forEach(voter -> to.add(voter.host())));
+        ReplicatedState quorumState = register.quorumState();
+        Set<String> hosts = new LinkedHashSet<>(peers.keySet());
+        if (quorumState != null) {
+            quorumState.voterSets().forEach(set -> set.forEach(voter -> hosts.add(voter.host())));
         }
-        to.remove(own.host());
-        for (String host : to) {
-            Peer peer = peer(host);
-            peer.sentAt.put(heartbeats, now);
-            peer.sentAt.values().removeIf(at -> now - at > REMEMBERED_HEARTBEATS * settings.heartbeatNanos());
-            environment.send(host, new Heartbeat(own, heartbeats, register.chosenVersion(), leaving, renewals, ended));
+        hosts.remove(ownIdentity.host());
+        for (String host : hosts) {
+            Peer peer = getOrAddPeer(host);
+            peer.heartbeatsSentAt.put(lastHeartbeatNumber, now);
+            peer.heartbeatsSentAt
+                    .values()
+                    .removeIf(at -> now - at > ACK_VALIDITY_HEARTBEATS * settings.heartbeatNanos());
+            environment.send(
+                    host,
+                    new Heartbeat(
+                            ownIdentity, lastHeartbeatNumber, register.chosenVersion(), leaving, renewals, ended));
         }
-        peers.values().removeIf(peer -> isForgotten(peer, basis, now));
+        peers.values().removeIf(peer -> isExpired(peer, quorumState, now));
     }
 
-    private boolean isForgotten(Peer peer, ReplicatedState basis, long now) {
-        boolean votes = basis != null
-                && basis.voterSets().stream()
+    private boolean isExpired(Peer peer, ReplicatedState quorumState, long now) {
+        boolean isVoter = quorumState != null
+                && quorumState.voterSets().stream()
                         .flatMap(List::stream)
-                        .anyMatch(v -> v.host().equals(peer.host));
-        return !votes
+                        .anyMatch(voter -> voter.host().equals(peer.host));
+        return !isVoter
                 && !seeds.contains(peer.host)
-                && now - peer.lastHeardAt > FORGOTTEN_AFTER * settings.heartbeatNanos();
+                && now - peer.lastHeardAt > PEER_EXPIRY_HEARTBEATS * settings.heartbeatNanos();
     }
 
-    /** Takes note of another's heartbeat and acknowledges it. */
+    /** Records a peer's heartbeat and acknowledges it. */
     void onHeartbeat(Heartbeat heartbeat) {
-        Peer peer = heard(heartbeat.from(), heartbeat.version());
+        Peer peer = recordContact(heartbeat.from(), heartbeat.version());
         peer.leaving = heartbeat.leaving();
         environment.send(
                 peer.host,
-                new HeartbeatAck(own, heartbeat.number(), register.chosenVersion(), register.acceptedVersion()));
+                new HeartbeatAck(
+                        ownIdentity, heartbeat.number(), register.chosenVersion(), register.acceptedVersion()));
     }
 
+    /** Records a peer's acknowledgement of a heartbeat. */
     void onHeartbeatAck(HeartbeatAck ack) {
-        Peer peer = heard(ack.from(), ack.version());
-        Long sent = peer.sentAt.remove(ack.number());
-        if (sent != null) {
-            peer.reachedAt = Math.max(peer.reachedAt, sent);
-            peer.ahead.removeIf(
-                    answer -> environment.now() - answer.sentAt > REMEMBERED_HEARTBEATS * settings.heartbeatNanos());
-            peer.ahead.add(new Answer(sent, ack.accepted()));
+        Peer peer = recordContact(ack.from(), ack.version());
+        Long sentAt = peer.heartbeatsSentAt.remove(ack.number());
+        if (sentAt != null) {
+            peer.reachedAt = Math.max(peer.reachedAt, sentAt);
+            peer.acksOfUnknownVersions.removeIf(earlier ->
+                    environment.now() - earlier.sentAt > ACK_VALIDITY_HEARTBEATS * settings.heartbeatNanos());
+            peer.acksOfUnknownVersions.add(new Acknowledgement(sentAt, ack.accepted()));
         }
     }
 
-    private Peer heard(PeerIdentity identity, long version) {
-        Peer peer = peer(identity.host());
+    private Peer recordContact(PeerIdentity identity, long version) {
+        Peer peer = getOrAddPeer(identity.host());
         if (!peer.hasId(identity.id())) {
-            peer.clearContact(); // what another disk at this address answered counts for nothing
+            peer.clearContact(); // acknowledgements of another disk at this address do not count
         }
         peer.identity = identity;
         peer.lastHeardAt = environment.now();
         if (version > register.chosenVersion()) {
-            register.fetchFrom(peer.host); // the sweep: whoever is behind fetches what it missed
+            register.fetchFrom(peer.host); // anti-entropy: a node that is behind fetches what it missed
         }
         return peer;
     }
 
     /**
-     * Whether a majority of voters answered what was sent within the lease, and what was chosen before that is known
-     * here. Computed from the clock at each call: a process that stood still has none when it wakes.
+     * Whether a majority of voters answered messages sent within the lease, and all that was chosen before then is
+     * known here. Computed from the clock at each call, so that a process that was suspended has no quorum
+     * when it resumes.
      */
     boolean hasQuorum() {
         return quorumContactAt() > environment.now() - settings.quorumLeaseNanos();
     }
 
     /**
-     * When that was sent which a majority of voters has answered, none of whom had accepted a state that we do not know
-     * by now; of a joint membership, majorities of both. Whatever was chosen before that moment is known here: it was
-     * accepted by a majority, which has a voter in common with the one that answered.
+     * The send time of the latest heartbeat that a majority of voters has answered without having accepted a state that
+     * is still unknown here; in a joint state, majorities of both voter sets. Everything chosen before that time is
+     * known here: it was accepted by a majority, which has a voter in common with the one that answered.
      */
     long quorumContactAt() {
-        return majorityAt(this::agreedAt);
+        return majorityContactAt(this::agreedAt);
     }
 
-    /** Takes note, now and then, of whether there is a quorum; returns what was noted before. */
+    /** Updates, once per tick, whether there is a quorum; returns the previous value. */
     boolean updateQuorum() {
-        boolean had = hadQuorum;
+        boolean previous = hadQuorum;
         hadQuorum = hasQuorum();
-        quorumSince = had ? quorumSince : environment.now();
-        return had;
+        quorumSince = previous ? quorumSince : environment.now();
+        return previous;
     }
 
     /**
-     * Whether there has been a quorum long enough for all that others sent meanwhile to have come. A control node that
-     * stood still or was cut off takes its own silence for theirs until then.
+     * Whether there has been a quorum long enough for everything that others sent meanwhile to have arrived. Until
+     * then, a control node that was suspended or cut off would mistake its own silence for theirs.
      */
     boolean hasSteadyQuorum() {
         return hadQuorum && hasQuorum() && environment.now() - quorumSince > settings.heartbeatNanos();
     }
 
-    /** Whether a majority answers at all, though it may have accepted what is unknown here. */
+    /** Whether a majority answers at all, even if it may have accepted states unknown here. */
     boolean reachesMajority() {
-        return majorityAt(this::reachedAt) > environment.now() - settings.quorumLeaseNanos();
+        return majorityContactAt(this::reachedAt) > environment.now() - settings.quorumLeaseNanos();
     }
 
-    private long majorityAt(ToLongFunction<Voter> contactAt) {
-        ReplicatedState basis = register.quorumState();
-        if (basis == null) {
+    /** The latest time by which a majority of each voter set was in contact; {@link #NEVER} if no voters are known. */
+    private long majorityContactAt(ToLongFunction<Voter> contactAt) {
+        ReplicatedState quorumState = register.quorumState();
+        if (quorumState == null) {
             return NEVER;
         }
         long at = environment.now();
-        for (List<Voter> set : basis.voterSets()) {
+        for (List<Voter> set : quorumState.voterSets()) {
             long[] contacts = set.stream().mapToLong(contactAt).sorted().toArray();
             at = Math.min(at, contacts[(contacts.length - 1) / 2]);
         }
@@ -218,28 +244,28 @@
     }
 
     private long reachedAt(Voter voter) {
-        return voter.id().equals(own.id()) ? environment.now() : latest(voter, peer -> peer.reachedAt);
+        return voter.id().equals(ownIdentity.id()) ? environment.now() : latestContactAt(voter, peer -> peer.reachedAt);
     }
 
     private long agreedAt(Voter voter) {
-        if (voter.id().equals(own.id())) {
+        if (voter.id().equals(ownIdentity.id())) {
             return Math.min(register.undecidedSince(), environment.now());
         }
-        return latest(voter, this::agreedAt);
+        return latestContactAt(voter, this::agreedAt);
     }
 
     private long agreedAt(Peer peer) {
-        long known = register.chosenVersion();
-        for (Answer answer : peer.ahead) {
-            if (answer.accepted <= known) {
-                peer.agreedAt = Math.max(peer.agreedAt, answer.sentAt);
+        long chosenVersion = register.chosenVersion();
+        for (Acknowledgement pending : peer.acksOfUnknownVersions) {
+            if (pending.acceptedVersion <= chosenVersion) {
+                peer.agreedAt = Math.max(peer.agreedAt, pending.sentAt);
             }
         }
-        peer.ahead.removeIf(answer -> answer.accepted <= known);
+        peer.acksOfUnknownVersions.removeIf(pending -> pending.acceptedVersion <= chosenVersion);
         return peer.agreedAt;
     }
 
-    private long latest(Voter voter, ToLongFunction<Peer> contactAt) {
+    private long latestContactAt(Voter voter, ToLongFunction<Peer> contactAt) {
         return peers.values().stream()
                 .filter(peer -> peer.hasId(voter.id()))
                 .mapToLong(contactAt)
--- a/control/src/main/java/saltdale/control/Proposer.java
+++ b/control/src/main/java/saltdale/control/Proposer.java
@@ -18,325 +18,351 @@
 import saltdale.control.message.BallotMessage.TextNeeded;
 
 /**
- * Runs ballots: each asks a majority for the newest state that any of them accepted, makes the next one of it, and has
- * a majority accept that. There is no standing leader; whoever has a change to make runs a ballot of its own.
+ * Runs the ballots of the consensus protocol. Each ballot asks a majority for the newest state that any of them has
+ * accepted, derives the next state from it, and has a majority accept the result. There is no standing leader: every
+ * control node that has a change to make runs a ballot of its own.
  */
 final class Proposer {
-    /** Makes the next state of the newest one; may refuse, and may find that there is nothing to be done. */
+    /** Derives the next state from the newest one; may reject the change, or find that there is nothing to do. */
     interface Change {
         ChangeResult apply(ReplicatedState newest, byte[] text);
     }
 
     /**
-     * What a change comes to: the next state (null: stays as it is), with its text where that is new, and the
-     * answer.
+     * The result of a change: the next state ({@code null} if the state stays as it is), its configuration text if that
+     * is new, and the answer for the caller.
      */
     record ChangeResult(ReplicatedState next, byte[] text, Object answer) {
+        /** Leaves the state as it is. */
         static ChangeResult unchanged(Object answer) {
             return new ChangeResult(null, null, answer);
         }
     }
 
-    /** Told of each state that is chosen for certain. */
+    /** Called with each state that is known for certain to be chosen. */
     interface ChosenListener {
         void onChosen(Ballot ballot, ReplicatedState state, byte[] text);
     }
 
-    private record Waiting(Change change, long until, Consumer<Object> answer) {}
+    private record QueuedChange(Change change, long deadline, Consumer<Object> onResult) {}
 
-    private static final long TRY =
-            Environment.millisToNanos(400); // for both questions of a ballot, disks and crossings included
-    private static final int LONGEST_TRY = 4; // times as long, after tries that no majority answered in time
-    /** The least pause after a try that another ballot overtook; doubled with each. */
-    private static final long PAUSE = Environment.millisToNanos(12);
+    /** Time limit for both phases of a ballot, including disk writes and network latency. */
+    private static final long BALLOT_TIMEOUT_NANOS = Environment.millisToNanos(400);
+    /** Upper limit of the timeout, as a multiple of the usual one, after ballots that no majority answered in time. */
+    private static final int MAX_BALLOT_TIMEOUT_FACTOR = 4;
+    /** The shortest delay before the retry of a ballot that was preempted by another; doubled with each preemption. */
+    private static final long MIN_RETRY_DELAY_NANOS = Environment.millisToNanos(12);
 
-    private static final long LONGEST_PAUSE = 32 * PAUSE; // unless the disks are slow
+    /** The longest retry delay, unless slow disks call for a longer one. */
+    private static final long MAX_RETRY_DELAY_NANOS = 32 * MIN_RETRY_DELAY_NANOS;
 
     private final Environment environment;
-    private final String life;
-    private final Acceptor own;
-    private final Function<String, Boolean> isSelf;
-    private final ChosenListener chosen;
-    private final Deque<Waiting> waiting = new ArrayDeque<>();
-    private Waiting current;
-    private Round round;
-    private long highest;
-    private int overtaken;
-    private long tryFor = TRY;
-    private long phase = PAUSE; // how long voters last took to promise, their disks included
-    /** The newest state known to be chosen, from which the voters are known; null where nothing is known yet. */
-    private ReplicatedState known;
+    private final String incarnation;
+    private final Acceptor localAcceptor;
+    private final Function<String, Boolean> isLocalVoter;
+    private final ChosenListener chosenListener;
+    private final Deque<QueuedChange> queue = new ArrayDeque<>();
+    private QueuedChange current;
+    private BallotRun activeRun;
+    private long highestRound;
+    private int preemptions;
+    private long ballotTimeoutNanos = BALLOT_TIMEOUT_NANOS;
+    /** How long the voters last took to promise, including their disk writes. */
+    private long prepareNanos = MIN_RETRY_DELAY_NANOS;
+    /** The newest state known to be chosen, which names the voters; {@code null} while nothing is known. */
+    private ReplicatedState knownState;
 
     private byte[] knownText;
     private boolean knownIsChosen;
 
     Proposer(
             Environment environment,
-            String life,
-            Acceptor own,
-            Function<String, Boolean> isSelf,
-            ChosenListener chosen) {
+            String incarnation,
+            Acceptor localAcceptor,
+            Function<String, Boolean> isLocalVoter,
+            ChosenListener chosenListener) {
         this.environment = environment;
-        this.life = life;
-        this.own = own;
-        this.isSelf = isSelf;
-        this.chosen = chosen;
+        this.incarnation = incarnation;
+        this.localAcceptor = localAcceptor;
+        this.isLocalVoter = isLocalVoter;
+        this.chosenListener = chosenListener;
     }
 
-    /** {@code certain}: it is chosen; else it may be, and serves only to find voters until something is certain. */
-    void learn(ReplicatedState state, byte[] text, boolean certain) {
-        if (known == null || certain && !knownIsChosen || certain && state.version() > known.version()) {
-            known = state;
+    /**
+     * Records a known state. If {@code isChosen} is false, the state may or may not be chosen, and serves only to find
+     * the voters until a chosen state is known.
+     */
+    void learn(ReplicatedState state, byte[] text, boolean isChosen) {
+        if (knownState == null || isChosen && !knownIsChosen || isChosen && state.version() > knownState.version()) {
+            knownState = state;
             knownText = text;
-            knownIsChosen = certain;
+            knownIsChosen = isChosen;
         }
     }
 
+    /** The state known to be chosen, or one that may be chosen while none is; {@code null} if there is neither. */
     ReplicatedState knownState() {
-        return known;
+        return knownState;
     }
 
-    /** The answer is null where no majority could be had in time: what was asked for may come to be or may not. */
-    void propose(Change change, long within, Consumer<Object> answer) {
-        waiting.add(new Waiting(change, environment.now() + within, answer));
-        next();
+    /**
+     * Queues a change. The result is {@code null} if no majority could be reached in time; the change may then still
+     * take effect or not.
+     */
+    void propose(Change change, long timeoutNanos, Consumer<Object> onResult) {
+        queue.add(new QueuedChange(change, environment.now() + timeoutNanos, onResult));
+        startNext();
     }
 
-    /** The same, ahead of all that waits: a repair must not wait for orders. */
-    void proposeWithPriority(Change change, long within, Consumer<Object> answer) {
-        waiting.addFirst(new Waiting(change, environment.now() + within, answer));
-        next();
+    /** Queues a change ahead of all waiting ones: a repair must not wait for operators' updates. */
+    void proposeWithPriority(Change change, long timeoutNanos, Consumer<Object> onResult) {
+        queue.addFirst(new QueuedChange(change, environment.now() + timeoutNanos, onResult));
+        startNext();
     }
 
-    private void next() {
-        if (current == null && !waiting.isEmpty()) {
-            current = waiting.poll();
-            overtaken = 0;
-            begin();
+    private void startNext() {
+        if (current == null && !queue.isEmpty()) {
+            current = queue.poll();
+            preemptions = 0;
+            startBallot();
         }
     }
 
-    private void begin() {
-        if (environment.now() >= current.until || known == null) {
+    private void startBallot() {
+        if (environment.now() >= current.deadline || knownState == null) {
             finish(null);
             return;
         }
-        // What was promised here to another would refuse this one at once.
-        highest = Math.max(highest, own.promisedBallot().round()) + 1;
-        round = new Round(new Ballot(highest, life));
-        round.prepare();
+        // The local acceptor would reject a ballot below the one that it promised to another proposer.
+        highestRound = Math.max(highestRound, localAcceptor.promisedBallot().round()) + 1;
+        activeRun = new BallotRun(new Ballot(highestRound, incarnation));
+        activeRun.prepare();
     }
 
-    /** Guards against disks so slow that no try is ever long enough. */
-    private void late(Round which) {
-        tryFor = Math.min(2 * tryFor, LONGEST_TRY * TRY);
-        again(which);
+    /** Lengthens the timeout, since with very slow disks the usual one would never be long enough. */
+    private void onTimeout(BallotRun run) {
+        ballotTimeoutNanos = Math.min(2 * ballotTimeoutNanos, MAX_BALLOT_TIMEOUT_FACTOR * BALLOT_TIMEOUT_NANOS);
+        retry(run);
     }
 
-    private void again(Round which) {
-        if (round != which) {
+    private void retry(BallotRun run) {
+        if (activeRun != run) {
             return;
         }
-        which.over();
-        round = null;
-        overtaken = Math.min(overtaken + 1, 5);
-        // Guards against two that overtake each other for ever.
-        long most = Math.min(phase << overtaken, Math.max(LONGEST_PAUSE, 4 * phase));
-        // Another try must fit into the time that is left, however slow the voters were of late.
-        long left = current.until() - environment.now();
-        long pause = Math.min((long) (most * (0.3 + environment.random().nextDouble())), Math.max(PAUSE, left / 3));
-        environment.schedule(pause, () -> {
-            if (round == null && current != null) {
-                begin();
+        run.cancelTimeout();
+        activeRun = null;
+        preemptions = Math.min(preemptions + 1, 5);
+        // Randomized backoff keeps two proposers from preempting each other forever.
+        long maxDelay = Math.min(prepareNanos << preemptions, Math.max(MAX_RETRY_DELAY_NANOS, 4 * prepareNanos));
+        // Leave time for another ballot before the deadline, however slow the voters were recently.
+        long remaining = current.deadline() - environment.now();
+        long delay = Math.min(
+                (long) (maxDelay * (0.3 + environment.random().nextDouble())),
+                Math.max(MIN_RETRY_DELAY_NANOS, remaining / 3));
+        environment.schedule(delay, () -> {
+            if (activeRun == null && current != null) {
+                startBallot();
             }
         });
     }
 
     private void finish(Object answer) {
-        Waiting done = current;
-        if (round != null) {
-            round.over();
-            round = null;
+        QueuedChange finished = current;
+        if (activeRun != null) {
+            activeRun.cancelTimeout();
+            activeRun = null;
         }
         current = null;
-        done.answer.accept(answer);
-        next();
+        finished.onResult.accept(answer);
+        startNext();
     }
 
-    /** A voter's reply; those to ballots that are over mean nothing any more. */
+    /** Handles a voter's reply; replies to ballots that have ended are ignored. */
     void handleReply(Reply reply) {
         if (reply instanceof Refusal refusal) {
-            highest = Math.max(highest, refusal.promised().round());
+            highestRound = Math.max(highestRound, refusal.promised().round());
         }
-        if (round != null && round.ballot.equals(reply.ballot())) {
-            round.reply(reply);
+        if (activeRun != null && activeRun.ballot.equals(reply.ballot())) {
+            activeRun.handleReply(reply);
         }
     }
 
-    /** Takes note of how long voters took; what took longer than any try may was a standstill of our own. */
-    private void measurePhase(long took) {
-        if (took <= tryFor) {
-            phase = Math.max(PAUSE, took);
+    /**
+     * Records how long the voters took to promise; a duration above the ballot timeout comes from a pause of this
+     * process and is ignored.
+     */
+    private void recordPrepareDuration(long durationNanos) {
+        if (durationNanos <= ballotTimeoutNanos) {
+            prepareNanos = Math.max(MIN_RETRY_DELAY_NANOS, durationNanos);
         }
     }
 
-    private final class Round {
+    /** One ballot of this proposer, from its prepare requests to the end of its accept phase. */
+    private final class BallotRun {
         final Ballot ballot;
-        private final Set<String> asked = new HashSet<>();
+        private final Set<String> contacted = new HashSet<>();
         private final Map<String, Ballot> promises = new HashMap<>();
-        private final Set<String> accepts = new HashSet<>();
+        private final Set<String> acceptedVoters = new HashSet<>();
         private Ballot newestBallot = Ballot.NONE;
-        private ReplicatedState newest = known;
+        private ReplicatedState newestState = knownState;
         private byte[] newestText = knownText;
-        private final ReplicatedState base = known;
+        private final ReplicatedState baseState = knownState;
         private final byte[] baseText = knownText;
-        private ReplicatedState put;
-        private byte[] putText;
+        private ReplicatedState proposedState;
+        private byte[] proposedText;
         private Object answer;
-        private final Runnable limit;
-        private final long begunAt = environment.now();
+        private final Runnable timeout;
+        private final long startedAt = environment.now();
 
-        Round(Ballot ballot) {
+        BallotRun(Ballot ballot) {
             this.ballot = ballot;
-            limit = environment.schedule(tryFor, () -> late(this));
+            timeout = environment.schedule(ballotTimeoutNanos, () -> onTimeout(this));
         }
 
-        void over() {
-            limit.run();
+        void cancelTimeout() {
+            timeout.run();
         }
 
         void prepare() {
-            for (List<Voter> set : newest.voterSets()) {
+            for (List<Voter> set : newestState.voterSets()) {
                 for (Voter voter : set) {
-                    if (round == this && put == null && asked.add(voter.id())) {
-                        ask(voter);
+                    if (activeRun == this && proposedState == null && contacted.add(voter.id())) {
+                        sendPrepare(voter);
                     }
                 }
             }
         }
 
-        private void ask(Voter voter) {
-            if (isSelf.apply(voter.id())) {
-                own.prepare(ballot, base.textKey(), Proposer.this::handleReply);
+        private void sendPrepare(Voter voter) {
+            if (isLocalVoter.apply(voter.id())) {
+                localAcceptor.prepare(ballot, baseState.textKey(), Proposer.this::handleReply);
             } else {
-                environment.send(voter.host(), new Prepare(ballot, base.textKey(), voter.id()));
+                environment.send(voter.host(), new Prepare(ballot, baseState.textKey(), voter.id()));
             }
         }
 
-        void reply(Reply reply) {
+        void handleReply(Reply reply) {
             if (reply instanceof Refusal) {
-                again(this);
+                retry(this);
             } else if (reply instanceof Promise promise) {
-                promised(promise);
+                onPromise(promise);
             } else if (reply instanceof Accepted accepted) {
-                accepts.add(accepted.voter());
-                acceptedBy();
-            } else if (reply instanceof TextNeeded needed) {
-                Voter which = voterOf(needed.voter());
-                if (put != null && which != null) {
-                    send(which, putText);
+                acceptedVoters.add(accepted.voter());
+                finishIfAccepted();
+            } else if (reply instanceof TextNeeded textNeeded) {
+                Voter voter = acceptVoter(textNeeded.voter());
+                if (proposedState != null && voter != null) {
+                    sendAccept(voter, proposedText);
                 }
             }
         }
 
-        private void promised(Promise promise) {
-            Ballot of = promise.accepted();
-            if (put != null || promises.put(promise.voter(), of) != null) {
+        private void onPromise(Promise promise) {
+            Ballot acceptedBallot = promise.accepted();
+            if (proposedState != null || promises.put(promise.voter(), acceptedBallot) != null) {
                 return;
             }
-            if (promise.state() != null && of.compareTo(newestBallot) > 0) {
-                newestBallot = of;
-                newest = promise.state();
-                newestText = newest.textKey().isEmpty() ? null : promise.text() != null ? promise.text() : baseText;
+            if (promise.state() != null && acceptedBallot.compareTo(newestBallot) > 0) {
+                newestBallot = acceptedBallot;
+                newestState = promise.state();
+                newestText =
+                        newestState.textKey().isEmpty() ? null : promise.text() != null ? promise.text() : baseText;
             }
-            prepare(); // of voters that only the newest state names
-            // Guards against old copies that name voters of their own: what is known to be chosen must be seen as well.
-            if (round == this
-                    && put == null
-                    && majority(promises.keySet(), base)
-                    && majority(promises.keySet(), newest)) {
-                measurePhase(environment.now() - begunAt);
-                put();
+            prepare(); // also asks the voters that only the newest state names
+            // Old copies of the state may name other voters, so a majority of the voters of the state known to be
+            // chosen must have answered as well.
+            if (activeRun == this
+                    && proposedState == null
+                    && hasMajority(promises.keySet(), baseState)
+                    && hasMajority(promises.keySet(), newestState)) {
+                recordPrepareDuration(environment.now() - startedAt);
+                startAcceptPhase();
             }
         }
 
-        private void put() {
-            boolean certain = newest.voterSets().stream()
+        private void startAcceptPhase() {
+            boolean isChosen = newestState.voterSets().stream()
                     .allMatch(set -> set.stream()
                                     .filter(v -> newestBallot.equals(promises.get(v.id())))
                                     .count()
                             > set.size() / 2);
-            ChangeResult step = current.change.apply(newest, newestText);
-            answer = step.answer();
-            if (step.next() == null && certain) {
-                chosen.onChosen(newestBallot, newest, newestText);
-                settle(newest);
+            ChangeResult result = current.change.apply(newestState, newestText);
+            answer = result.answer();
+            if (result.next() == null && isChosen) {
+                chosenListener.onChosen(newestBallot, newestState, newestText);
+                completeIfJoint(newestState);
                 finish(answer);
                 return;
             }
-            put = step.next() == null ? newest : step.next();
-            putText = step.next() != null && step.text() != null ? step.text() : newestText;
-            for (List<Voter> set : quorumsOfPut()) {
+            proposedState = result.next() == null ? newestState : result.next();
+            proposedText = result.next() != null && result.text() != null ? result.text() : newestText;
+            for (List<Voter> set : acceptVoterSets()) {
                 for (Voter voter : set) {
-                    if (round == this && asked.add("put " + voter.id())) {
-                        // Who may have the text is not sent it again: it asks where it does not.
-                        send(voter, put.textKey().equals(newest.textKey()) ? null : putText);
+                    if (activeRun == this && contacted.add("accept " + voter.id())) {
+                        // A voter that may already have the text is not sent it again; it requests the text if it
+                        // is missing.
+                        sendAccept(voter, proposedState.textKey().equals(newestState.textKey()) ? null : proposedText);
                     }
                 }
             }
         }
 
-        private List<List<Voter>> quorumsOfPut() {
-            return put.equals(newest) || put.voterSets().equals(newest.voterSets())
-                    ? put.voterSets()
-                    : List.of(newest.previousVoters(), newest.voters(), put.voters());
+        private List<List<Voter>> acceptVoterSets() {
+            return proposedState.equals(newestState)
+                            || proposedState.voterSets().equals(newestState.voterSets())
+                    ? proposedState.voterSets()
+                    : List.of(newestState.previousVoters(), newestState.voters(), proposedState.voters());
         }
 
-        private Voter voterOf(String id) {
-            return quorumsOfPut().stream()
+        private Voter acceptVoter(String id) {
+            return acceptVoterSets().stream()
                     .flatMap(List::stream)
                     .filter(v -> v.id().equals(id))
                     .findAny()
                     .orElse(null);
         }
 
-        private void send(Voter voter, byte[] text) {
-            if (isSelf.apply(voter.id())) {
-                own.accept(ballot, put, putText, Proposer.this::handleReply);
+        private void sendAccept(Voter voter, byte[] text) {
+            if (isLocalVoter.apply(voter.id())) {
+                localAcceptor.accept(ballot, proposedState, proposedText, Proposer.this::handleReply);
             } else {
-                environment.send(voter.host(), new Accept(ballot, put, text, voter.id()));
+                environment.send(voter.host(), new Accept(ballot, proposedState, text, voter.id()));
             }
         }
 
-        private void acceptedBy() {
-            for (List<Voter> set : quorumsOfPut()) {
-                if (set.stream().filter(v -> accepts.contains(v.id())).count() <= set.size() / 2) {
+        private void finishIfAccepted() {
+            for (List<Voter> set : acceptVoterSets()) {
+                if (set.stream().filter(v -> acceptedVoters.contains(v.id())).count() <= set.size() / 2) {
                     return;
                 }
             }
-            chosen.onChosen(ballot, put, putText);
-            tryFor = Math.max(TRY, tryFor / 2);
-            settle(put);
+            chosenListener.onChosen(ballot, proposedState, proposedText);
+            ballotTimeoutNanos = Math.max(BALLOT_TIMEOUT_NANOS, ballotTimeoutNanos / 2);
+            completeIfJoint(proposedState);
             finish(answer);
         }
 
-        /** Once a joint state is known to be chosen, by majorities of both, the old voters are needed no longer. */
-        private void settle(ReplicatedState joint) {
-            if (joint.isJoint()) {
-                waiting.addFirst(new Waiting(completeVoterChange(joint), environment.now() + 4 * TRY, done -> {}));
+        /**
+         * Once a joint state is known to be chosen, by majorities of both voter sets, the previous voters are
+         * no longer needed.
+         */
+        private void completeIfJoint(ReplicatedState state) {
+            if (state.isJoint()) {
+                queue.addFirst(new QueuedChange(
+                        completeVoterChange(state), environment.now() + 4 * BALLOT_TIMEOUT_NANOS, result -> {}));
             }
         }
 
-        private boolean majority(Set<String> who, ReplicatedState of) {
-            return of.voterSets().stream()
+        private boolean hasMajority(Set<String> voterIds, ReplicatedState state) {
+            return state.voterSets().stream()
                     .allMatch(set ->
-                            set.stream().filter(v -> who.contains(v.id())).count() > set.size() / 2);
+                            set.stream().filter(v -> voterIds.contains(v.id())).count() > set.size() / 2);
         }
     }
 
     /**
-     * Ends a change of voters; {@code joint} must be known to be chosen. One that was only accepted here and there may
-     * not be ended: a majority of the old voters need not know of it.
+     * Completes a change of voters. {@code joint} must be known to be chosen: a joint state that was only accepted by
+     * some voters must not be completed, since a majority of the previous voters need not know of it.
      */
     static Change completeVoterChange(ReplicatedState joint) {
         return (newest, text) -> newest.equals(joint)
--- a/control/src/main/java/saltdale/control/RecentChanges.java
+++ b/control/src/main/java/saltdale/control/RecentChanges.java
@@ -4,32 +4,35 @@
 import java.util.Arrays;
 
 /**
- * The orders that made the newest revisions of the configuration, so that one that is sent again after a lost answer is
- * known. Revisions form one chain and each is made by one order, so an entry is a digest of the order and the step from
- * the revision that it was based on to the one that it made. Immutable.
+ * The updates that made the newest revisions of the configuration, so that an update that is retried after a lost
+ * response is recognized. Revisions form one chain and each is made by one update, so an entry consists of the digest
+ * of the update and the step from its base revision to the revision that it made. Immutable.
  */
 public final class RecentChanges {
-    /** What is known of an order. */
+    /** The result of looking up an update. */
     enum LookupResult {
-        /** This very order made the revision that follows its base. */
+        /** This update made the revision that follows its base revision. */
         APPLIED,
-        /** No such order was taken. */
+        /** No such update was applied. */
         NOT_APPLIED,
-        /** Its base is older than what is remembered: it may have been taken. */
+        /** Its base revision is older than the oldest entry, so it may have been applied. */
         FORGOTTEN
     }
 
     /**
-     * So many orders are remembered: the hundreds of a day. An entry takes {@link #DIGEST_BYTES} and one byte more for
-     * usual steps, so that a whole memory takes 3.5 KB of each message that bears a state.
+     * The number of updates remembered; a day brings hundreds. An entry takes {@link #DIGEST_BYTES} and usually one
+     * byte more, so that a full table adds 3.5 KB to each message that contains a state.
      */
     static final int MAX_ENTRIES = 512;
 
-    /** A digest is compared with that of one order alone: it errs once in 2^48 orders that lost their race. */
+    /**
+     * The length of a digest. A digest is compared with that of one update only, so it is wrong once in 2^48 updates
+     * that lost to another one.
+     */
     static final int DIGEST_BYTES = 6;
 
     private static final int VARINT_BITS = 7;
-    private static final int VARINT_MORE = 1 << VARINT_BITS;
+    private static final int VARINT_CONTINUATION_BIT = 1 << VARINT_BITS;
 
     private final long coveredFrom;
     private final byte[] entries;
@@ -39,54 +42,55 @@
         this.entries = entries;
     }
 
-    /** Nothing is known of orders that were based on a revision below this one. */
+    /** An empty table: nothing is known of updates based on a revision below this one. */
     static RecentChanges startingAt(long revision) {
         return new RecentChanges(revision, new byte[0]);
     }
 
-    /** Reads a memory as another process or the disk tells it; it must end with the present revision. */
+    /** Reads a table from a message or from disk; its last entry must lead to the present revision. */
     static RecentChanges of(long coveredFrom, byte[] entries, long revision) throws MalformedMessage {
         Reader reader = new Reader(coveredFrom, entries);
         while (reader.next()) {
-            if (reader.made <= reader.base) {
-                throw new MalformedMessage("recent changes do not rise");
+            if (reader.newRevision <= reader.baseRevision) {
+                throw new MalformedMessage("recent changes: revisions do not increase");
             }
         }
-        if (reader.at != entries.length || reader.made != revision) {
+        if (reader.offset != entries.length || reader.newRevision != revision) {
             throw new MalformedMessage("recent changes do not lead to revision " + revision);
         }
         return new RecentChanges(coveredFrom, entries);
     }
 
-    /** Orders based on this revision or a later one are all known. */
+    /** All updates based on this revision or a later one are known. */
     long coveredFrom() {
         return coveredFrom;
     }
 
-    /** The entries, oldest first, as they are told and written. */
+    /** The encoded entries, oldest first, for messages and the disk. */
     byte[] entries() {
         return entries;
     }
 
-    /** Adds the order that made a revision; the oldest is forgotten where there are too many. */
-    RecentChanges with(long base, long made, byte[] digest) {
-        if (digest.length != DIGEST_BYTES || made <= base) {
-            throw new IllegalArgumentException("no change from " + base + " to " + made);
+    /** Adds the update that made a revision; drops the oldest entry if the table is full. */
+    RecentChanges with(long baseRevision, long newRevision, byte[] digest) {
+        if (digest.length != DIGEST_BYTES || newRevision <= baseRevision) {
+            throw new IllegalArgumentException("invalid change from revision " + baseRevision + " to " + newRevision);
         }
         Reader oldest = new Reader(coveredFrom, entries);
         boolean full = count() >= MAX_ENTRIES && oldest.next();
-        ByteArrayOutputStream all = new ByteArrayOutputStream(entries.length + DIGEST_BYTES + 2);
-        all.write(entries, oldest.at, entries.length - oldest.at);
-        all.writeBytes(digest);
-        long step = made - base;
-        while (step >= VARINT_MORE) {
-            all.write((int) (step % VARINT_MORE) | VARINT_MORE);
+        ByteArrayOutputStream encoded = new ByteArrayOutputStream(entries.length + DIGEST_BYTES + 2);
+        encoded.write(entries, oldest.offset, entries.length - oldest.offset);
+        encoded.writeBytes(digest);
+        long step = newRevision - baseRevision;
+        while (step >= VARINT_CONTINUATION_BIT) {
+            encoded.write((int) (step % VARINT_CONTINUATION_BIT) | VARINT_CONTINUATION_BIT);
             step >>= VARINT_BITS;
         }
-        all.write((int) step);
-        return new RecentChanges(full ? oldest.made : coveredFrom, all.toByteArray());
+        encoded.write((int) step);
+        return new RecentChanges(full ? oldest.newRevision : coveredFrom, encoded.toByteArray());
     }
 
+    /** The number of entries. */
     int count() {
         int count = 0;
         Reader reader = new Reader(coveredFrom, entries);
@@ -96,14 +100,14 @@
         return count;
     }
 
-    /** Looks up the order with this digest among those that were based on this revision. */
-    LookupResult find(long base, byte[] digest) {
-        if (base < coveredFrom) {
+    /** Looks up the update with this digest among those with this base revision. */
+    LookupResult find(long baseRevision, byte[] digest) {
+        if (baseRevision < coveredFrom) {
             return LookupResult.FORGOTTEN;
         }
         Reader reader = new Reader(coveredFrom, entries);
-        while (reader.next() && reader.base <= base) {
-            if (reader.base == base && reader.holds(digest)) {
+        while (reader.next() && reader.baseRevision <= baseRevision) {
+            if (reader.baseRevision == baseRevision && reader.matches(digest)) {
                 return LookupResult.APPLIED;
             }
         }
@@ -127,39 +131,39 @@
         return count() + " changes from " + coveredFrom;
     }
 
-    /** Goes through the entries in turn. */
+    /** Iterates over the entries. */
     private static final class Reader {
         private final byte[] entries;
-        private int digestAt;
-        private int at;
-        private long base;
-        private long made;
+        private int digestOffset;
+        private int offset;
+        private long baseRevision;
+        private long newRevision;
 
         Reader(long coveredFrom, byte[] entries) {
             this.entries = entries;
-            made = coveredFrom;
+            newRevision = coveredFrom;
         }
 
-        /** False at the end, and where an entry is cut short. */
+        /** Moves to the next entry; false at the end, and if an entry is truncated. */
         boolean next() {
             long step = 0;
             int shift = 0;
-            for (int next = at + DIGEST_BYTES; next < entries.length && shift < Long.SIZE; next++) {
-                step |= (long) (entries[next] & VARINT_MORE - 1) << shift;
+            for (int position = offset + DIGEST_BYTES; position < entries.length && shift < Long.SIZE; position++) {
+                step |= (long) (entries[position] & VARINT_CONTINUATION_BIT - 1) << shift;
                 shift += VARINT_BITS;
-                if ((entries[next] & VARINT_MORE) == 0) {
-                    digestAt = at;
-                    at = next + 1;
-                    base = made;
-                    made += step;
+                if ((entries[position] & VARINT_CONTINUATION_BIT) == 0) {
+                    digestOffset = offset;
+                    offset = position + 1;
+                    baseRevision = newRevision;
+                    newRevision += step;
                     return true;
                 }
             }
             return false;
         }
 
-        boolean holds(byte[] digest) {
-            return Arrays.equals(entries, digestAt, digestAt + DIGEST_BYTES, digest, 0, digest.length);
+        boolean matches(byte[] digest) {
+            return Arrays.equals(entries, digestOffset, digestOffset + DIGEST_BYTES, digest, 0, digest.length);
         }
     }
 }
--- a/control/src/main/java/saltdale/control/ReplicatedRegister.java
+++ b/control/src/main/java/saltdale/control/ReplicatedRegister.java
@@ -8,9 +8,9 @@
 import saltdale.control.message.BallotMessage.Fetch;
 import saltdale.control.message.BallotMessage.Prepare;
 
-/** A control node's part in the consensus: it votes, runs ballots, and knows the newest chosen state. */
+/** One control node's part in the consensus: it votes, runs ballots, and knows the newest chosen state. */
 public final class ReplicatedRegister {
-    /** Told whenever a newer state is known to be chosen. */
+    /** Called whenever a newer state is known to be chosen. */
     interface Listener {
         void onChosen(ReplicatedState state, byte[] text);
     }
@@ -21,23 +21,24 @@
     private final Proposer proposer;
     private final Listener listener;
     private ReplicatedState chosen;
-    private byte[] text;
+    private byte[] chosenText;
 
-    ReplicatedRegister(Environment environment, String id, String life, Listener listener) {
+    ReplicatedRegister(Environment environment, String id, String incarnation, Listener listener) {
         this.environment = environment;
         this.id = id;
         this.listener = listener;
         acceptor = new Acceptor(environment, id);
-        proposer = new Proposer(environment, life, acceptor, id::equals, (ballot, state, newText) -> {
-            learnt(state, newText);
-            tell();
+        proposer = new Proposer(environment, incarnation, acceptor, id::equals, (ballot, state, newText) -> {
+            learn(state, newText);
+            announceChosen();
         });
     }
 
+    /** Restores this node's votes from the records on disk. */
     void restore(Map<String, byte[]> records) throws MalformedMessage {
         acceptor.restore(records);
         if (acceptor.acceptedState() != null) {
-            // Not known to be chosen, but whoever is asked for promises is found by it.
+            // The accepted state is not known to be chosen, but it names the voters to ask for promises.
             proposer.learn(acceptor.acceptedState(), acceptor.acceptedText(), false);
         }
     }
@@ -47,57 +48,64 @@
         acceptor.writeWithNextVote(records);
     }
 
-    /** The first start of all, whose voters all know. */
+    /** Sets the state of the very first start of the cluster, whose voters are known from the settings. */
     void initialize(ReplicatedState state) {
         if (acceptor.acceptedState() == null) {
             proposer.learn(state, null, true);
         }
     }
 
-    /** The newest state known to be chosen; null where none is. */
+    /** The newest state known to be chosen; {@code null} if there is none. */
     public ReplicatedState chosen() {
         return chosen;
     }
 
+    /** The configuration text of the newest chosen state; {@code null} if there is none. */
     public byte[] chosenText() {
-        return text;
+        return chosenText;
     }
 
-    /** The version of the newest state known to be chosen; -1 where none is. */
+    /** The version of the newest state known to be chosen; -1 if there is none. */
     long chosenVersion() {
         return chosen == null ? -1 : chosen.version();
     }
 
-    /** The version of the newest state accepted here, which may have been chosen unknown to us; -1 where none is. */
+    /**
+     * The version of the newest state accepted here, which may have been chosen without this node knowing; -1 if there
+     * is none.
+     */
     long acceptedVersion() {
         return acceptor.acceptedVersion();
     }
 
-    /** Whether a state was accepted here of which it is not known whether it, or another in its place, was chosen. */
+    /**
+     * Whether a state was accepted here without it being known whether it, or another one of its version, was chosen.
+     */
     boolean hasUndecidedState() {
         return acceptor.acceptedVersion() > chosenVersion();
     }
 
-    /** Since when that is so. */
+    /** Since when there has been an undecided state; see {@link #hasUndecidedState}. */
     long undecidedSince() {
         return acceptor.undecidedSince(chosenVersion());
     }
 
-    /** The state whose voters are asked: chosen, or the newest that may be. */
+    /** The state whose voters are asked: the newest chosen one, or else the newest that may be chosen. */
     ReplicatedState quorumState() {
         return chosen != null ? chosen : proposer.knownState();
     }
 
-    void propose(Proposer.Change change, long within, Consumer<Object> answer) {
-        proposer.propose(change, within, answer);
+    /** See {@link Proposer#propose}. */
+    void propose(Proposer.Change change, long timeoutNanos, Consumer<Object> onResult) {
+        proposer.propose(change, timeoutNanos, onResult);
     }
 
-    /** The same, ahead of all that waits. */
-    void proposeWithPriority(Proposer.Change change, long within, Consumer<Object> answer) {
-        proposer.proposeWithPriority(change, within, answer);
+    /** Like {@link #propose}, but ahead of all waiting changes. */
+    void proposeWithPriority(Proposer.Change change, long timeoutNanos, Consumer<Object> onResult) {
+        proposer.proposeWithPriority(change, timeoutNanos, onResult);
     }
 
-    /** Takes part in a ballot, or hears of its end. */
+    /** Handles a consensus message from another control node. */
     void handleMessage(String fromHost, BallotMessage message) {
         if (message instanceof Prepare prepare) {
             if (prepare.voter().equals(id)) {
@@ -110,30 +118,30 @@
             }
         } else if (message instanceof BallotMessage.Reply reply) {
             proposer.handleReply(reply);
-        } else if (message instanceof Chosen news) {
-            heard(fromHost, news);
+        } else if (message instanceof Chosen announcement) {
+            handleChosen(fromHost, announcement);
         } else if (message instanceof Fetch fetch && chosen != null) {
-            boolean has = fetch.knownText().equals(chosen.textKey());
-            environment.send(fromHost, new Chosen(chosen, has ? null : text));
+            boolean requesterHasText = fetch.knownText().equals(chosen.textKey());
+            environment.send(fromHost, new Chosen(chosen, requesterHasText ? null : chosenText));
         }
     }
 
-    private void heard(String fromHost, Chosen news) {
-        ReplicatedState state = news.state();
+    private void handleChosen(String fromHost, Chosen announcement) {
+        ReplicatedState state = announcement.state();
         if (chosen != null && state.version() <= chosen.version()) {
             return;
         }
-        byte[] with = news.text() != null ? news.text() : textOf(state);
-        if (with == null && !state.textKey().isEmpty()) {
+        byte[] newText = announcement.text() != null ? announcement.text() : textOf(state);
+        if (newText == null && !state.textKey().isEmpty()) {
             fetchFrom(fromHost);
             return;
         }
-        learnt(state, with);
+        learn(state, newText);
     }
 
     private byte[] textOf(ReplicatedState state) {
         if (chosen != null && chosen.textKey().equals(state.textKey())) {
-            return text;
+            return chosenText;
         }
         return acceptor.acceptedState() != null
                         && acceptor.acceptedState().textKey().equals(state.textKey())
@@ -141,28 +149,28 @@
                 : null;
     }
 
-    /** Asks another control node for the newest chosen state. */
+    /** Requests the newest chosen state from another control node. */
     void fetchFrom(String host) {
         environment.send(host, new Fetch(chosen == null ? "" : chosen.textKey()));
     }
 
-    private void learnt(ReplicatedState state, byte[] newText) {
+    private void learn(ReplicatedState state, byte[] newText) {
         if (chosen != null && state.version() <= chosen.version()) {
             return;
         }
-        ReplicatedState before = chosen;
+        ReplicatedState previous = chosen;
         environment.check(
                 Invariant.REVISION_RISES,
-                before == null || state.revision() >= before.revision(),
+                previous == null || state.revision() >= previous.revision(),
                 () -> "version " + state.version() + " has revision " + state.revision() + ", version "
-                        + before.version() + " has " + before.revision());
+                        + previous.version() + " has " + previous.revision());
         chosen = state;
-        text = state.textKey().isEmpty() ? null : newText;
-        proposer.learn(state, text, true);
-        listener.onChosen(state, text);
+        chosenText = state.textKey().isEmpty() ? null : newText;
+        proposer.learn(state, chosenText, true);
+        listener.onChosen(state, chosenText);
     }
 
-    private void tell() {
+    private void announceChosen() {
         for (Voter voter : chosen.voters()) {
             if (!voter.id().equals(id)) {
                 environment.send(voter.host(), new Chosen(chosen, null));
--- a/control/src/main/java/saltdale/control/SetDigest.java
+++ b/control/src/main/java/saltdale/control/SetDigest.java
@@ -6,37 +6,38 @@
 import java.util.Map;
 
 /**
- * The digest of a set of parts, whatever their order: the sum of the parts' own digests, so that parts are added and
- * taken away without reading the others. It finds faults; it is no protection against forgers.
+ * An order-independent digest of a set of parts: the sum of the digests of the parts, so that parts can be added and
+ * removed without reading the others. It detects errors; it does not protect against forgery.
  */
 public record SetDigest(long high, long low) {
+    /** The digest of the empty set. */
     public static final SetDigest EMPTY = new SetDigest(0, 0);
 
-    /** With this part, a tree as {@link Trees} writes it. */
+    /** Adds a part, a tree in the sense of {@link Trees}. */
     public SetDigest plus(Object part) {
         ByteBuffer hash = ByteBuffer.wrap(sha256(Trees.toCbor(part)));
         return new SetDigest(high + hash.getLong(), low + hash.getLong());
     }
 
-    /** Without this part. */
+    /** Removes a part. */
     public SetDigest minus(Object part) {
         ByteBuffer hash = ByteBuffer.wrap(sha256(Trees.toCbor(part)));
         return new SetDigest(high - hash.getLong(), low - hash.getLong());
     }
 
-    /** The digest of members, by life, that were these and are those. */
+    /** Updates the digest of a set of members, given by incarnation before and after the change. */
     public SetDigest updated(Map<String, Member> before, Map<String, Member> after) {
         SetDigest digest = this;
-        for (Member was : before.values()) {
-            digest = was.equals(after.get(was.incarnation())) ? digest : digest.minus(was.tree());
+        for (Member previous : before.values()) {
+            digest = previous.equals(after.get(previous.incarnation())) ? digest : digest.minus(previous.tree());
         }
-        for (Member is : after.values()) {
-            digest = is.equals(before.get(is.incarnation())) ? digest : digest.plus(is.tree());
+        for (Member current : after.values()) {
+            digest = current.equals(before.get(current.incarnation())) ? digest : digest.plus(current.tree());
         }
         return digest;
     }
 
-    /** As it is written in messages. */
+    /** The digest as written in messages. */
     public String text() {
         return Long.toUnsignedString(high, 36) + "-" + Long.toUnsignedString(low, 36);
     }
--- a/control/src/main/java/saltdale/control/Subscriptions.java
+++ b/control/src/main/java/saltdale/control/Subscriptions.java
@@ -18,33 +18,34 @@
 import saltdale.control.message.SessionMessage.SnapshotRequest;
 
 /**
- * The sessions of the proxies that take their news from this control node: each is sent what it does not have yet. Of
- * the configuration and the members a proxy tells, when a session begins, what it has; from then on it is told what
- * differs. Who has no base that is known here is offered a snapshot and fetches it in parts, one at a time, so that
- * leases and news go between them on the narrowest link.
+ * The sessions of the proxies that receive their news from this control node; each proxy is sent what it does not have
+ * yet. When a session begins, the proxy reports which configuration and members it has; from then on it is sent the
+ * differences. A proxy whose base is not known here is offered a snapshot and fetches it in parts, one at a time, so
+ * that leases and news still get through between them on the slowest link.
  */
 final class Subscriptions {
-    /** So many bytes of a snapshot go at once. */
-    private static final int PART = 8192;
+    /** The number of bytes of a snapshot that are sent at once. */
+    private static final int SNAPSHOT_PART_BYTES = 8192;
 
-    /** Makes one piece of news of a session, given its number. */
-    private interface Numbered {
-        News of(long number);
+    /** Creates a news message of a session, given its sequence number. */
+    private interface NewsFactory {
+        News create(long number);
     }
 
+    /** The session of one proxy, and what it has been sent. */
     private static final class Subscriber {
         final String host;
         final String session;
         Member member;
-        long heardAt;
-        long sent; // pieces of news in this session
-        long revision; // of the configuration that it has once it has read all that it was sent
+        long lastRenewalAt;
+        long newsSent; // number of news messages sent in this session
+        long revision; // of the configuration that it has once it has processed all it was sent
         String digest;
-        boolean fetches; // it was offered a snapshot, and has not been sent the last part
-        MembershipTable.View members; // that it was told; null where it knows none
-        long instances = -1; // the edition of the instances
-        long ownedOf = -1; // the edition of the membership by which its instances were chosen
-        final Map<String, Instance.Phase> told = new HashMap<>(); // by instance
+        boolean fetchingSnapshot; // it was offered a snapshot, and has not been sent the last part yet
+        MembershipTable.View knownMembers; // the members it was sent; null if it knows none
+        long instancesEdition = -1; // the edition of the instance table sent last; -1 if none was sent
+        long membersEdition = -1; // the edition of the membership by which its instances were selected
+        final Map<String, Instance.Phase> sentPhases = new HashMap<>(); // the phase sent last, by instance
 
         Subscriber(String host, String session) {
             this.host = host;
@@ -58,11 +59,11 @@
     private final MembershipTable members;
     private final InstanceTable instances;
     private final BooleanSupplier isCurrent;
-    private final Map<String, Subscriber> subscribers = new LinkedHashMap<>(); // by life
-    private final Map<String, String> owners = new HashMap<>(); // lives, by service and zone
-    private long ownersOf = -1; // the edition of the membership by which these are the owners
+    private final Map<String, Subscriber> subscribers = new LinkedHashMap<>(); // by incarnation
+    private final Map<String, String> owners = new HashMap<>(); // incarnations, by service and zone
+    private long ownersEdition = -1; // the edition of the membership for which owners holds
 
-    /** {@code isCurrent}: whether what is known here is the newest, as far as the lease goes. */
+    /** {@code isCurrent}: whether the data of this node is the newest, as far as its lease guarantees that. */
     Subscriptions(
             Environment environment,
             ControlNodeSettings settings,
@@ -78,166 +79,182 @@
         this.isCurrent = isCurrent;
     }
 
-    /** A member has renewed its lease here; returns how many pieces of news its session was sent. */
+    /** Handles a lease renewal of a member; returns how many news messages its session was sent. */
     long onRenewal(String fromHost, LeaseRenewal renewal) {
-        String life = renewal.member().incarnation();
-        Subscriber subscriber = subscribers.get(life);
+        String incarnation = renewal.member().incarnation();
+        Subscriber subscriber = subscribers.get(incarnation);
         if (subscriber == null || !subscriber.session.equals(renewal.session())) {
             subscriber = new Subscriber(fromHost, renewal.session());
             subscriber.revision = renewal.revision();
             subscriber.digest = renewal.digest();
-            subscriber.members = members.recentView(renewal.membersDigest());
-            subscribers.put(life, subscriber);
+            subscriber.knownMembers = members.recentView(renewal.membersDigest());
+            subscribers.put(incarnation, subscriber);
         }
         subscriber.member = renewal.member();
-        subscriber.heardAt = environment.now();
+        subscriber.lastRenewalAt = environment.now();
         publish(subscriber);
-        return subscriber.sent;
+        return subscriber.newsSent;
     }
 
-    /** Sends the part of a snapshot that a proxy asks for, and behind the last part what has changed since. */
+    /** Sends the part of a snapshot that a proxy requests, and after the last part whatever has changed since. */
     void onSnapshotRequest(SnapshotRequest request) {
-        Subscriber to = subscribers.get(request.life());
-        boolean known = to != null && to.session.equals(request.session());
-        // Without a majority nothing old is handed out: the proxy asks again, here or elsewhere.
-        if (!known || configurations.newest() == null || !isCurrent.getAsBoolean()) {
+        Subscriber subscriber = subscribers.get(request.life());
+        boolean isKnownSession = subscriber != null && subscriber.session.equals(request.session());
+        // Without a majority no outdated data is sent; the proxy requests it again, here or elsewhere.
+        if (!isKnownSession || configurations.newest() == null || !isCurrent.getAsBoolean()) {
             return;
         }
         ConfigurationSnapshot snapshot = configurations.snapshot(request.digest());
         byte[] bytes = snapshot.bytes();
         boolean continues = snapshot.digest().equals(request.digest()) && request.offset() < bytes.length;
         int offset = continues ? request.offset() : 0;
-        int end = Math.min(bytes.length, offset + PART);
+        int end = Math.min(bytes.length, offset + SNAPSHOT_PART_BYTES);
         checkQuorum("a snapshot");
         environment.send(
-                to.host,
+                subscriber.host,
                 new SnapshotPart(
-                        to.session, snapshot.digest(), offset, bytes.length, Arrays.copyOfRange(bytes, offset, end)));
-        if (end == bytes.length && to.fetches) {
-            to.fetches = false;
-            to.revision = snapshot.tree().revision();
-            to.digest = snapshot.tree().digest();
-            publish(to);
+                        subscriber.session,
+                        snapshot.digest(),
+                        offset,
+                        bytes.length,
+                        Arrays.copyOfRange(bytes, offset, end)));
+        if (end == bytes.length && subscriber.fetchingSnapshot) {
+            subscriber.fetchingSnapshot = false;
+            subscriber.revision = snapshot.tree().revision();
+            subscriber.digest = snapshot.tree().digest();
+            publish(subscriber);
         }
     }
 
-    /** The life is over: it takes no more news. */
-    void endSession(String life) {
-        subscribers.remove(life);
+    /** Ends the session of a member whose lease is over. */
+    void endSession(String incarnation) {
+        subscribers.remove(incarnation);
     }
 
-    /** Sends this to all: that this control node may not know the newest any more, or that it ends. */
+    /**
+     * Sends a message to all proxies: that this control node may no longer know the newest state, or that it is
+     * shutting down.
+     */
     void broadcast(SessionMessage message) {
         subscribers.values().forEach(subscriber -> environment.send(subscriber.host, message));
     }
 
-    /** Sends each what has changed for it. */
+    /** Sends every proxy what has changed for it. */
     void publish() {
         long now = environment.now();
-        subscribers.values().removeIf(subscriber -> now - subscriber.heardAt > 4 * settings.heartbeatNanos());
+        subscribers.values().removeIf(subscriber -> now - subscriber.lastRenewalAt > 4 * settings.heartbeatNanos());
         subscribers.values().forEach(this::publish);
     }
 
-    private void publish(Subscriber to) {
+    private void publish(Subscriber subscriber) {
         if (configurations.newest() == null) {
             return;
         }
-        // Without a majority nothing old is handed out; instances are: the platform tells of those itself.
+        // Without a majority no outdated data is sent. Instances are: the platform itself reports those.
         if (isCurrent.getAsBoolean()) {
-            publishConfiguration(to);
+            publishConfiguration(subscriber);
             MembershipTable.View present = members.view();
-            if (to.members != present) {
-                publishMembers(to, present);
+            if (subscriber.knownMembers != present) {
+                publishMembers(subscriber, present);
             }
         }
-        if (to.instances != instances.edition() || to.ownedOf != members.edition()) {
-            publishInstances(to);
+        if (subscriber.instancesEdition != instances.edition() || subscriber.membersEdition != members.edition()) {
+            publishInstances(subscriber);
         }
     }
 
-    private void publishConfiguration(Subscriber to) {
+    private void publishConfiguration(Subscriber subscriber) {
         ConfigurationTree newest = configurations.newest();
-        boolean current = to.revision == newest.revision() && to.digest.equals(newest.digest());
-        if (current || to.fetches || to.revision > newest.revision()) {
+        boolean isUpToDate = subscriber.revision == newest.revision() && subscriber.digest.equals(newest.digest());
+        if (isUpToDate || subscriber.fetchingSnapshot || subscriber.revision > newest.revision()) {
             return;
         }
-        long base = to.revision;
-        String baseDigest = to.digest;
+        long base = subscriber.revision;
+        String baseDigest = subscriber.digest;
         Map<String, Object> change = configurations.changeSince(base, baseDigest);
         if (change == null) {
-            to.fetches = true;
-            tell(to, number -> new ConfigurationOffer(to.session, number, newest.revision()));
+            subscriber.fetchingSnapshot = true;
+            sendNews(subscriber, number -> new ConfigurationOffer(subscriber.session, number, newest.revision()));
             return;
         }
-        to.revision = newest.revision();
-        to.digest = newest.digest();
-        tell(
-                to,
-                number ->
-                        new ConfigurationChange(to.session, number, base, baseDigest, to.revision, to.digest, change));
+        subscriber.revision = newest.revision();
+        subscriber.digest = newest.digest();
+        sendNews(
+                subscriber,
+                number -> new ConfigurationChange(
+                        subscriber.session, number, base, baseDigest, subscriber.revision, subscriber.digest, change));
     }
 
-    private void publishMembers(Subscriber to, MembershipTable.View present) {
-        Map<String, Member> before = to.members == null ? Map.of() : to.members.byLife();
-        to.members = present;
-        List<Member> changed = present.byLife().values().stream()
+    private void publishMembers(Subscriber subscriber, MembershipTable.View present) {
+        Map<String, Member> before =
+                subscriber.knownMembers == null ? Map.of() : subscriber.knownMembers.byIncarnation();
+        subscriber.knownMembers = present;
+        List<Member> changed = present.byIncarnation().values().stream()
                 .filter(member -> !member.equals(before.get(member.incarnation())))
                 .toList();
         List<String> gone = before.keySet().stream()
-                .filter(life -> !present.byLife().containsKey(life))
+                .filter(incarnation -> !present.byIncarnation().containsKey(incarnation))
                 .toList();
-        boolean whole = before.isEmpty();
-        if (whole || !changed.isEmpty() || !gone.isEmpty()) {
-            tell(to, number -> new MembersChange(to.session, number, whole, changed, gone, present.digest()));
+        boolean isComplete = before.isEmpty();
+        if (isComplete || !changed.isEmpty() || !gone.isEmpty()) {
+            sendNews(
+                    subscriber,
+                    number ->
+                            new MembersChange(subscriber.session, number, isComplete, changed, gone, present.digest()));
         }
     }
 
-    /** Of the instances, a proxy is told those of services that it owns. */
-    private void publishInstances(Subscriber to) {
-        boolean first = to.instances < 0; // what went while it had no session is told too: it may still count on it
-        boolean moved = to.ownedOf != members.edition();
-        List<Instance> candidates = moved ? new ArrayList<>(instances.all()) : instances.since(to.instances);
+    /** Sends a proxy the instances of the services that it owns. */
+    private void publishInstances(Subscriber subscriber) {
+        // Instances that went while the proxy had no session are sent too: it may still use them.
+        boolean isFirstUpdate = subscriber.instancesEdition < 0;
+        boolean membersChanged = subscriber.membersEdition != members.edition();
+        List<Instance> candidates =
+                membersChanged ? new ArrayList<>(instances.all()) : instances.since(subscriber.instancesEdition);
         List<Instance> news = new ArrayList<>();
         for (Instance instance : candidates) {
-            boolean owns =
-                    owns(instance.service(), to.member.zone(), to) || owns(instance.service(), instance.zone(), to);
-            Instance.Phase told = to.told.get(instance.id());
-            boolean matters = first || told != null || instance.phase() != Instance.Phase.GONE;
-            if (owns && matters && instance.phase() != told) {
-                to.told.put(instance.id(), instance.phase());
+            boolean owns = owns(instance.service(), subscriber.member.zone(), subscriber)
+                    || owns(instance.service(), instance.zone(), subscriber);
+            Instance.Phase sentPhase = subscriber.sentPhases.get(instance.id());
+            boolean isRelevant = isFirstUpdate || sentPhase != null || instance.phase() != Instance.Phase.GONE;
+            if (owns && isRelevant && instance.phase() != sentPhase) {
+                subscriber.sentPhases.put(instance.id(), instance.phase());
                 news.add(instance);
-            } else if (!owns && told != null) {
-                to.told.remove(instance.id()); // its next owner is told; this one forgets it with its services
+            } else if (!owns && sentPhase != null) {
+                // The next owner is sent the instance; this proxy drops it together with its services.
+                subscriber.sentPhases.remove(instance.id());
             }
         }
-        to.instances = instances.edition();
-        to.ownedOf = members.edition();
+        subscriber.instancesEdition = instances.edition();
+        subscriber.membersEdition = members.edition();
         if (!news.isEmpty()) {
-            tell(to, number -> new InstancesNews(to.session, number, news));
+            sendNews(subscriber, number -> new InstancesNews(subscriber.session, number, news));
         }
     }
 
-    private boolean owns(String service, String zone, Subscriber who) {
-        if (ownersOf != members.edition()) {
-            ownersOf = members.edition();
+    /** Whether the subscriber owns a service in a zone. */
+    private boolean owns(String service, String zone, Subscriber subscriber) {
+        if (ownersEdition != members.edition()) {
+            ownersEdition = members.edition();
             owners.clear();
         }
         String owner = owners.computeIfAbsent(service + "@" + zone, key -> {
-            Member found = ServiceOwnership.of(service, zone, members.members());
-            return found == null ? "" : found.incarnation();
+            Member member = ServiceOwnership.of(service, zone, members.members());
+            return member == null ? "" : member.incarnation();
         });
-        return owner.equals(who.member.incarnation());
+        return owner.equals(subscriber.member.incarnation());
     }
 
-    private void tell(Subscriber to, Numbered numbered) {
-        News news = numbered.of(++to.sent);
+    private void sendNews(Subscriber subscriber, NewsFactory newsFactory) {
+        News news = newsFactory.create(++subscriber.newsSent);
         if (!(news instanceof InstancesNews)) {
             checkQuorum(news.kind().name());
         }
-        environment.send(to.host, news);
+        environment.send(subscriber.host, news);
     }
 
-    private void checkQuorum(String what) {
-        environment.check(Invariant.NEWS_WITH_QUORUM, isCurrent.getAsBoolean(), () -> "tells " + what + " without one");
+    private void checkQuorum(String subject) {
+        environment.check(
+                Invariant.NEWS_WITH_QUORUM, isCurrent.getAsBoolean(), () -> "sends " + subject + " without a quorum");
     }
 }
--- a/control/src/main/java/saltdale/control/Trees.java
+++ b/control/src/main/java/saltdale/control/Trees.java
@@ -12,9 +12,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Trees of maps, lists, texts, numbers, bytes and truth values, to and from CBOR (between processes) and JSON. */
+/**
+ * Converts trees of maps, lists, strings, numbers, byte arrays and booleans to and from CBOR (used between processes)
+ * and JSON.
+ */
 public final class Trees {
-    private static final int DEEPEST = 32;
+    private static final int MAX_DEPTH = 32;
 
     private Trees() {}
 
@@ -26,139 +29,143 @@
         static final JsonFactory FACTORY = new JsonFactory();
     }
 
+    /** Encodes a tree as CBOR. */
     public static byte[] toCbor(Object tree) {
-        return written(Cbor.FACTORY, tree);
+        return encode(Cbor.FACTORY, tree);
     }
 
+    /** Encodes a tree as JSON. */
     public static byte[] toJson(Object tree) {
-        return written(Json.FACTORY, tree);
+        return encode(Json.FACTORY, tree);
     }
 
+    /** Parses a CBOR object. */
     @SuppressWarnings("unchecked")
     public static Map<String, Object> fromCbor(byte[] bytes) throws MalformedMessage {
-        return (Map<String, Object>) read(Cbor.FACTORY, bytes, JsonToken.START_OBJECT, "object");
+        return (Map<String, Object>) decode(Cbor.FACTORY, bytes, JsonToken.START_OBJECT, "object");
     }
 
-    /** Reads an array, as messages between processes are written. */
+    /** Parses a CBOR array, the outer form of messages between processes. */
     @SuppressWarnings("unchecked")
     public static List<Object> listFromCbor(byte[] bytes) throws MalformedMessage {
-        return (List<Object>) read(Cbor.FACTORY, bytes, JsonToken.START_ARRAY, "array");
+        return (List<Object>) decode(Cbor.FACTORY, bytes, JsonToken.START_ARRAY, "array");
     }
 
+    /** Parses a JSON object. */
     @SuppressWarnings("unchecked")
     public static Map<String, Object> fromJson(byte[] bytes) throws MalformedMessage {
-        return (Map<String, Object>) read(Json.FACTORY, bytes, JsonToken.START_OBJECT, "object");
+        return (Map<String, Object>) decode(Json.FACTORY, bytes, JsonToken.START_OBJECT, "object");
     }
 
-    private static byte[] written(JsonFactory factory, Object tree) {
+    private static byte[] encode(JsonFactory factory, Object tree) {
         ByteArrayOutputStream out = new ByteArrayOutputStream(256);
-        try (JsonGenerator to = factory.createGenerator(out)) {
-            write(to, tree);
+        try (JsonGenerator generator = factory.createGenerator(out)) {
+            write(generator, tree);
         } catch (IOException e) {
-            throw new IllegalStateException("a tree that can't be written", e);
+            throw new IllegalStateException("the tree cannot be encoded", e);
         }
         return out.toByteArray();
     }
 
-    private static void write(JsonGenerator to, Object tree) throws IOException {
+    private static void write(JsonGenerator generator, Object tree) throws IOException {
         if (tree == null) {
-            to.writeNull();
+            generator.writeNull();
         } else if (tree instanceof String text) {
-            to.writeString(text);
+            generator.writeString(text);
         } else if (tree instanceof Integer number) {
-            to.writeNumber(number);
+            generator.writeNumber(number);
         } else if (tree instanceof Long number) {
-            to.writeNumber(number);
+            generator.writeNumber(number);
         } else if (tree instanceof Number number) {
-            to.writeNumber(number.doubleValue());
+            generator.writeNumber(number.doubleValue());
         } else if (tree instanceof Boolean flag) {
-            to.writeBoolean(flag);
+            generator.writeBoolean(flag);
         } else if (tree instanceof byte[] bytes) {
-            to.writeBinary(bytes);
+            generator.writeBinary(bytes);
         } else if (tree instanceof Map<?, ?> map) {
-            to.writeStartObject();
-            for (Map.Entry<?, ?> each : map.entrySet()) {
-                to.writeFieldName((String) each.getKey());
-                write(to, each.getValue());
+            generator.writeStartObject();
+            for (Map.Entry<?, ?> entry : map.entrySet()) {
+                generator.writeFieldName((String) entry.getKey());
+                write(generator, entry.getValue());
             }
-            to.writeEndObject();
+            generator.writeEndObject();
         } else if (tree instanceof List<?> list) {
-            to.writeStartArray();
-            for (Object each : list) {
-                write(to, each);
+            generator.writeStartArray();
+            for (Object element : list) {
+                write(generator, element);
             }
-            to.writeEndArray();
+            generator.writeEndArray();
         } else {
-            throw new IllegalArgumentException("no part of a tree: " + tree.getClass());
+            throw new IllegalArgumentException("not allowed in a tree: " + tree.getClass());
         }
     }
 
-    private static Object read(JsonFactory factory, byte[] bytes, JsonToken begins, String what)
+    private static Object decode(JsonFactory factory, byte[] bytes, JsonToken firstToken, String kind)
             throws MalformedMessage {
-        try (JsonParser from = factory.createParser(bytes)) {
-            if (from.nextToken() != begins) {
-                throw new MalformedMessage("not an " + what);
+        try (JsonParser parser = factory.createParser(bytes)) {
+            if (parser.nextToken() != firstToken) {
+                throw new MalformedMessage("not an " + kind);
             }
-            Object tree = value(from, 0);
-            if (from.nextToken() != null) {
-                throw new MalformedMessage("something stands behind the " + what);
+            Object tree = readValue(parser, 0);
+            if (parser.nextToken() != null) {
+                throw new MalformedMessage("unexpected data after the " + kind);
             }
             return tree;
         } catch (IOException | IllegalArgumentException e) {
-            throw new MalformedMessage("cannot be read: " + e.getClass().getSimpleName());
+            throw new MalformedMessage("cannot be parsed: " + e.getClass().getSimpleName());
         }
     }
 
-    private static Object value(JsonParser from, int depth) throws IOException, MalformedMessage {
-        if (depth > DEEPEST) {
+    private static Object readValue(JsonParser parser, int depth) throws IOException, MalformedMessage {
+        if (depth > MAX_DEPTH) {
             throw new MalformedMessage("nested too deeply");
         }
-        JsonToken token = from.currentToken();
+        JsonToken token = parser.currentToken();
         if (token == null) {
-            throw new MalformedMessage("cut short");
+            throw new MalformedMessage("truncated");
         }
         switch (token) {
             case START_OBJECT -> {
                 Map<String, Object> map = new LinkedHashMap<>();
-                while (from.nextToken() == JsonToken.FIELD_NAME) {
-                    String name = from.currentName();
-                    from.nextToken();
+                while (parser.nextToken() == JsonToken.FIELD_NAME) {
+                    String name = parser.currentName();
+                    parser.nextToken();
                     if (map.containsKey(name)) {
-                        throw new MalformedMessage("a name stands twice: " + name);
+                        throw new MalformedMessage("duplicate name: " + name);
                     }
-                    map.put(name, value(from, depth + 1));
+                    map.put(name, readValue(parser, depth + 1));
                 }
-                if (from.currentToken() != JsonToken.END_OBJECT) {
-                    throw new MalformedMessage("cut short");
+                if (parser.currentToken() != JsonToken.END_OBJECT) {
+                    throw new MalformedMessage("truncated");
                 }
                 return map;
             }
             case START_ARRAY -> {
                 List<Object> list = new ArrayList<>();
-                while (from.nextToken() != JsonToken.END_ARRAY) {
-                    list.add(value(from, depth + 1));
+                while (parser.nextToken() != JsonToken.END_ARRAY) {
+                    list.add(readValue(parser, depth + 1));
                 }
                 return list;
             }
             case VALUE_STRING -> {
-                return from.getText();
+                return parser.getText();
             }
             case VALUE_NUMBER_INT -> {
-                return from.getLongValue();
+                return parser.getLongValue();
             }
             case VALUE_NUMBER_FLOAT -> {
-                return from.getDoubleValue();
+                return parser.getDoubleValue();
             }
             case VALUE_TRUE, VALUE_FALSE -> {
                 return token == JsonToken.VALUE_TRUE;
             }
             case VALUE_EMBEDDED_OBJECT -> {
-                return from.getBinaryValue();
+                return parser.getBinaryValue();
             }
             case VALUE_NULL -> {
                 return null;
             }
-            default -> throw new MalformedMessage("no value");
+            default -> throw new MalformedMessage("unsupported value");
         }
     }
 }
--- a/control/src/main/java/saltdale/control/Voter.java
+++ b/control/src/main/java/saltdale/control/Voter.java
@@ -2,7 +2,10 @@
 
 import java.util.List;
 
-/** A control node that votes: {@code id} is of its disk, so that one whose disk was lost is another voter. */
+/**
+ * A control node that votes. The {@code id} belongs to its disk: a control node that has lost its disk is
+ * a different voter.
+ */
 public record Voter(String id, String name, String host) {
     List<Object> tree() {
         return List.of(id, name, host);
@@ -16,10 +19,12 @@
                 && list.get(2) instanceof String host) {
             return new Voter(id, name, host);
         }
-        throw new MalformedMessage("no voter");
+        throw new MalformedMessage("not a voter");
     }
 
-    /** The id of a control node of the first start of all, which all can tell from its address. */
+    /**
+     * The id of a control node in the very first start of the cluster, which all control nodes derive from its address.
+     */
     static String initialId(String host) {
         return "first:" + host;
     }
--- a/control/src/main/java/saltdale/control/VoterChanges.java
+++ b/control/src/main/java/saltdale/control/VoterChanges.java
@@ -5,9 +5,12 @@
 import java.util.List;
 import java.util.Map;
 
-/** Which control nodes should vote: who gives its place to a new one, and when pairs are added or dropped. */
+/**
+ * Decides which control nodes should vote: which voter is replaced by a new one, and when pairs of voters are
+ * added or removed.
+ */
 class VoterChanges {
-    /** Makes the voter changes of a control node. */
+    /** Creates the {@link VoterChanges} of a control node; tests supply faulty variants. */
     interface Factory {
         VoterChanges create(
                 Environment environment,
@@ -17,21 +20,30 @@
                 String id);
     }
 
-    /** More voters than this make each ballot dearer and bear no more losses than a deployment asks for. */
-    private static final int MOST_VOTERS = 7;
+    /**
+     * The largest number of voters: more would make each ballot more expensive and would tolerate more losses than any
+     * deployment asks for.
+     */
+    private static final int MAX_VOTERS = 7;
 
-    /** So many heartbeat intervals a pair must have been spare to vote beyond what the tolerated losses need. */
-    private static final int SPARE_FOR = 20;
+    /**
+     * The number of heartbeat intervals for which a pair must have been spare before it votes beyond the number of
+     * voters that the tolerated losses need.
+     */
+    private static final int SPARE_HEARTBEATS = 20;
 
-    /** The same where all should vote: until then it is known whether the pair takes the place of two that are gone. */
-    private static final int SPARE_FOR_PLACES = 3;
+    /**
+     * The same where zones or regions may be lost and all control nodes should vote: long enough to tell whether the
+     * pair replaces two voters that are gone.
+     */
+    private static final int SPARE_HEARTBEATS_WITH_ZONE_LOSSES = 3;
 
     private final Environment environment;
     private final ControlNodeSettings settings;
     private final PeerContacts peers;
     private final DutyElection election;
     private final String id;
-    private long jointVersion = -1; // of the newest joint state seen, and since when
+    private long jointVersion = -1; // version of the newest joint state seen, and since when
     private long jointSince;
     private final Map<String, Long> spareSince = new HashMap<>(); // by id of a candidate
 
@@ -49,8 +61,8 @@
     }
 
     /**
-     * What is to be put forward now, null where nothing is; {@code elected}: this control node holds the duty, or
-     * nobody does; {@code leaving}: it is about to end.
+     * The change to propose now, or {@code null} if there is none. {@code elected}: this control node holds the duty,
+     * or nobody does. {@code leaving}: this control node is shutting down.
      */
     Proposer.Change nextChange(ReplicatedState state, boolean elected, boolean leaving) {
         if (state.isJoint()) {
@@ -61,13 +73,14 @@
         if (!elected && !replacesItself) {
             return null;
         }
-        List<Voter> next = next(state, candidates, leaving);
-        return next.equals(state.voters()) ? null : change(state, next);
+        List<Voter> nextVoters = nextVoters(state, candidates, leaving);
+        return nextVoters.equals(state.voters()) ? null : replaceVoters(state, nextVoters);
     }
 
     /**
-     * Whether this control node ends a change of voters that is known to be chosen. Any may, whoever holds the duty,
-     * but who proposed it, or holds the duty, goes first: ballots that overtake each other are slow.
+     * Whether this control node should complete a change of voters that is known to be chosen. Any control node may,
+     * whoever holds the duty, but the proposer or the duty holder goes first, because ballots that preempt each other
+     * are slow.
      */
     boolean shouldComplete(ReplicatedState joint, boolean elected) {
         if (joint.version() != jointVersion) {
@@ -77,26 +90,29 @@
         return elected || environment.now() - jointSince > settings.heartbeatNanos() / 2;
     }
 
-    /** Whether this control node, about to end, should wait: another can take its place but has not yet done so. */
+    /**
+     * Whether this control node, which is shutting down, should wait because another one can replace it but has not
+     * done so yet.
+     */
     boolean isAwaitingSuccessor(ReplicatedState state) {
-        boolean votes = state.voterSets().stream()
+        boolean isVoter = state.voterSets().stream()
                 .flatMap(List::stream)
                 .anyMatch(voter -> voter.id().equals(id));
-        return votes && (state.isJoint() || !candidates(state).isEmpty());
+        return isVoter && (state.isJoint() || !candidates(state).isEmpty());
     }
 
-    /** The voters to have: one whose disk was lost, or that is gone, gives its place to a new one. */
-    private List<Voter> next(ReplicatedState state, List<PeerContacts.Peer> candidates, boolean leaving) {
+    /** The voters that there should be: a voter that lost its disk, or is gone, is replaced by a new one. */
+    private List<Voter> nextVoters(ReplicatedState state, List<PeerContacts.Peer> candidates, boolean leaving) {
         List<Voter> voters = new ArrayList<>(state.voters());
         for (int i = 0; i < voters.size(); i++) {
-            Voter old = voters.get(i);
-            PeerContacts.Peer same = candidates.stream()
-                    .filter(peer -> peer.host.equals(old.host()))
+            Voter voter = voters.get(i);
+            PeerContacts.Peer replacement = candidates.stream()
+                    .filter(peer -> peer.host.equals(voter.host()))
                     .findAny()
                     .orElse(null);
-            if (same != null) {
-                voters.set(i, same.voter());
-                candidates.remove(same);
+            if (replacement != null) {
+                voters.set(i, replacement.voter());
+                candidates.remove(replacement);
             }
         }
         for (int i = 0; i < voters.size() && !candidates.isEmpty(); i++) {
@@ -104,34 +120,37 @@
                 voters.set(i, candidates.remove(0).voter());
             }
         }
-        if (candidates.size() >= 2 && mayGrow(voters, candidates)) {
+        if (candidates.size() >= 2 && mayAddPair(voters, candidates)) {
             voters.add(candidates.get(0).voter());
             voters.add(candidates.get(1).voter());
         } else if (candidates.isEmpty()) {
-            dropPair(voters, leaving);
+            removeGonePair(voters, leaving);
         }
         return voters;
     }
 
     /**
-     * As many vote as the tolerated losses need; more only if a pair has been spare for a while. Guards against
-     * successors that come before those whose place they take are known to be gone: voters that never return would
-     * stay in the majority to be had.
+     * Whether a pair of voters may be added: up to the number that the tolerated losses need, and beyond it only if the
+     * pair has been spare for a while. Otherwise successors that arrive before their predecessors are known to be gone
+     * would be added, and voters that never return would still count towards the majority.
      */
-    private boolean mayGrow(List<Voter> voters, List<PeerContacts.Peer> candidates) {
+    private boolean mayAddPair(List<Voter> voters, List<PeerContacts.Peer> candidates) {
         if (voters.size() + 2 <= settings.toleratedLosses().requiredVoters()) {
             return true;
         }
         long pairSince = Math.max(spareSince(candidates.get(0)), spareSince(candidates.get(1)));
-        int spareFor = settings.toleratedLosses().includesZonesOrRegions() ? SPARE_FOR_PLACES : SPARE_FOR;
-        return voters.size() + 2 <= MOST_VOTERS && environment.now() - pairSince > spareFor * settings.heartbeatNanos();
+        int spareHeartbeats = settings.toleratedLosses().includesZonesOrRegions()
+                ? SPARE_HEARTBEATS_WITH_ZONE_LOSSES
+                : SPARE_HEARTBEATS;
+        return voters.size() + 2 <= MAX_VOTERS
+                && environment.now() - pairSince > spareHeartbeats * settings.heartbeatNanos();
     }
 
     /**
-     * Of more voters than needed, two that are gone and have no successor vote no longer. Not where a zone or region
-     * may be lost: its machines come back, and must vote when the next one goes.
+     * Removes two voters that are gone and have no successor, if there are more voters than needed. Not done where a
+     * zone or region may be lost: its machines come back, and must vote when the next zone or region is lost.
      */
-    private void dropPair(List<Voter> voters, boolean leaving) {
+    private void removeGonePair(List<Voter> voters, boolean leaving) {
         List<Voter> gone =
                 voters.stream().filter(voter -> isGone(voter, leaving)).toList();
         if (gone.size() >= 2
@@ -155,10 +174,11 @@
                 .toList());
         List<String> ids = candidates.stream().map(peer -> peer.identity.id()).toList();
         spareSince.keySet().retainAll(ids);
-        ids.forEach(each -> spareSince.putIfAbsent(each, now));
+        ids.forEach(candidateId -> spareSince.putIfAbsent(candidateId, now));
         return candidates;
     }
 
+    /** Whether a voter is shutting down, unknown, or has been silent for longer than the vacancy timeout. */
     private boolean isGone(Voter voter, boolean leaving) {
         if (voter.id().equals(id)) {
             return leaving;
@@ -167,10 +187,10 @@
         return peer == null || peer.leaving || election.unheard(peer.hasId(voter.id()) ? peer.lastHeardAt : 0);
     }
 
-    /** Puts these voters forward, unless others are by now. */
-    private static Proposer.Change change(ReplicatedState seen, List<Voter> next) {
-        return (newest, text) -> newest.isJoint() || !newest.voters().equals(seen.voters())
+    /** Proposes these voters, unless the voters have changed meanwhile. */
+    private static Proposer.Change replaceVoters(ReplicatedState expected, List<Voter> newVoters) {
+        return (newest, text) -> newest.isJoint() || !newest.voters().equals(expected.voters())
                 ? Proposer.ChangeResult.unchanged(null)
-                : new Proposer.ChangeResult(newest.withVoters(next), null, Boolean.TRUE);
+                : new Proposer.ChangeResult(newest.withVoters(newVoters), null, Boolean.TRUE);
     }
 }
