--- a/control/src/main/java/saltdale/control/PeerContacts.java
+++ b/control/src/main/java/saltdale/control/PeerContacts.java
@@ -93,7 +93,7 @@
         setSeeds(settings.seeds());
     }
 
-    /** Sets the seed hosts from the settings; seeds are never removed. */
+    /** Sets the seed hosts from the settings; a seed host never expires. */
     void setSeeds(List<String> hosts) {
         seeds = List.copyOf(hosts);
         seeds.stream().filter(host -> !host.equals(ownIdentity.host())).forEach(this::getOrAddPeer);
--- a/control/src/main/java/saltdale/control/Proposer.java
+++ b/control/src/main/java/saltdale/control/Proposer.java
@@ -106,8 +106,8 @@
     }
 
     /**
-     * Queues a change. The result is {@code null} if no majority could be reached in time; the change may then still
-     * take effect or not.
+     * Queues a change. The result is {@code null} if no majority could be reached in time; the change may then take
+     * effect later, or not at all.
      */
     void propose(Change change, long timeoutNanos, Consumer<Object> onResult) {
         queue.add(new QueuedChange(change, environment.now() + timeoutNanos, onResult));
--- a/control/src/main/java/saltdale/control/ReplicatedState.java
+++ b/control/src/main/java/saltdale/control/ReplicatedState.java
@@ -19,7 +19,7 @@
         long revision,
         String textKey,
         RecentChanges recentChanges) {
-    /** The state from which all control nodes of a first start begin. */
+    /** The state from which all control nodes begin whose settings say that this is the first start. */
     public static ReplicatedState initial(List<Voter> voters) {
         return new ReplicatedState(0, voters, voters, Map.of(), 0, "", RecentChanges.startingAt(0));
     }
