--- a/control/src/main/java/saltdale/control/Trees.java
+++ b/control/src/main/java/saltdale/control/Trees.java
@@ -112,7 +112,7 @@
             }
             return tree;
         } catch (IOException | IllegalArgumentException e) {
-            throw new MalformedMessage("cannot be parsed: " + e.getClass().getSimpleName());
+            throw new MalformedMessage("cannot be read: " + e.getClass().getSimpleName());
         }
     }
 
