--- a/proxy/src/test/java/saltdale/proxy/DutyTest.java
+++ b/proxy/src/test/java/saltdale/proxy/DutyTest.java
@@ -115,7 +115,7 @@
             world.run(5000);
             assertThat(holder(world), is(not(holder)));
             List<String> asked = world.platform.duties.stream()
-                    .map(SimPlatform.Duty::what)
+                    .map(SimPlatform.Duty::target)
                     .distinct()
                     .toList();
             assertThat("the same nonce", asked, hasSize(1));
--- a/proxy/src/test/java/saltdale/proxy/ProxyClusterTest.java
+++ b/proxy/src/test/java/saltdale/proxy/ProxyClusterTest.java
@@ -370,7 +370,7 @@
             over[0] = true;
             world.run(12_000);
             List<SimPlatform.Duty> stops = world.platform.duties.subList(before, world.platform.duties.size()).stream()
-                    .filter(d -> d.kind().equals("stop") && d.fence() > fence && !leaving.contains(d.what()))
+                    .filter(d -> d.kind().equals("stop") && d.fence() > fence && !leaving.contains(d.target()))
                     .toList();
             assertThat("it stops what is idle in the end", stops, is(not(empty())));
             assertThat("seed " + seed, (stops.get(0).at() - won) / 1_000_000, greaterThan(4000L));
--- a/proxy/src/test/java/saltdale/proxy/SimCore.java
+++ b/proxy/src/test/java/saltdale/proxy/SimCore.java
@@ -46,7 +46,7 @@
     /** Deliberate fault: the identity survives the loss of the disk. */
     boolean keepsIdentityOnWipe;
 
-    private long acknowledgedRevision; // the newest one
+    private long acknowledgedRevision;
     private long lastEventAt; // when the last loss, return or acknowledgement happened
     private long recoveredAt; // when no machine counts as lost any more
     private final Set<SimMachine> leaving = new HashSet<>(); // members that got SIGTERM
@@ -75,7 +75,7 @@
         return world.machines.get(host);
     }
 
-    /** Returns a voter by number; number 0 is the duty holder. */
+    /** Returns a running voter by number; the duty holder, if it is one of them, comes first. */
     SimMachine victim(int number) {
         List<SimMachine> all = new ArrayList<>(runningVoters());
         String holder = world.newestChosen.duty("starting").name();
--- a/proxy/src/test/java/saltdale/proxy/SimMachine.java
+++ b/proxy/src/test/java/saltdale/proxy/SimMachine.java
@@ -23,6 +23,7 @@
         HANGING
     }
 
+    /** Records that are written but not synced; {@code done} gets whether the sync succeeded. */
     private record Write(Map<String, byte[]> records, Process process, Consumer<Boolean> done) {}
 
     private final SimWorld world;
@@ -39,10 +40,12 @@
     long syncNanos = NORMAL_SYNC_NANOS;
     Process process;
     boolean frozen;
-    /** Offset of the wall clock; only a deliberately faulty variant reads that clock. */
+    /** Offset of the wall clock, which only a deliberately faulty variant reads. */
     long wallClockOffsetNanos;
 
+    /** Deliberate fault: leases are measured by the wall clock. */
     boolean leasesByWallClock;
+    /** Tasks that came due while the process was frozen. */
     private final List<Runnable> deferred = new ArrayList<>();
 
     SimMachine(
@@ -64,6 +67,7 @@
         return process == null ? null : process.proxy;
     }
 
+    /** The identity stored on the disk, or an empty string. */
     String id() {
         return synced.containsKey("identity") ? new String(synced.get("identity")) : "";
     }
@@ -93,6 +97,7 @@
         end();
     }
 
+    /** Ends the process and empties the disk. */
     void wipe() {
         end();
         synced = new LinkedHashMap<>();
@@ -101,15 +106,15 @@
     /** Sends SIGTERM, and SIGKILL after the grace period; {@code onEnd} runs once the process has ended. */
     void terminate(long graceMillis, Runnable onEnd) {
         Process terminated = process;
-        Runnable kill = () -> {
+        Runnable killIfRunning = () -> {
             if (process == terminated) {
                 kill();
                 onEnd.run();
             }
         };
-        terminated.deliver(
-                () -> terminated.controlNode.end(graceMillis * 700_000, () -> world.schedule(50_000_000, kill)));
-        world.schedule(graceMillis * 1_000_000, kill);
+        terminated.deliver(() ->
+                terminated.controlNode.end(graceMillis * 700_000, () -> world.schedule(50_000_000, killIfRunning)));
+        world.schedule(graceMillis * 1_000_000, killIfRunning);
     }
 
     /** Ends the process; a random prefix of the writes that were not synced survives. */
@@ -135,6 +140,7 @@
         });
     }
 
+    /** Syncs the oldest write and then the others, one at a time. */
     void sync() {
         if (writing || writes.isEmpty() || disk == Disk.HANGING) {
             return;
--- a/proxy/src/test/java/saltdale/proxy/SimPlatform.java
+++ b/proxy/src/test/java/saltdale/proxy/SimPlatform.java
@@ -22,7 +22,7 @@
  */
 final class SimPlatform {
     /** A start or stop that has reached the platform. */
-    record Duty(long at, String kind, String holder, long fence, String what, int status) {}
+    record Duty(long at, String kind, String holder, long fence, String target, int status) {}
 
     static final class Worker {
         final String name;
@@ -42,8 +42,8 @@
         final String address = "10.64." + instanceCount / 200 + "." + instanceCount % 200 + ":8080";
         final String service;
         final Worker worker;
-        final long begunAt = world.now();
-        final long upAt;
+        final long startedAt = world.now();
+        final long readyAt;
         long drainingAt = Long.MAX_VALUE;
         long goneAt = Long.MAX_VALUE;
         int busy;
@@ -52,16 +52,17 @@
         Instance(String service, Worker worker) {
             this.service = service;
             this.worker = worker;
-            upAt = begunAt + Environment.millis(bootMs);
+            readyAt = startedAt + Environment.millis(bootMs);
         }
 
         boolean acceptsConnections() {
-            return world.now() >= upAt && world.now() < goneAt;
+            return world.now() >= readyAt && world.now() < goneAt;
         }
 
+        /** Starts to drain; the instance is gone a little after the drain time that the list shows. */
         void drain() {
             drainingAt = world.now();
-            goneAt = world.now() + Environment.millis(listLagMs + 4500); // a little after the drain time as listed
+            goneAt = world.now() + Environment.millis(listLagMs + 4500);
         }
     }
 
@@ -72,7 +73,7 @@
         final List<Attempt.End> ends = new ArrayList<>();
         int runs;
         long answeredAt;
-        SimMachine.Process at;
+        SimMachine.Process proxyProcess;
 
         OutgoingCall(boolean idempotent) {
             this.idempotent = idempotent;
@@ -80,14 +81,16 @@
 
         /** Whether the process that accepted the call has ended. */
         boolean isLost() {
-            return at == null || at.dead;
+            return proxyProcess == null || proxyProcess.dead;
         }
 
+        /** Whether the client got this status and no other answer. */
         boolean is(int status) {
             return answers.equals(List.of(status));
         }
     }
 
+    /** An attempt that a proxy sends to an instance. */
     private final class Exchange {
         final Attempt attempt;
         final SimMachine.Process from;
@@ -101,7 +104,8 @@
             this.to = to;
         }
 
-        void end(Attempt.End end) {
+        /** Reports the end of the attempt to the proxy, unless the connection is closed by then. */
+        void reportEnd(Attempt.End end) {
             world.schedule(
                     world.randomDelayNanos(),
                     () -> from.deliver(() -> {
@@ -120,10 +124,10 @@
         /** Closes the connection; the instance then aborts the work. */
         void close() {
             closed = true;
-            world.schedule(world.randomDelayNanos(), this::done);
+            world.schedule(world.randomDelayNanos(), this::releaseSlot);
         }
 
-        void done() {
+        void releaseSlot() {
             if (working) {
                 working = false;
                 to.busy--;
@@ -153,18 +157,29 @@
     private final Deque<String> dutyCalls = new ArrayDeque<>();
     long highestFence;
     long bootMs = 500;
+    /** Age of the state that the platform's lists show. */
     long listLagMs = 800;
+
     long workMs = 100;
+    /** Probability that a response of the platform is lost. */
     double lostResponseProbability;
-    boolean unresponsive;
+
+    boolean unresponsive; // no call gets a response
     boolean refusesOldFences = true;
-    /** Hosts whose calls never reach the platform, and the delays of the starts and stops by host. */
+    /** Hosts whose calls never reach the platform. */
     final Set<String> unreachableHosts = new HashSet<>();
 
+    /** Delays of the starts and stops, by host. */
     final Map<String, Long> dutyDelayMs = new HashMap<>();
-    double breakProbability; // that an instance breaks a call off after it has started it
+    /** Probability that an instance closes the connection of a call that it has started. */
+    double breakProbability;
+
+    /** Probability that an instance rejects a call. */
     double rejectProbability;
+
+    /** Probability that an attempt ends before it is sent. */
     double unsentProbability;
+
     private int instanceCount;
 
     SimPlatform(SimWorld world) {
@@ -177,33 +192,39 @@
         return added;
     }
 
+    /** Returns the platform as this process sees it. */
     Platform clientFor(SimMachine.Process process) {
         return new Platform() {
             @Override
-            public void listInstances(String token, Consumer<Response> answer) {
+            public void listInstances(String token, Consumer<Response> onResponse) {
                 request(
                         process,
                         "list" + (token == null ? "" : token),
                         listCalls,
                         world.rates.listCallsPerSecond(),
                         () -> page(token),
-                        answer);
+                        onResponse);
             }
 
             @Override
-            public void listWorkers(Consumer<Response> answer) {
+            public void listWorkers(Consumer<Response> onResponse) {
                 request(
                         process,
                         "workers",
                         listCalls,
                         world.rates.listCallsPerSecond(),
                         SimPlatform.this::workerList,
-                        answer);
+                        onResponse);
             }
 
             @Override
             public void startInstance(
-                    String holder, long fence, String service, String worker, String nonce, Consumer<Response> answer) {
+                    String holder,
+                    long fence,
+                    String service,
+                    String worker,
+                    String nonce,
+                    Consumer<Response> onResponse) {
                 request(
                         process,
                         "begin",
@@ -216,53 +237,54 @@
                                 fence,
                                 service + " " + nonce,
                                 () -> createInstance(service, worker, nonce)),
-                        answer);
+                        onResponse);
             }
 
             @Override
-            public void stopInstance(String holder, long fence, String id, Consumer<Response> answer) {
+            public void stopInstance(String holder, long fence, String id, Consumer<Response> onResponse) {
                 request(
                         process,
                         "stop",
                         dutyCalls,
                         world.rates.dutyCallsPerSecond(),
                         () -> duty("stop", process, holder, fence, id, () -> removeInstance(id)),
-                        answer);
+                        onResponse);
             }
         };
     }
 
+    /** Executes a call of this process within the rate limit; calls can be delayed or lost. */
     private void request(
             SimMachine.Process process,
             String call,
             Deque<String> recentCalls,
             double rate,
             Supplier<Platform.Response> result,
-            Consumer<Platform.Response> answer) {
+            Consumer<Platform.Response> onResponse) {
         boolean isDuty = call.equals("begin") || call.equals("stop");
-        long late = isDuty ? Environment.millis(dutyDelayMs.getOrDefault(process.machine.host, 0L)) : 0;
-        world.schedule(world.randomDelayNanos() + late, () -> {
+        long delay = isDuty ? Environment.millis(dutyDelayMs.getOrDefault(process.machine.host, 0L)) : 0;
+        world.schedule(world.randomDelayNanos() + delay, () -> {
             recentCalls.removeIf(c -> world.now() / 1_000_000 - Long.parseLong(c.substring(0, c.indexOf(' '))) >= 1000);
             boolean exceedsRate = recentCalls.size() >= rate;
             recentCalls.add(world.now() / 1_000_000 + " " + process.machine.host + " " + call);
             if (exceedsRate) {
                 rateViolations.add(recentCalls.pollLast() + " after " + recentCalls);
             }
-            Platform.Response reply = unresponsive || unreachableHosts.contains(process.machine.host)
+            Platform.Response response = unresponsive || unreachableHosts.contains(process.machine.host)
                     ? null
                     : exceedsRate ? new Platform.Response(429, null) : result.get();
-            boolean lost = reply == null || world.random.nextDouble() < lostResponseProbability;
+            boolean lost = response == null || world.random.nextDouble() < lostResponseProbability;
             world.schedule(
                     lost ? Environment.millis(1200) : world.randomDelayNanos(),
-                    () -> process.deliver(() -> answer.accept(lost ? null : reply)));
+                    () -> process.deliver(() -> onResponse.accept(lost ? null : response)));
         });
     }
 
     private Platform.Response page(String token) {
-        long then = world.now() - Environment.millis(listLagMs);
+        long shownAt = world.now() - Environment.millis(listLagMs);
         int from = token == null ? 0 : Integer.parseInt(token);
         List<Instance> shown = instances.values().stream()
-                .filter(r -> r.upAt <= then && r.goneAt > then)
+                .filter(r -> r.readyAt <= shownAt && r.goneAt > shownAt)
                 .toList();
         List<Object> page = new ArrayList<>();
         shown.stream()
@@ -282,7 +304,7 @@
                         "concurrency_slots",
                         (long) slots.get(r.service),
                         "state",
-                        r.drainingAt <= then ? "draining" : "ready",
+                        r.drainingAt <= shownAt ? "draining" : "ready",
                         "cold_remaining_ms",
                         0L)));
         return new Platform.Response(
@@ -295,7 +317,7 @@
     }
 
     private Platform.Response workerList() {
-        long then = world.now() - Environment.millis(listLagMs);
+        long shownAt = world.now() - Environment.millis(listLagMs);
         List<Object> list = new ArrayList<>();
         workers.values()
                 .forEach(w -> list.add(Fields.tree(
@@ -306,47 +328,48 @@
                         "memory_mb",
                         w.memory,
                         "free_memory_mb",
-                        free(w, then),
+                        free(w, shownAt),
                         "state",
                         w.draining ? "draining" : "ready")));
         return new Platform.Response(200, Fields.tree("worker_machines", list));
     }
 
-    private long free(Worker worker, long then) {
+    private long free(Worker worker, long shownAt) {
         return worker.memory
                 - instances.values().stream()
-                        .filter(r -> r.worker == worker && r.begunAt <= then && r.goneAt > then)
+                        .filter(r -> r.worker == worker && r.startedAt <= shownAt && r.goneAt > shownAt)
                         .mapToLong(r -> memory.get(r.service))
                         .sum();
     }
 
+    /** Executes a start or stop, unless its fencing number is outdated, and records it. */
     private Platform.Response duty(
             String kind,
             SimMachine.Process process,
             String holder,
             long fence,
-            String what,
+            String target,
             Supplier<Platform.Response> execute) {
         SimMachine.Process other = holders.putIfAbsent(fence, process);
         if (other != null && other != process) {
             world.violations.add("fence " + fence + " is used by two processes: " + other.machine.host + ", "
                     + process.machine.host);
         }
-        Platform.Response answer =
+        Platform.Response response =
                 fence < highestFence && refusesOldFences ? new Platform.Response(403, null) : execute.get();
         highestFence = Math.max(highestFence, fence);
-        duties.add(new Duty(world.now(), kind, holder, fence, what, answer.status()));
-        return answer;
+        duties.add(new Duty(world.now(), kind, holder, fence, target, response.status()));
+        return response;
     }
 
     private Platform.Response createInstance(String service, String worker, String nonce) {
-        Worker on = workers.get(worker);
+        Worker target = workers.get(worker);
         Instance instance = byNonce.get(service + " " + nonce);
         if (instance == null) {
-            if (on == null || on.draining || free(on, world.now()) < memory.get(service)) {
+            if (target == null || target.draining || free(target, world.now()) < memory.get(service)) {
                 return new Platform.Response(409, null);
             }
-            instance = new Instance(service, on);
+            instance = new Instance(service, target);
             instances.put(instance.id, instance);
             byNonce.put(service + " " + nonce, instance);
         }
@@ -380,24 +403,26 @@
     OutgoingCall call(SimMachine at, String hostname, String path, long leftMs) {
         RouteDecision decision = at.proxy() == null ? null : at.proxy().route(hostname, path);
         Configuration.Route route = decision instanceof RouteDecision.Found found ? found.route() : null;
-        OutgoingCall asked = new OutgoingCall(route != null && route.idempotent());
-        asked.at = at.process;
-        calls.add(asked);
+        OutgoingCall call = new OutgoingCall(route != null && route.idempotent());
+        call.proxyProcess = at.process;
+        calls.add(call);
         if (route == null) {
-            asked.answers.add(decision == null ? 0 : decision instanceof RouteDecision.Denied ? 404 : 503);
-            return asked;
+            call.answers.add(decision == null ? 0 : decision instanceof RouteDecision.Denied ? 404 : 503);
+            return call;
         }
         at.process.deliver(
-                () -> at.proxy().arrived("a-" + calls.size(), route, Environment.millis(leftMs), "10.9.9.9", asked));
-        return asked;
+                () -> at.proxy().arrived("a-" + calls.size(), route, Environment.millis(leftMs), "10.9.9.9", call));
+        return call;
     }
 
     /** Closes the connections of a process that has ended. */
     void processEnded(SimMachine.Process process) {
-        List.copyOf(exchanges.values()).stream().filter(s -> s.from == process).forEach(s -> {
-            exchanges.remove(s.attempt);
-            s.close();
-        });
+        List.copyOf(exchanges.values()).stream()
+                .filter(each -> each.from == process)
+                .forEach(each -> {
+                    exchanges.remove(each.attempt);
+                    each.close();
+                });
     }
 
     Transport transport(SimMachine.Process process) {
@@ -405,15 +430,15 @@
             @Override
             public void carry(Attempt attempt) {
                 Exchange exchange = new Exchange(attempt, process, instances.get(attempt.instance));
-                OutgoingCall asked = exchange.call();
-                if (!asked.idempotent && asked.ends.stream().anyMatch(end -> end.status() != ExecutionStatus.NOT_RUN)) {
-                    world.violations.add(attempt.request.id + " is sent again after " + asked.ends);
+                OutgoingCall call = exchange.call();
+                if (!call.idempotent && call.ends.stream().anyMatch(end -> end.status() != ExecutionStatus.NOT_RUN)) {
+                    world.violations.add(attempt.request.id + " is sent again after " + call.ends);
                 }
                 exchanges.put(attempt, exchange);
                 if (world.random.nextDouble() < unsentProbability) {
-                    exchange.end(Attempt.End.UNSENT);
+                    exchange.reportEnd(Attempt.End.UNSENT);
                 } else {
-                    world.schedule(world.randomDelayNanos(), () -> reached(exchange));
+                    world.schedule(world.randomDelayNanos(), () -> handle(exchange));
                 }
             }
 
@@ -429,15 +454,15 @@
 
             @Override
             public void deliver(Attempt attempt) {
-                answered(attempt.request, 200);
+                addResponse(attempt.request, 200);
             }
 
             @Override
             public void refuse(Request request, int status, long pauseMillis, String why) {
-                answered(request, status);
+                addResponse(request, status);
             }
 
-            private void answered(Request request, int status) {
+            private void addResponse(Request request, int status) {
                 ((OutgoingCall) request.clientContext).answers.add(status);
                 ((OutgoingCall) request.clientContext).answeredAt = world.now();
             }
@@ -457,14 +482,14 @@
         };
     }
 
-    private void reached(Exchange exchange) {
+    private void handle(Exchange exchange) {
         Instance to = exchange.to;
         if (exchange.closed) {
             return;
         }
         if (!to.acceptsConnections()) {
             failedConnections.add(to.id);
-            exchange.end(Attempt.End.NOT_CONNECTED);
+            exchange.reportEnd(Attempt.End.NOT_CONNECTED);
             return;
         }
         // The list has shown the instance as draining for longer than drain_ms.
@@ -473,19 +498,19 @@
         }
         if (to.busy >= slots.get(to.service)) {
             slotViolations.add(world.now());
-            exchange.end(Attempt.End.TURNED_AWAY);
+            exchange.reportEnd(Attempt.End.TURNED_AWAY);
         } else if (world.random.nextDouble() < rejectProbability) {
-            exchange.end(Attempt.End.TURNED_AWAY);
+            exchange.reportEnd(Attempt.End.TURNED_AWAY);
         } else {
             to.busy++;
             exchange.working = true;
             exchange.call().runs++;
-            boolean breaking = world.random.nextDouble() < breakProbability;
+            boolean breaks = world.random.nextDouble() < breakProbability;
             long work = (long) (workMs * 1e6 * (0.5 + world.random.nextDouble()));
             world.schedule(work, () -> {
                 if (exchange.working) {
-                    exchange.done();
-                    exchange.end(breaking ? Attempt.End.BROKEN : Attempt.End.ANSWERED);
+                    exchange.releaseSlot();
+                    exchange.reportEnd(breaks ? Attempt.End.BROKEN : Attempt.End.ANSWERED);
                 }
             });
         }
--- a/proxy/src/test/java/saltdale/proxy/SimWorld.java
+++ b/proxy/src/test/java/saltdale/proxy/SimWorld.java
@@ -44,7 +44,7 @@
                 throws MalformedMessage;
     }
 
-    private record Event(long at, long order, Runnable task) {}
+    private record Event(long dueAt, long order, Runnable task) {}
 
     final SplittableRandom random;
     final SimPlatform platform;
@@ -53,7 +53,7 @@
     final List<SimMachine> proxies = new ArrayList<>();
     final Set<String> cutLinks = new HashSet<>(); // "from>to"
     final Map<Long, ReplicatedState> chosenByVersion = new HashMap<>(); // announced chosen states, by version
-    final List<String> violations = new ArrayList<>(); // violations of what must always hold
+    final List<String> violations = new ArrayList<>(); // of what must always hold
     /** Gets each message that is sent. */
     Consumer<Message> messageObserver = message -> {};
 
@@ -80,8 +80,8 @@
 
     ControlNodeFactory controlNodeFactory = ControlNode::new;
     ReplicatedState newestChosen; // the newest announced chosen state
-    private final PriorityQueue<Event> events =
-            new PriorityQueue<>((a, b) -> a.at != b.at ? Long.compare(a.at, b.at) : Long.compare(a.order, b.order));
+    private final PriorityQueue<Event> events = new PriorityQueue<>(
+            (a, b) -> a.dueAt != b.dueAt ? Long.compare(a.dueAt, b.dueAt) : Long.compare(a.order, b.order));
     private final Map<String, Long> lastArrivalAt = new HashMap<>();
     /** Bits per second that a machine sends and receives in total, by host; machines without an entry have no limit. */
     final Map<String, Long> linkSpeeds = new HashMap<>();
@@ -104,10 +104,12 @@
         return now;
     }
 
+    /** Runs a task after this time. */
     void schedule(long nanos, Runnable task) {
         events.add(new Event(now + Math.max(0, nanos), order++, task));
     }
 
+    /** Runs all events of this time. */
     void run(long ms) {
         runUntil(ms, () -> false);
     }
@@ -116,12 +118,12 @@
     boolean runUntil(long ms, BooleanSupplier condition) {
         long end = now + Environment.millis(ms);
         while (!condition.getAsBoolean()) {
-            if (events.isEmpty() || events.peek().at > end) {
+            if (events.isEmpty() || events.peek().dueAt > end) {
                 now = end;
                 return condition.getAsBoolean();
             }
             Event next = events.poll();
-            now = next.at;
+            now = next.dueAt;
             next.task.run();
             afterEachEvent.run();
         }
@@ -135,6 +137,7 @@
 
     // Machines.
 
+    /** Adds a control node; it is not started. */
     SimMachine controlNode(String host, List<String> seeds, boolean firstStart) {
         SimMachine machine =
                 new SimMachine(this, host, ZONES[controlNodes.size() % ZONES.length], seeds, true, firstStart);
@@ -142,6 +145,7 @@
         return machine;
     }
 
+    /** Adds a proxy; it is not started. */
     SimMachine proxy(String host, String zone) {
         SimMachine machine = new SimMachine(
                 this,
@@ -189,7 +193,7 @@
 
     // Messages.
 
-    /** Sends the messages of stalled hosts that were held back back, all at once. */
+    /** Sends the messages of stalled hosts that were held back, all at once. */
     void releaseStalled() {
         stalledHosts.clear();
         List<Runnable> due = List.copyOf(heldBack);
@@ -233,15 +237,15 @@
     }
 
     /** Runs a task once the machine's link has carried these bytes after all earlier ones; at once without a limit. */
-    private void overLink(String host, long bytes, Runnable then) {
+    private void overLink(String host, long bytes, Runnable task) {
         Long speed = linkSpeeds.get(host);
         if (speed == null) {
-            then.run();
+            task.run();
             return;
         }
-        long free = Math.max(now, linkFreeAt.getOrDefault(host, 0L)) + bytes * 8 * 1_000_000_000L / speed;
-        linkFreeAt.put(host, free);
-        schedule(free - now, then);
+        long freeAt = Math.max(now, linkFreeAt.getOrDefault(host, 0L)) + bytes * 8 * 1_000_000_000L / speed;
+        linkFreeAt.put(host, freeAt);
+        schedule(freeAt - now, task);
     }
 
     /** Adds other traffic to a machine's link, such as requests and responses. */
@@ -250,12 +254,13 @@
     }
 
     /** Delays a message by a random time; the messages from one host to another keep their order. */
-    private void delay(String link, Runnable then) {
+    private void delay(String link, Runnable task) {
         long due = Math.max(now + randomDelayNanos(), lastArrivalAt.getOrDefault(link, 0L));
         lastArrivalAt.put(link, due);
-        schedule(due - now, then);
+        schedule(due - now, task);
     }
 
+    /** Delivers a message after all other events of this time, unless the link has been cut in the meantime. */
     private void arrive(String link, String host, String from, byte[] bytes) {
         schedule(0, () -> {
             SimMachine to = machines.get(host);
