--- a/proxy/src/test/java/saltdale/proxy/CatchUpTest.java
+++ b/proxy/src/test/java/saltdale/proxy/CatchUpTest.java
@@ -32,18 +32,18 @@
 import saltdale.control.message.HeartbeatMessage.PeerIdentity;
 import saltdale.control.message.InstanceMessage;
 
-/** A member that missed hundreds of changes, and a holder of the duty that missed the next one's coming. */
+/** Members that missed hundreds of changes, and duty holders that missed the election of their successor. */
 class CatchUpTest {
     private static final long CATCH_UP_MS = 4000;
     private static final int CHANGES = 200;
 
     enum Absence {
         KILLED,
-        WITHOUT_POWER,
+        POWERED_OFF,
         WIPED,
         REPLACED,
-        CUT_OFF,
-        STANDS_STILL
+        ISOLATED,
+        FROZEN
     }
 
     private static long revision(SimMachine proxy) {
@@ -52,88 +52,91 @@
                 : proxy.proxy().configuration().revision();
     }
 
-    /** How many milliseconds a member, and a proxy that knows only this member, need for the newest configuration. */
+    /** Milliseconds until a returning member, and a proxy that knows only this one, have the newest configuration. */
     private static long catchUp(int seed, Absence absence, SimWorld.Rewriting rewriting) {
         SimWorld world = serving(seed, 3, 3);
-        SimMachine off = world.controlNodes.get(seed % 3);
+        SimMachine absent = world.controlNodes.get(seed % 3);
         switch (absence) {
-            case KILLED -> off.kill();
-            case WITHOUT_POWER -> off.powerOff();
-            case WIPED, REPLACED -> off.wipe();
-            case CUT_OFF -> world.isolate(off);
-            default -> off.freeze();
+            case KILLED -> absent.kill();
+            case POWERED_OFF -> absent.powerOff();
+            case WIPED, REPLACED -> absent.wipe();
+            case ISOLATED -> world.isolate(absent);
+            default -> absent.freeze();
         }
         List<SimMachine> others =
-                world.controlNodes.stream().filter(each -> each != off).toList();
+                world.controlNodes.stream().filter(each -> each != absent).toList();
         for (long base = 1; base <= CHANGES; base++) {
             SimMachine at = others.get((int) (base % 2));
             assertThat(replace(world, at, base, config(base + 1, (int) (base % 5))), is(200));
         }
-        SimMachine back = absence == Absence.REPLACED
-                ? world.controlNode("10.0.0.9", List.of(off.host, others.get(0).host, others.get(1).host), false)
-                : off;
-        world.rewriting = (from, to, message) -> from.equals(back.host) ? rewriting.of(from, to, message) : message;
+        SimMachine returning = absence == Absence.REPLACED
+                ? world.controlNode("10.0.0.9", List.of(absent.host, others.get(0).host, others.get(1).host), false)
+                : absent;
+        world.rewriting =
+                (from, to, message) -> from.equals(returning.host) ? rewriting.of(from, to, message) : message;
         world.cuts.clear();
-        if (absence == Absence.STANDS_STILL) {
-            off.thaw();
+        if (absence == Absence.FROZEN) {
+            absent.thaw();
         }
-        back.start();
+        returning.start();
         SimMachine proxy = world.proxy("10.1.0.99", "z-a");
-        proxy.seeds = List.of(back.host);
+        proxy.seeds = List.of(returning.host);
         others.forEach(other -> world.cut(other, proxy));
         proxy.start();
-        long begun = world.now();
-        boolean known = world.until(4 * CATCH_UP_MS, () -> revision(proxy) == CHANGES + 1);
+        long startedAt = world.now();
+        boolean caughtUp = world.until(4 * CATCH_UP_MS, () -> revision(proxy) == CHANGES + 1);
         assertThat(world.faults, is(empty()));
-        return known ? (world.now() - begun) / 1_000_000 : Long.MAX_VALUE;
+        return caughtUp ? (world.now() - startedAt) / 1_000_000 : Long.MAX_VALUE;
     }
 
     @ParameterizedTest
     @EnumSource(Absence.class)
-    void whoMissedHundredsOfChangesKnowsTheNewestSoon(Absence absence) {
+    void memberCatchesUpAfterMissingHundredsOfChanges(Absence absence) {
         for (int seed = 0; seed < 2; seed++) {
-            long took = catchUp(seed, absence, (from, to, message) -> message);
-            assertThat(absence + ", seed " + seed, took, lessThan(CATCH_UP_MS));
+            long millis = catchUp(seed, absence, (from, to, message) -> message);
+            assertThat(absence + ", seed " + seed, millis, lessThan(CATCH_UP_MS));
         }
     }
 
-    /** The wrong variant: it leads with what it has instead of fetching what it missed. */
+    /** The faulty variant: the member does not fetch what it missed, and proposes on its old state. */
     @Test
-    void whoNeverFetchesIsSeen() {
-        long took = catchUp(0, Absence.CUT_OFF, (from, to, message) -> message instanceof Fetch ? null : message);
-        assertThat(took, greaterThan(CATCH_UP_MS));
+    void checkDetectsMemberThatNeverFetches() {
+        long millis = catchUp(0, Absence.ISOLATED, (from, to, message) -> message instanceof Fetch ? null : message);
+        assertThat(millis, greaterThan(CATCH_UP_MS));
     }
 
     // Fencing.
 
     private static final long LEASE = SimWorld.BEAT * 5 / 4;
 
-    /** Calls that came under a fence after the next holder must have been known to its sender. */
-    private static List<String> late(SimWorld world, TreeMap<Long, Long> fences) {
-        List<String> late = new ArrayList<>();
+    /** Starts and stops under a fence that arrived when their sender must have known of the next holder. */
+    private static List<String> lateDuties(SimWorld world, TreeMap<Long, Long> fences) {
+        List<String> lateDuties = new ArrayList<>();
         for (SimPlatform.Duty duty : world.platform.duties) {
             Long next = fences.higherKey(duty.fence());
             if (next != null && duty.at() > fences.get(next) + LEASE + Environment.millis(100)) {
-                late.add(duty.kind() + " under " + duty.fence() + " long after " + next);
+                lateDuties.add(duty.kind() + " under fence " + duty.fence() + " long after " + next);
             }
         }
-        return late;
+        return lateDuties;
     }
 
-    /** Holders are cut off or stand still amid hundreds of changes; what starts and stops came late, by fence. */
-    private static List<String> holdersComeAndGo(int seed, boolean forgesAcknowledgements) {
+    /** Isolates, kills or freezes duty holders during hundreds of changes; returns the late starts and stops. */
+    private static List<String> lateDutiesUnderHolderFaults(int seed, boolean forgeAcknowledgements) {
         SimWorld world = serving(seed, 3, 3);
-        TreeMap<Long, Long> fences = new TreeMap<>(); // when each was first told to be won
+        TreeMap<Long, Long> fences = new TreeMap<>(); // when each fence was first announced
         Map<String, PeerIdentity> identities = new HashMap<>();
         fences.put(DutyTest.fence(world), world.now());
         world.spy = message -> {
             if (message instanceof Chosen chosen) {
                 fences.putIfAbsent(chosen.state().duty("starting").fence(), world.now());
-            } else if (message instanceof Heartbeat heartbeat && forgesAcknowledgements) {
+            } else if (message instanceof Heartbeat heartbeat && forgeAcknowledgements) {
                 identities.put(heartbeat.from().host(), heartbeat.from());
-                String way = heartbeat.from().host() + ">";
-                boolean cutOff =
-                        world.cuts.stream().filter(cut -> cut.startsWith(way)).count() == 2;
+                String prefix = heartbeat.from().host() + ">";
+                boolean cutOff = world.cuts.stream()
+                                .filter(cut -> cut.startsWith(prefix))
+                                .count()
+                        == 2;
                 identities.values().stream()
                         .filter(peer -> cutOff)
                         .forEach(peer -> world.send(
@@ -163,34 +166,34 @@
         operator.stop();
         world.run(3000);
         assertThat(fences.size(), greaterThan(2));
-        return late(world, fences);
+        return lateDuties(world, fences);
     }
 
     @Test
-    void noHolderActsOnAnOldFence() {
+    void noDutyHolderActsOnAnOldFence() {
         for (int seed = 0; seed < 4; seed++) {
-            assertThat("seed " + seed, holdersComeAndGo(seed, false), is(empty()));
+            assertThat("seed " + seed, lateDutiesUnderHolderFaults(seed, false), is(empty()));
         }
     }
 
-    /** The wrong variant: a holder that takes its heartbeats for acknowledged acts on its old fence. */
+    /** The faulty variant: a holder that considers its heartbeats acknowledged acts on its old fence. */
     @Test
-    void aHolderThatActsOnAnOldFenceIsSeen() {
-        Set<String> late = new HashSet<>();
+    void checkDetectsHolderActingOnAnOldFence() {
+        Set<String> lateDuties = new HashSet<>();
         for (int seed = 0; seed < 3; seed++) {
-            late.addAll(holdersComeAndGo(seed, true));
+            lateDuties.addAll(lateDutiesUnderHolderFaults(seed, true));
         }
-        assertThat(late, is(not(empty())));
+        assertThat(lateDuties, is(not(empty())));
     }
 
-    /** A start or stop of the holder before comes seconds late, at a platform that refuses old fences or takes them. */
+    /** A start or stop of the previous holder arrives seconds late; the platform may or may not reject old fences. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aLateStartOrStopOfTheHolderBeforeDoesNoHarm(boolean refuses) {
-        int lateOnes = 0;
+    void lateStartOrStopOfThePreviousHolderIsHarmless(boolean rejectsOldFences) {
+        int lateDutyCount = 0;
         for (int seed = 0; seed < 4; seed++) {
             SimWorld world = serving(seed, 3, 3);
-            world.platform.refusesOldFences = refuses;
+            world.platform.refusesOldFences = rejectsOldFences;
             load(world, 60, 15_000);
             world.run(3000);
             SimMachine holder = DutyTest.holder(world);
@@ -198,7 +201,7 @@
             world.platform.lateMs.put(holder.host, 4000L + world.chance.nextInt(2000));
             world.run(world.chance.nextInt(700));
             world.platform.call(world.proxies.get(0), "h.example", "/a/1", 5000);
-            // All at once more than there is room for: it starts some.
+            // More calls at once than there are slots, so that instances are started.
             load(world, 400, 600);
             world.run(400);
             holder.powerOff();
@@ -206,28 +209,28 @@
             long won = world.now();
             holder.start();
             world.run(25_000);
-            lateOnes += (int) world.platform.duties.stream()
+            lateDutyCount += (int) world.platform.duties.stream()
                     .filter(duty -> duty.fence() <= before && duty.at() > won)
                     .count();
             for (SimPlatform.OutgoingCall call : world.platform.all) {
-                assertThat("one answer", call.answers.size(), is(1));
-                assertThat("idempotent or run once", call.idempotent || call.runs <= 1, is(true));
+                assertThat("exactly one answer", call.answers.size(), is(1));
+                assertThat("idempotent or executed at most once", call.idempotent || call.runs <= 1, is(true));
             }
             world.run(20_000);
-            // Each is known to whoever holds the duty, and so is stopped once it is idle.
+            // The duty holder knows every instance, and so stops it when it is idle.
             assertThat("seed " + seed, world.platform.live("fn"), is(empty()));
             assertThat(world.faults, is(empty()));
         }
-        assertThat(lateOnes, greaterThan(3));
+        assertThat(lateDutyCount, greaterThan(3));
     }
 
     /**
-     * One is cut off while a start is told of; it comes back, and the holder goes. Returns the instances that there are
-     * once there is another holder, or 0 where that is not the one that was cut off.
+     * A control node is isolated while the start of an instance is announced; it returns, and the duty holder fails.
+     * Returns the number of instances under the next holder, or 0 if that is not the formerly isolated node.
      */
-    private static int instancesAfterMissedStart(int seed, boolean toldOnce) {
+    private static int instancesAfterMissedStart(int seed, boolean announceOnce) {
         SimWorld world = serving(seed, 3, 3);
-        world.platform.bootMs = 9000; // it is not in the list before another has taken over
+        world.platform.bootMs = 9000; // not in the platform's list before another control node has taken over
         SimMachine holder = DutyTest.holder(world);
         List<SimMachine> others =
                 world.controlNodes.stream().filter(each -> each != holder).toList();
@@ -236,13 +239,13 @@
         world.platform.call(world.proxies.get(0), "h.example", "/a/1", 20_000);
         assertTrue(world.until(3000, () -> !world.platform.instances.isEmpty()));
         world.cuts.clear();
-        if (toldOnce) {
+        if (announceOnce) {
             world.rewriting = (from, to, message) ->
                     to.equals(others.get(0).host) && message instanceof InstanceMessage ? null : message;
         }
         world.run(2000);
         world.rewriting = (from, to, message) -> message;
-        others.get(1).freeze(); // so that the one that missed it takes over
+        others.get(1).freeze(); // so that the node that missed the start takes over
         holder.powerOff();
         world.run(3000);
         others.get(1).thaw();
@@ -252,7 +255,7 @@
     }
 
     @Test
-    void whoMissedAStartLearnsOfItOnceItIsBack() {
+    void memberLearnsOfAMissedStartAfterItsReturn() {
         Set<Integer> counts = new HashSet<>();
         for (int seed = 0; seed < 8; seed++) {
             counts.add(instancesAfterMissedStart(seed, false));
@@ -261,9 +264,9 @@
         assertThat(counts, is(Set.of(1)));
     }
 
-    /** The wrong variant: a start is told of once, whoever hears it. */
+    /** The faulty variant: a start is announced only once, whether or not the message arrives. */
     @Test
-    void whoIsToldOnceOnlyStartsASecondOne() {
+    void startAnnouncedOnlyOnceLeadsToASecondInstance() {
         Set<Integer> counts = new HashSet<>();
         for (int seed = 0; seed < 8; seed++) {
             counts.add(instancesAfterMissedStart(seed, true));
@@ -273,9 +276,9 @@
 
     // Draining.
 
-    /** One control node never reaches the platform; its proxies stop sending to what drains all the same. */
+    /** Some control nodes never reach the platform; their proxies still stop using draining instances. */
     @Test
-    void whoCannotReachThePlatformHearsOfDrainsFromOthers() {
+    void controlNodesWithoutPlatformAccessLearnOfDrainsFromOthers() {
         for (int seed = 0; seed < 4; seed++) {
             SimWorld world = serving(seed, 3, 6);
             SimMachine holder = DutyTest.holder(world);
@@ -290,9 +293,9 @@
         }
     }
 
-    /** An instance drains while no majority runs: once the core is back, nothing is sent there. */
+    /** An instance starts to drain while there is no majority: it gets no requests after the core is back. */
     @Test
-    void nothingIsSentToWhatBeganToDrainWhileThereWasNoMajority() {
+    void instanceDrainingDuringQuorumLossGetsNoRequestsAfterwards() {
         for (int seed = 0; seed < 4; seed++) {
             SimWorld world = serving(seed, 3, 6);
             load(world, 120, 16_000);
--- a/proxy/src/test/java/saltdale/proxy/ContactChecks.java
+++ b/proxy/src/test/java/saltdale/proxy/ContactChecks.java
@@ -18,39 +18,43 @@
 import saltdale.control.message.SessionMessage.SnapshotPart;
 
 /**
- * An operator who changes the configuration all the time, and what must hold after each event of a simulated world
- * meanwhile; what does not is added to the faults of the world.
+ * Simulates an operator who changes the configuration continuously, and checks after each event what must hold
+ * meanwhile. Violations are added to the faults of the simulated world.
  */
 final class ContactChecks {
-    /** By which a control node is read; a wrong variant answers itself. */
-    interface Reading {
+    /** Reads the configuration at a control node; faulty variants of the code replace it. */
+    interface Reader {
         void read(SimMachine at, Consumer<ControlNode.Reply> answer);
     }
 
-    private static final long APPLY = Environment.millis(3000);
-    private static final long LEASE = SimWorld.BEAT * 5 / 4;
-    private static final long ON_THE_WAY = Environment.millis(60); // the longest way of a message, and a little
-    private static final long TICK = SimWorld.BEAT / 6;
+    private static final long CONFIG_APPLY_NANOS = Environment.millis(3000);
+    private static final long LEASE_NANOS = SimWorld.BEAT * 5 / 4;
+    /** The longest delay of a message, with a margin. */
+    private static final long MAX_MESSAGE_DELAY_NANOS = Environment.millis(60);
+
+    private static final long TICK_NANOS = SimWorld.BEAT / 6;
 
     final SimWorld world;
     final ContactModel contact;
-    final TreeMap<Long, Long> acknowledged = new TreeMap<>(); // revisions, by when
-    Reading reading = (at, answer) -> at.controlNode().read(answer);
-    /** Sees each acknowledgement at the moment when it is given. */
+    final TreeMap<Long, Long> acknowledged = new TreeMap<>(); // revisions, by the time of their acknowledgement
+    Reader reader = (at, answer) -> at.controlNode().read(answer);
+    /** Is called at the moment of each acknowledgement, with the control node that gives it. */
     Consumer<SimMachine> onAcknowledgement = at -> {};
 
     /**
-     * Whether processes stand still only one at a time. Else a control node may have contact by answers that come late:
-     * what counts then is whether an answer is proven, and whether what is handed out is old.
+     * Whether at most one process is frozen at a time. Otherwise delayed messages may give a control node contact with
+     * a majority; the checks then are whether its answers are proven and whether it distributes outdated state.
      */
     boolean atMostOneFrozen = true;
 
     int stepsInContact;
-    private final Map<String, Long> apartSince = new HashMap<>(); // control nodes without contact, by host
-    private final TreeMap<Long, Long> chosen = new TreeMap<>(); // versions told to be chosen, by when
-    private final Map<Proxy, Long> highest = new HashMap<>();
+    /** When a control node lost contact with a majority, by host. */
+    private final Map<String, Long> withoutMajoritySince = new HashMap<>();
+
+    private final TreeMap<Long, Long> chosenVersions = new TreeMap<>(); // versions announced as chosen, by time
+    private final Map<Proxy, Long> highestRevisions = new HashMap<>();
     private long revision = 1;
-    private boolean over;
+    private boolean stopped;
 
     ContactChecks(SimWorld world) {
         this.world = world;
@@ -61,16 +65,16 @@
         world.rewriting = (from, to, message) -> {
             Message sent = before.of(from, to, message);
             if (sent != null) {
-                sent(from, sent);
+                checkSent(from, sent);
             }
             return sent;
         };
     }
 
-    private void fault(String what) {
-        // The first of each kind tells enough.
+    private void addFault(String description) {
+        // The first few faults are enough to find the cause.
         if (world.faults.size() < 5) {
-            world.faults.add(world.now() / 1_000_000 - 1_000_000 + " ms: " + what);
+            world.faults.add(world.now() / 1_000_000 - 1_000_000 + " ms: " + description);
         }
     }
 
@@ -80,13 +84,13 @@
         if (contact.observe()) {
             for (SimMachine each : world.controlNodes) {
                 if (contact.reachesMajority(each)) {
-                    apartSince.remove(each.host);
+                    withoutMajoritySince.remove(each.host);
                 } else {
-                    apartSince.putIfAbsent(each.host, world.now());
+                    withoutMajoritySince.putIfAbsent(each.host, world.now());
                 }
             }
         }
-        long due = due();
+        long revisionDue = revisionDue();
         for (SimMachine each : world.proxies) {
             if (each.proxy() == null) {
                 continue;
@@ -94,22 +98,22 @@
             long now = each.proxy().configuration() == null
                     ? 0
                     : each.proxy().configuration().revision();
-            if (now < highest.getOrDefault(each.proxy(), 0L)) {
-                fault(each.host + " went back to " + now);
+            if (now < highestRevisions.getOrDefault(each.proxy(), 0L)) {
+                addFault(each.host + " went back to revision " + now);
             }
-            highest.put(each.proxy(), now);
+            highestRevisions.put(each.proxy(), now);
             if (contact.isInContact(each)) {
                 stepsInContact++;
-                if (now < due) {
-                    fault(each.host + " is in touch with revision " + now + ", " + due + " was due");
+                if (now < revisionDue) {
+                    addFault(each.host + " is in contact and has revision " + now + ", " + revisionDue + " is due");
                 }
             }
         }
     }
 
-    /** The revision that all in touch must have by now. */
-    private long due() {
-        return newestBy(acknowledged, world.now() - APPLY, 0);
+    /** The revision that all proxies in contact must have by now. */
+    private long revisionDue() {
+        return newestBy(acknowledged, world.now() - CONFIG_APPLY_NANOS, 0);
     }
 
     private static long newestBy(TreeMap<Long, Long> all, long moment, long none) {
@@ -117,53 +121,55 @@
         return entry == null ? none : entry.getValue();
     }
 
-    /** Whether a control node has had no contact for so long that it must know. */
-    private boolean isApart(String host, long within) {
-        return world.now() - apartSince.getOrDefault(host, Long.MAX_VALUE / 2) > within;
+    /** Whether a control node has had no contact with a majority for so long that it must have noticed. */
+    private boolean isWithoutMajority(String host, long within) {
+        return world.now() - withoutMajoritySince.getOrDefault(host, Long.MAX_VALUE / 2) > within;
     }
 
-    private void sent(String from, Message message) {
+    private void checkSent(String from, Message message) {
         if (message instanceof Chosen news) {
-            chosen.put(world.now(), Math.max(news.state().version(), newestBy(chosen, world.now(), -1)));
+            chosenVersions.put(
+                    world.now(), Math.max(news.state().version(), newestBy(chosenVersions, world.now(), -1)));
         } else if (message instanceof Heartbeat heartbeat) {
             SimMachine by = world.machines.get(from);
-            long least = newestBy(chosen, world.now() - LEASE - ON_THE_WAY, -1);
+            long least = newestBy(chosenVersions, world.now() - LEASE_NANOS - MAX_MESSAGE_DELAY_NANOS, -1);
             if (by.controlNode() != null && by.controlNode().hasMajority() && heartbeat.version() < least) {
-                fault(from + " believes in its majority and knows version " + heartbeat.version() + " of " + least);
+                addFault(from + " assumes a majority but knows version " + heartbeat.version() + " of " + least);
             }
         } else if (message instanceof ConfigurationChange
                 || message instanceof ConfigurationOffer
                 || message instanceof SnapshotPart
                 || message instanceof MembersChange) {
-            if (atMostOneFrozen && isApart(from, LEASE + ON_THE_WAY)) {
-                fault(from + " hands out " + message.kind() + " though it has no contact");
+            if (atMostOneFrozen && isWithoutMajority(from, LEASE_NANOS + MAX_MESSAGE_DELAY_NANOS)) {
+                addFault(from + " distributes " + message.kind() + " without contact");
             }
             if (message instanceof ConfigurationChange change) {
-                handsOut(from, change.revision());
+                checkDistributedRevision(from, change.revision());
             }
         }
     }
 
-    private void handsOut(String from, long revision) {
-        long least = newestBy(acknowledged, world.now() - LEASE - ON_THE_WAY, 0);
+    private void checkDistributedRevision(String from, long revision) {
+        long least = newestBy(acknowledged, world.now() - LEASE_NANOS - MAX_MESSAGE_DELAY_NANOS, 0);
         if (revision < least) {
-            fault(from + " hands out " + revision + ", " + least + " was acknowledged a lease before");
+            addFault(from + " distributes revision " + revision + ", but " + least
+                    + " was acknowledged a lease earlier");
         }
     }
 
-    // The operator: one change at a time, sent again until there is a clear answer.
+    // The operator: sends one change at a time and repeats it until the answer is definite.
 
     void start() {
         send(revision, revision + 1 + world.chance.nextInt(3));
-        look();
+        readRepeatedly();
     }
 
     void stop() {
-        over = true;
+        stopped = true;
     }
 
     private void send(long base, long next) {
-        if (over) {
+        if (stopped) {
             return;
         }
         SimMachine at = world.controlNodes.get(world.chance.nextInt(world.controlNodes.size()));
@@ -171,7 +177,7 @@
         if (at.process != null) {
             byte[] body = SimOperator.config(next, 1).getBytes(StandardCharsets.UTF_8);
             at.process.deliver(() -> at.controlNode()
-                    .change(false, Long.toString(base), body, reply -> answered(at, base, next, reply, done)));
+                    .change(false, Long.toString(base), body, reply -> handleAnswer(at, base, next, reply, done)));
         }
         world.at(Environment.millis(1000), () -> {
             if (!done[0]) {
@@ -181,19 +187,22 @@
         });
     }
 
-    /** Who wakes may find the proof that the order was chosen among what has come meanwhile. */
+    /**
+     * Whether a positive answer is backed by a chosen state: a process that resumes may find that state among the
+     * messages that arrived in the meantime.
+     */
     private boolean isProven(int status, long base, long next) {
         return status == 200
                 && world.newest != null
                 && OrderMemory.holds(world.newest, false, base, SimOperator.config(next, 1));
     }
 
-    private void answered(SimMachine at, long base, long next, ControlNode.Reply reply, boolean[] done) {
-        boolean clear = reply.status() < 500 && (atMostOneFrozen || !isProven(reply.status(), base, next));
-        if (clear && isApart(at.host, Environment.millis(500))) {
-            fault(at.host + " answers " + reply.status() + " though it has no contact");
+    private void handleAnswer(SimMachine at, long base, long next, ControlNode.Reply reply, boolean[] done) {
+        boolean definite = reply.status() < 500 && (atMostOneFrozen || !isProven(reply.status(), base, next));
+        if (definite && isWithoutMajority(at.host, Environment.millis(500))) {
+            addFault(at.host + " answers " + reply.status() + " without contact");
         } else if (reply.status() >= 400 && reply.status() < 500) {
-            fault(at.host + " refuses " + next + " on " + base + ": " + reply.why());
+            addFault(at.host + " refuses revision " + next + " based on " + base + ": " + reply.why());
         }
         if (reply.status() == 200 && next > acknowledged.lastEntry().getValue()) {
             acknowledged.put(world.now(), next);
@@ -208,21 +217,21 @@
         }
     }
 
-    private void look() {
-        if (over) {
+    private void readRepeatedly() {
+        if (stopped) {
             return;
         }
         SimMachine at = world.controlNodes.get(world.chance.nextInt(world.controlNodes.size()));
         long least = acknowledged.lastEntry().getValue();
         if (at.process != null) {
-            at.process.deliver(() -> reading.read(at, reply -> {
-                long told = reply.status() == 200 ? AgreementTest.revision(new String(reply.body())) : least;
-                if (told < least) {
-                    fault(at.host + " reads " + told + " though " + least + " was acknowledged");
+            at.process.deliver(() -> reader.read(at, reply -> {
+                long readRevision = reply.status() == 200 ? AgreementTest.revision(new String(reply.body())) : least;
+                if (readRevision < least) {
+                    addFault(at.host + " reads " + readRevision + " although " + least + " was acknowledged");
                 }
             }));
         }
-        world.at(TICK, this::look);
+        world.at(TICK_NANOS, this::readRepeatedly);
     }
 
     List<String> faults() {
--- a/proxy/src/test/java/saltdale/proxy/ContactModel.java
+++ b/proxy/src/test/java/saltdale/proxy/ContactModel.java
@@ -8,58 +8,59 @@
 import java.util.Set;
 import saltdale.control.Environment;
 
-/** Which proxies are in touch, as the rules have it, by what is done to the machines and their links. */
+/** Derives from the simulated faults which proxies must be in contact with the control plane. */
 final class ContactModel {
-    static final long CONTACT = Environment.millis(4000);
+    /** Time without disturbance after which a proxy must be in contact. */
+    static final long CONTACT_TIME_NANOS = Environment.millis(4000);
 
     private final SimWorld world;
-    private int seen;
-    private int coreSeen;
-    private boolean coreIsApart;
+    private int lastState;
+    private int lastCoreState;
+    private boolean coreHasNoMajority;
     private long coreDisturbedAt;
-    private final Map<SimMachine, Integer> proxiesSeen = new HashMap<>();
+    private final Map<SimMachine, Integer> lastProxyStates = new HashMap<>();
     private final Map<SimMachine, Long> disturbedAt = new HashMap<>();
-    private final Set<SimMachine> apart = new HashSet<>(); // proxies
+    private final Set<SimMachine> disconnectedProxies = new HashSet<>(); // proxies that reach no majority or do not run
 
     ContactModel(SimWorld world) {
         this.world = world;
     }
 
-    /** Takes note of how the machines are; to be called after each event. Returns whether anything changed. */
+    /** Records the state of the machines; called after each event. Returns whether anything has changed. */
     boolean observe() {
         int now = Objects.hash(stateOf(world.controlNodes), stateOf(world.proxies), world.cuts);
-        boolean changed = now != seen;
+        boolean changed = now != lastState;
         if (changed) {
-            seen = now;
-            changed();
+            lastState = now;
+            update();
         }
-        coreDisturbedAt = coreIsApart || hasSlowDisk() ? world.now() : coreDisturbedAt;
-        apart.forEach(proxy -> disturbedAt.put(proxy, world.now()));
+        coreDisturbedAt = coreHasNoMajority || hasSlowDisk() ? world.now() : coreDisturbedAt;
+        disconnectedProxies.forEach(proxy -> disturbedAt.put(proxy, world.now()));
         return changed;
     }
 
-    /** Whether the disk of a control node is in trouble: the core is not settled then. */
+    /** Whether a control node has a faulty or slow disk: that counts as a disturbance of the core. */
     private boolean hasSlowDisk() {
         return world.controlNodes.stream()
                 .anyMatch(each -> each.disk != SimMachine.Disk.WELL || each.syncNanos > SimMachine.USUAL_SYNC);
     }
 
-    private void changed() {
+    private void update() {
         int core = Objects.hash(stateOf(world.controlNodes), coreCuts());
-        coreDisturbedAt = core == coreSeen ? coreDisturbedAt : world.now();
-        coreSeen = core;
-        coreIsApart = world.controlNodes.stream().noneMatch(this::reachesMajority);
-        apart.clear();
+        coreDisturbedAt = core == lastCoreState ? coreDisturbedAt : world.now();
+        lastCoreState = core;
+        coreHasNoMajority = world.controlNodes.stream().noneMatch(this::reachesMajority);
+        disconnectedProxies.clear();
         for (SimMachine proxy : world.proxies) {
             Integer state = stateOf(List.of(proxy));
-            if (!state.equals(proxiesSeen.put(proxy, state))) {
+            if (!state.equals(lastProxyStates.put(proxy, state))) {
                 disturbedAt.put(proxy, world.now());
             }
-            boolean joined = world.controlNodes.stream()
+            boolean connected = world.controlNodes.stream()
                     .filter(this::reachesMajority)
-                    .allMatch(controlNode -> joined(controlNode, proxy));
-            if (!joined || !runs(proxy)) {
-                apart.add(proxy);
+                    .allMatch(controlNode -> connected(controlNode, proxy));
+            if (!connected || !isRunning(proxy)) {
+                disconnectedProxies.add(proxy);
             }
         }
     }
@@ -83,24 +84,25 @@
                 .toList();
     }
 
-    private boolean runs(SimMachine machine) {
+    private boolean isRunning(SimMachine machine) {
         return machine.process != null && !machine.frozen && !world.stalled.contains(machine.host);
     }
 
-    private boolean joined(SimMachine a, SimMachine b) {
+    private boolean connected(SimMachine a, SimMachine b) {
         return !world.cuts.contains(a.host + ">" + b.host) && !world.cuts.contains(b.host + ">" + a.host);
     }
 
     /** Whether this control node reaches more than half of the core, itself included, in both directions. */
     boolean reachesMajority(SimMachine controlNode) {
-        return runs(controlNode)
+        return isRunning(controlNode)
                 && world.controlNodes.stream()
-                                .filter(other -> other == controlNode || runs(other) && joined(controlNode, other))
+                                .filter(other ->
+                                        other == controlNode || isRunning(other) && connected(controlNode, other))
                                 .count()
                         > world.controlNodes.size() / 2;
     }
 
     boolean isInContact(SimMachine proxy) {
-        return world.now() - Math.max(coreDisturbedAt, disturbedAt.getOrDefault(proxy, 0L)) >= CONTACT;
+        return world.now() - Math.max(coreDisturbedAt, disturbedAt.getOrDefault(proxy, 0L)) >= CONTACT_TIME_NANOS;
     }
 }
--- a/proxy/src/test/java/saltdale/proxy/ControlNodeSearchTest.java
+++ b/proxy/src/test/java/saltdale/proxy/ControlNodeSearchTest.java
@@ -18,10 +18,10 @@
 import saltdale.control.message.ContactMessage.ContactProbe;
 import saltdale.control.message.ContactMessage.ContactReply;
 
-/** In which order control nodes are asked, and which of their answers count. */
+/** The order in which control nodes are probed, and which of their replies count. */
 class ControlNodeSearchTest {
     private final SimWorld world = new SimWorld(7);
-    private final List<String> asked = new ArrayList<>();
+    private final List<String> probed = new ArrayList<>();
     private final List<Long> numbers = new ArrayList<>();
     private final ControlNodeDirectory directory = new ControlNodeDirectory(List.of("s-1", "s-2", "s-3"));
     private final ControlNodeSearch search =
@@ -29,7 +29,7 @@
 
     ControlNodeSearchTest() {
         world.wire = (from, to, message) -> {
-            asked.add(to);
+            probed.add(to);
             numbers.add(((ContactProbe) message).number());
         };
     }
@@ -39,28 +39,28 @@
     }
 
     @Test
-    void nobodyIsAskedAgainBeforeAllOthersWere() {
+    void eachRoundProbesEveryControlNodeOnce() {
         directory.updateCurrent(hosts("old-", 5));
         directory.updateCurrent(hosts("new-", 5));
         for (int round = 0; round < 4; round++) {
             Set<String> inRound = new HashSet<>();
-            int from = asked.size();
-            for (int turn = 0; turn < 6; turn++) { // 12 others than our own
+            int from = probed.size();
+            for (int step = 0; step < 6; step++) { // 13 known control nodes without the excluded one
                 search.probeNext("new-0");
             }
-            asked.subList(from, asked.size()).stream()
+            probed.subList(from, probed.size()).stream()
                     .filter(host -> !host.equals("fellow"))
-                    .forEach(host -> assertThat(host + " twice", inRound.add(host)));
+                    .forEach(host -> assertThat(host + " probed twice", inRound.add(host)));
             assertThat(inRound, hasSize(12));
             assertThat(inRound, not(hasItem("new-0")));
         }
-        List<String> first = asked.subList(0, 4);
+        List<String> first = probed.subList(0, 4);
         assertThat(first.toString(), first.stream().allMatch(host -> host.startsWith("new-")));
-        assertThat("after a silent round", asked, hasItem("fellow"));
+        assertThat("after a round without replies", probed, hasItem("fellow"));
     }
 
     @Test
-    void whatAQuorumTellsReplacesWhatItToldBefore() {
+    void currentControlNodesReplacePreviousOnes() {
         for (int i = 0; i < 50; i++) {
             directory.updateCurrent(hosts("v" + i + "-", 3));
         }
@@ -75,9 +75,9 @@
     }
 
     @Test
-    void anAnswerToAnEarlierSearchOrOfAStrangerDoesNotCount() {
+    void outdatedRepliesAndRepliesOfStrangersDoNotCount() {
         search.probeNext(null);
-        String host = asked.get(0);
+        String host = probed.get(0);
         long number = numbers.get(0);
         search.stop();
         search.probeNext(null);
@@ -85,10 +85,10 @@
         search.handleReply("fellow", new ContactReply(numbers.get(2), true, List.of("told-1")));
         assertThat(search.serving(), nullValue());
         assertThat(directory.all(), hasItem("told-1"));
-        search.handleReply(asked.get(2), new ContactReply(numbers.get(2), false, List.of()));
+        search.handleReply(probed.get(2), new ContactReply(numbers.get(2), false, List.of()));
         assertThat(search.serving(), nullValue());
-        assertThat(search.notServing(), is(asked.get(2)));
-        search.handleReply(asked.get(3), new ContactReply(numbers.get(3), true, List.of()));
-        assertThat(search.serving(), is(asked.get(3)));
+        assertThat(search.notServing(), is(probed.get(2)));
+        search.handleReply(probed.get(3), new ContactReply(numbers.get(3), true, List.of()));
+        assertThat(search.serving(), is(probed.get(3)));
     }
 }
--- a/proxy/src/test/java/saltdale/proxy/CutOffTest.java
+++ b/proxy/src/test/java/saltdale/proxy/CutOffTest.java
@@ -30,108 +30,112 @@
 import saltdale.control.message.HeartbeatMessage.HeartbeatAck;
 import saltdale.control.message.HeartbeatMessage.PeerIdentity;
 
-/** A control node is cut off for some twenty seconds, in any way and at any moment, and comes back. */
+/** A control node is cut off for about twenty seconds, in different ways and at any moment, and comes back. */
 class CutOffTest {
     enum Cut {
         BOTH_WAYS,
-        HEARS_ONLY,
-        SPEAKS_ONLY,
-        STANDSTILL,
-        /** What it sends is held back, then it stands still; all of it leaves when it wakes. */
-        ANSWERS_LATE,
-        /** Its place is given away to a new one while it is cut off. */
+        RECEIVES_ONLY,
+        SENDS_ONLY,
+        FROZEN,
+        /** Its messages are held back, then it is frozen; they are delivered when it resumes. */
+        SENDS_DELAYED,
+        /** It is replaced by a new control node while it is cut off. */
         REPLACED,
-        /** The time of day steps back while it is cut off. */
+        /** Its wall clock is set back while it is cut off. */
         CLOCK_STEP
     }
 
-    /** Wrong on purpose, to show that the checks see it. */
-    enum WrongVariant {
+    /** Faulty variants of the code, to show that the checks detect them. */
+    enum FaultyVariant {
         NONE,
-        /** Without a majority it answers with what it read last. */
-        ANSWERS_FROM_MEMORY_WHEN_CUT_OFF,
-        /** Takes each heartbeat that it sent for acknowledged: leases and duties go on without a quorum. */
+        /** Without a majority, reads are answered with the last result. */
+        READS_FROM_CACHE_WITHOUT_QUORUM,
+        /** Every heartbeat counts as acknowledged when it is sent: leases and duties continue without a quorum. */
         KEEPS_DUTY_WITHOUT_QUORUM,
-        /** Counts its leases by the time of day. */
-        LEASE_BY_TIME_OF_DAY
+        /** Leases are measured by the wall clock. */
+        LEASE_BY_WALL_CLOCK
     }
 
-    /** One schedule. */
+    /** One schedule of faults. */
     private static final class Run {
         private final SimWorld world;
         private final ContactChecks checks;
-        private final WrongVariant variant;
+        private final FaultyVariant variant;
 
-        Run(SimWorld world, int controlNodes, WrongVariant variant) {
+        Run(SimWorld world, int controlNodes, FaultyVariant variant) {
             this.world = world;
             this.variant = variant;
             serving(world, controlNodes, 4);
             checks = new ContactChecks(world);
         }
 
-        private void cut(SimMachine off, Cut cut) {
+        private void cut(SimMachine isolated, Cut cut) {
             for (SimMachine other : List.copyOf(world.controlNodes)) {
-                if (other == off || cut == Cut.STANDSTILL) {
+                if (other == isolated || cut == Cut.FROZEN) {
                     continue;
                 }
-                if (cut != Cut.HEARS_ONLY && cut != Cut.ANSWERS_LATE) {
-                    world.cutOneWay(other, off);
+                if (cut != Cut.RECEIVES_ONLY && cut != Cut.SENDS_DELAYED) {
+                    world.cutOneWay(other, isolated);
                 }
-                if (cut != Cut.SPEAKS_ONLY && cut != Cut.ANSWERS_LATE) {
-                    world.cutOneWay(off, other);
+                if (cut != Cut.SENDS_ONLY && cut != Cut.SENDS_DELAYED) {
+                    world.cutOneWay(isolated, other);
                 }
             }
             switch (cut) {
-                case STANDSTILL -> off.freeze();
-                case ANSWERS_LATE -> {
-                    world.stalled.add(off.host);
-                    world.at(world.chance.nextInt(1000) * 1_000_000L, off::freeze);
+                case FROZEN -> isolated.freeze();
+                case SENDS_DELAYED -> {
+                    world.stalled.add(isolated.host);
+                    world.at(world.chance.nextInt(1000) * 1_000_000L, isolated::freeze);
                 }
                 case REPLACED -> {
-                    SimMachine next = world.controlNode("10.0.0.9", List.of(off.host, "10.0.0.1", "10.0.0.2"), false);
-                    world.cut(off, next);
-                    next.start();
+                    SimMachine replacement =
+                            world.controlNode("10.0.0.9", List.of(isolated.host, "10.0.0.1", "10.0.0.2"), false);
+                    world.cut(isolated, replacement);
+                    replacement.start();
                 }
                 case CLOCK_STEP ->
-                    world.at(world.chance.nextInt(1200) * 1_000_000L, () -> off.timeOfDayStep -= 30_000_000_000L);
+                    world.at(world.chance.nextInt(1200) * 1_000_000L, () -> isolated.timeOfDayStep -= 30_000_000_000L);
                 default -> {}
             }
         }
 
-        private void heal(SimMachine off) {
+        private void reconnect(SimMachine isolated) {
             world.cuts.clear();
-            if (off.frozen) {
-                off.thaw();
+            if (isolated.frozen) {
+                isolated.thaw();
             }
             world.release();
         }
 
-        /** One schedule: cut off, a proxy begins anew meanwhile, and back; often right as it acknowledges a change. */
-        List<String> play(Cut cut) {
+        /**
+         * Cuts a control node off, often at the moment when it acknowledges a change, restarts a proxy meanwhile, and
+         * connects the control node again. Returns the faults found.
+         */
+        List<String> execute(Cut cut) {
             applyVariant();
             checks.start();
             world.run(800);
-            SimMachine off = world.controlNodes.get(world.chance.nextInt(3));
-            boolean[] isOff = new boolean[1];
+            SimMachine isolated = world.controlNodes.get(world.chance.nextInt(3));
+            boolean[] isCutOff = new boolean[1];
             if (world.chance.nextBoolean()) {
                 checks.onAcknowledgement = at -> {
-                    if (at == off && !isOff[0]) {
-                        isOff[0] = true;
-                        cut(off, cut);
+                    if (at == isolated && !isCutOff[0]) {
+                        isCutOff[0] = true;
+                        cut(isolated, cut);
                     }
                 };
-                world.until(8000, () -> isOff[0]);
+                world.until(8000, () -> isCutOff[0]);
             }
-            if (!isOff[0]) {
-                isOff[0] = true;
-                cut(off, cut);
+            if (!isCutOff[0]) {
+                isCutOff[0] = true;
+                cut(isolated, cut);
             }
             world.run(3000 + world.chance.nextInt(9000));
-            SimMachine fresh = world.proxies.get(world.chance.nextInt(4));
-            fresh.kill();
-            fresh.start();
+            SimMachine restarted = world.proxies.get(world.chance.nextInt(4));
+            restarted.kill();
+            restarted.start();
             world.run(20_000 - world.chance.nextInt(9000));
-            heal(off);
+            reconnect(isolated);
             world.run(7000);
             checks.stop();
             world.run(4000);
@@ -142,17 +146,17 @@
         }
 
         private void applyVariant() {
-            if (variant == WrongVariant.ANSWERS_FROM_MEMORY_WHEN_CUT_OFF) {
+            if (variant == FaultyVariant.READS_FROM_CACHE_WITHOUT_QUORUM) {
                 Map<SimMachine, ControlNode.Reply> last = new HashMap<>();
-                checks.reading = (at, answer) -> at.controlNode().read(reply -> {
+                checks.reader = (at, answer) -> at.controlNode().read(reply -> {
                     if (reply.status() == 200) {
                         last.put(at, reply);
                     }
                     answer.accept(last.getOrDefault(at, reply));
                 });
-            } else if (variant == WrongVariant.LEASE_BY_TIME_OF_DAY) {
+            } else if (variant == FaultyVariant.LEASE_BY_WALL_CLOCK) {
                 world.machines.values().forEach(machine -> machine.leasesByTimeOfDay = true);
-            } else if (variant == WrongVariant.KEEPS_DUTY_WITHOUT_QUORUM) {
+            } else if (variant == FaultyVariant.KEEPS_DUTY_WITHOUT_QUORUM) {
                 Map<String, PeerIdentity> identities = new HashMap<>();
                 world.spy = message -> {
                     if (message instanceof Heartbeat heartbeat) {
@@ -173,34 +177,34 @@
 
     @ParameterizedTest
     @EnumSource(Cut.class)
-    void whoIsCutOffNeitherConfirmsNorRefusesNorHandsOutAnythingOld(Cut cut) {
+    void isolatedControlNodeNeitherAnswersNorDistributesOldState(Cut cut) {
         for (int seed = 0; seed < 4; seed++) {
-            Run run = new Run(new SimWorld(seed), seed % 3 == 2 ? 5 : 3, WrongVariant.NONE);
-            assertThat(cut + ", seed " + seed, run.play(cut), is(empty()));
+            Run run = new Run(new SimWorld(seed), seed % 3 == 2 ? 5 : 3, FaultyVariant.NONE);
+            assertThat(cut + ", seed " + seed, run.execute(cut), is(empty()));
         }
     }
 
     @ParameterizedTest
-    @EnumSource(value = WrongVariant.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
-    void theChecksSeeAWrongVariant(WrongVariant variant) {
-        Set<String> seen = new HashSet<>();
+    @EnumSource(value = FaultyVariant.class, mode = EnumSource.Mode.EXCLUDE, names = "NONE")
+    void checksDetectFaultyVariant(FaultyVariant variant) {
+        Set<String> detected = new HashSet<>();
         for (int seed = 0; seed < 4; seed++) {
-            Cut cut = variant == WrongVariant.LEASE_BY_TIME_OF_DAY ? Cut.CLOCK_STEP : Cut.BOTH_WAYS;
-            seen.addAll(new Run(new SimWorld(seed), 3, variant).play(cut));
+            Cut cut = variant == FaultyVariant.LEASE_BY_WALL_CLOCK ? Cut.CLOCK_STEP : Cut.BOTH_WAYS;
+            detected.addAll(new Run(new SimWorld(seed), 3, variant).execute(cut));
         }
-        assertThat(seen, is(not(empty())));
+        assertThat(detected, is(not(empty())));
     }
 
-    /** Whoever accepted a change that only the one who acknowledged it knew to be chosen finds that out by itself. */
+    /** If only the isolated control node knew that a change was chosen, the others find it out by themselves. */
     @Test
-    void whatOnlyTheOneCutOffKnewToBeChosenIsFoundOut() {
+    void choiceKnownOnlyToAnIsolatedNodeIsDiscovered() {
         for (int seed = 0; seed < 12; seed++) {
             SimWorld world = serving(seed, seed % 2 == 0 ? 3 : 5, 4);
-            SimMachine by = world.controlNodes.get(seed % 3);
+            SimMachine acknowledging = world.controlNodes.get(seed % 3);
             int[] status = new int[1];
-            SimOperator.replace(by, 1, config(2), reply -> {
+            SimOperator.replace(acknowledging, 1, config(2), reply -> {
                 status[0] = reply.status();
-                world.isolate(by); // what it has just sent is lost as well
+                world.isolate(acknowledging); // the messages that it has just sent are lost too
             });
             assertTrue(world.until(2000, () -> status[0] == 200));
             boolean known = world.until(
@@ -212,46 +216,49 @@
     }
 
     /**
-     * One of three is replaced while it is cut off; then one more is cut off with it that has accepted the new voters
-     * and has not heard that they were chosen. The two are a majority of the voters that they know, and of no others.
+     * One of three control nodes is replaced while it is cut off. Then a second one is cut off together with it, which
+     * has accepted the new voters but has not learned that they were chosen. The two are a majority of the former
+     * voters, but not of the current ones.
      */
-    private static SimWorld cutOffWithTheVotersThatWere(int seed, SimWorld.Rewriting rewriting) {
+    private static SimWorld cutOffWithFormerVoters(int seed, SimWorld.Rewriting rewriting) {
         SimWorld world = serving(seed, 3, 4);
         SimMachine old = world.controlNodes.get(0);
         SimMachine second = world.controlNodes.get(1);
         SimMachine third = world.controlNodes.get(2);
         world.isolate(old);
-        SimMachine next = world.controlNode("10.0.0.9", List.of(second.host, third.host), false);
-        world.cut(old, next);
+        SimMachine replacement = world.controlNode("10.0.0.9", List.of(second.host, third.host), false);
+        world.cut(old, replacement);
         world.rewriting = (from, to, message) -> to.equals(second.host)
                         && message instanceof Chosen news
                         && news.state().voters().stream()
-                                .anyMatch(voter -> voter.host().equals(next.host))
+                                .anyMatch(voter -> voter.host().equals(replacement.host))
                 ? null
                 : rewriting.of(from, to, message);
-        next.start();
-        assertTrue(world.until(12_000, () -> world.voters().contains(next.id()) && !world.isJoint()), "seed " + seed);
+        replacement.start();
+        assertTrue(
+                world.until(12_000, () -> world.voters().contains(replacement.id()) && !world.isJoint()),
+                "seed " + seed);
         world.cuts.clear();
         for (SimMachine one : List.of(old, second)) {
             world.cut(one, third);
-            world.cut(one, next);
+            world.cut(one, replacement);
         }
         world.run(4000);
         return world;
     }
 
-    private static long believers(SimWorld world) {
+    private static long nodesAssumingMajority(SimWorld world) {
         return world.controlNodes.subList(0, 2).stream()
                 .filter(each -> each.controlNode().hasMajority())
                 .count();
     }
 
     @Test
-    void aMajorityOfTheVotersThatWereIsNone() {
+    void majorityOfFormerVotersIsNoMajority() {
         int counted = 0;
         for (int seed = 0; seed < 8; seed++) {
-            SimWorld world = cutOffWithTheVotersThatWere(seed, (from, to, message) -> message);
-            assertThat("seed " + seed, believers(world), is(0L));
+            SimWorld world = cutOffWithFormerVoters(seed, (from, to, message) -> message);
+            assertThat("seed " + seed, nodesAssumingMajority(world), is(0L));
             boolean settled = insists(world, 1, config(2), 4000);
             counted += settled ? 1 : 0;
             boolean known = world.until(
@@ -264,25 +271,25 @@
         assertThat(counted, greaterThan(4));
     }
 
-    /** The wrong variant: acknowledgements that keep to themselves what was accepted. */
+    /** The faulty variant: heartbeat acknowledgements do not contain the accepted version. */
     @Test
-    void acknowledgementsWithoutWhatWasAcceptedMakeAMajorityOfTheVotersThatWere() {
-        long believers = 0;
+    void heartbeatAcksWithoutAcceptedVersionAllowAFalseMajority() {
+        long nodesAssumingMajority = 0;
         for (int seed = 0; seed < 8; seed++) {
-            believers += believers(cutOffWithTheVotersThatWere(
+            nodesAssumingMajority += nodesAssumingMajority(cutOffWithFormerVoters(
                     seed,
                     (from, to, message) -> message instanceof HeartbeatAck ack
                             ? new HeartbeatAck(ack.from(), ack.number(), ack.version(), ack.version())
                             : message));
         }
-        assertThat(believers, greaterThan(0L));
+        assertThat(nodesAssumingMajority, greaterThan(0L));
     }
 
-    /** Steps of the time of day cannot matter to code that never looks at it. */
+    /** Code that never reads the wall clock cannot be affected by its steps. */
     @ParameterizedTest
     @ValueSource(strings = {"control", "proxy", "node", "net"})
-    void theTimeOfDayIsReadNowhere(String module) throws IOException {
-        Pattern timeOfDay = Pattern.compile("currentTimeMillis|Instant\\.now|Date\\(|DateTime\\.now|Clock\\.system");
+    void wallClockIsNeverRead(String module) throws IOException {
+        Pattern wallClock = Pattern.compile("currentTimeMillis|Instant\\.now|Date\\(|DateTime\\.now|Clock\\.system");
         try (Stream<Path> files = Files.walk(Path.of("..", module, "src", "main", "java"))) {
             List<Path> sources =
                     files.filter(file -> file.toString().endsWith(".java")).toList();
@@ -290,7 +297,7 @@
             for (Path each : sources) {
                 assertThat(
                         each.toString(),
-                        timeOfDay.matcher(Files.readString(each)).find(),
+                        wallClock.matcher(Files.readString(each)).find(),
                         is(false));
             }
         }
--- a/proxy/src/test/java/saltdale/proxy/InputTest.java
+++ b/proxy/src/test/java/saltdale/proxy/InputTest.java
@@ -34,13 +34,13 @@
 import saltdale.control.message.SessionMessage.LeaseRenewal;
 import saltdale.control.message.SessionMessage.MembersChange;
 
-/** What operators and other processes send is checked whole before anything is done. */
+/** Input of operators and other processes is validated completely before it has any effect. */
 class InputTest {
-    private static String whole(String routes) {
+    private static String withRoutes(String routes) {
         return config(2).replace("\"routes\":[", "\"routes\":[" + routes + ",");
     }
 
-    private static Stream<String> badReplacements() {
+    private static Stream<String> invalidReplacements() {
         String good = route("r-9", "/c/", "idempotent", "fn");
         return Stream.of(
                 "",
@@ -62,31 +62,31 @@
                 config(0),
                 config(2).replace("\"services\":[{", "\"services\":[7,{"),
                 config(2).replace("\"name\":\"fn\"", "\"name\":\"other\""),
-                whole("\"r\""),
-                whole("null"),
-                whole(good.replace("\"fn\"", "\"nobody\"")),
-                whole(good + "," + good),
-                whole(good.replace("/c/", "/a/")),
-                whole(good.replace("/c/", "c")),
-                whole(good.replace("r-9", "r-0")),
-                whole(good.replace("\"timeout_ms\":5000", "\"timeout_ms\":0")),
-                whole(good.replace("\"timeout_ms\":5000", "\"timeout_ms\":-1")),
-                whole(good.replace("\"hostname\":\"h.example\",", "")),
-                whole(good.replace("idempotent", "sometimes")),
-                whole(good.replace("\"service\":\"fn\"", "\"services\":[]")),
-                whole(good.replace("\"service\":\"fn\"", "\"services\":[{\"service\":\"fn\",\"weight\":0}]")),
-                whole(good.replace(
+                withRoutes("\"r\""),
+                withRoutes("null"),
+                withRoutes(good.replace("\"fn\"", "\"nobody\"")),
+                withRoutes(good + "," + good),
+                withRoutes(good.replace("/c/", "/a/")),
+                withRoutes(good.replace("/c/", "c")),
+                withRoutes(good.replace("r-9", "r-0")),
+                withRoutes(good.replace("\"timeout_ms\":5000", "\"timeout_ms\":0")),
+                withRoutes(good.replace("\"timeout_ms\":5000", "\"timeout_ms\":-1")),
+                withRoutes(good.replace("\"hostname\":\"h.example\",", "")),
+                withRoutes(good.replace("idempotent", "sometimes")),
+                withRoutes(good.replace("\"service\":\"fn\"", "\"services\":[]")),
+                withRoutes(good.replace("\"service\":\"fn\"", "\"services\":[{\"service\":\"fn\",\"weight\":0}]")),
+                withRoutes(good.replace(
                         "\"service\":\"fn\"",
                         "\"services\":[{\"service\":\"fn\",\"weight\":0.0},{\"service\":\"fn\",\"weight\":0}]")),
-                whole(good.replace(
+                withRoutes(good.replace(
                         "\"service\":\"fn\"",
                         "\"services\":[{\"service\":\"fn\",\"weight\":-1},{\"service\":\"fn\",\"weight\":2}]")),
-                whole(good.replace(
+                withRoutes(good.replace(
                         "\"service\":\"fn\"",
                         "\"services\":[{\"service\":\"fn\",\"weight\":1},{\"service\":\"no\",\"weight\":1}]")));
     }
 
-    private static Stream<String> badAmendments() {
+    private static Stream<String> invalidAmendments() {
         String set = "{\"revision\":2,\"set_items\":{\"routes\":[";
         return Stream.of(
                 "{",
@@ -105,34 +105,36 @@
     }
 
     @Test
-    void aBadConfigurationIsRefusedAndChangesNothing() {
+    void invalidConfigurationIsRejectedWithoutEffect() {
         SimWorld world = new SimWorld(1).of(3, 0).begin();
         world.run(2500);
         assertTrue(insists(world, 0, config(1), 5000));
-        SimMachine at = world.controlNodes.get(1);
-        String before = read(world, at);
-        badReplacements().forEach(body -> assertThat(brief(body), change(world, at, false, "1", body), is(400)));
-        badAmendments().forEach(body -> assertThat(brief(body), change(world, at, true, "1", body), is(400)));
+        SimMachine node = world.controlNodes.get(1);
+        String before = read(world, node);
+        invalidReplacements()
+                .forEach(body -> assertThat(abbreviated(body), change(world, node, false, "1", body), is(400)));
+        invalidAmendments()
+                .forEach(body -> assertThat(abbreviated(body), change(world, node, true, "1", body), is(400)));
         for (String base : new String[] {null, "", "x", "1.0", "99999999999999999999"}) {
-            assertThat("based on " + base, change(world, at, false, base, config(2)), is(400));
+            assertThat("based on " + base, change(world, node, false, base, config(2)), is(400));
         }
-        assertThat(read(world, at), is(before));
+        assertThat(read(world, node), is(before));
         assertThat(world.newest.revision(), is(1L));
         assertThat(
                 change(
                         world,
-                        at,
+                        node,
                         true,
                         "1",
                         "{\"revision\":2,\"remove_names\":{\"routes\":[\"r-1\",\"none\"]},"
                                 + "\"set_items\":{\"routes\":[" + route("r-7", "/c/", "idempotent", "fn") + "]}}"),
                 is(200));
-        assertThat(read(world, at), containsString("/c/"));
-        assertThat(read(world, at), not(containsString("/b/")));
+        assertThat(read(world, node), containsString("/c/"));
+        assertThat(read(world, node), not(containsString("/b/")));
     }
 
     @Test
-    void whatIsReadBackIsWhatWasSent() throws Exception {
+    void configurationIsReadBackUnchanged() throws Exception {
         SimWorld world = new SimWorld(4).of(3, 0).begin();
         world.run(2500);
         String sent = config(1, 5)
@@ -143,13 +145,13 @@
                 is(Trees.fromJson(sent.getBytes(StandardCharsets.UTF_8))));
     }
 
-    private static String brief(String body) {
+    private static String abbreviated(String body) {
         return body.length() < 1000 ? body : body.substring(0, 100);
     }
 
-    /** Each message that a cluster sends, with one part of it of another kind, is sent to all. */
+    /** Sends copies of each kind of message that a cluster exchanges, each with one part replaced by another type. */
     @Test
-    void malformedMessagesChangeNothing() throws Exception {
+    void malformedMessagesHaveNoEffect() throws Exception {
         SimWorld world = new SimWorld(2);
         Map<MessageKind, List<Message>> seen = new EnumMap<>(MessageKind.class);
         world.spy = m -> {
@@ -173,9 +175,9 @@
         int sent = 0;
         for (List<Message> kind : seen.values()) {
             for (Message message : kind) {
-                List<Object> bad = new ArrayList<>();
-                spoilt(MessageCodec.tree(message), bad);
-                for (Object each : bad) {
+                List<Object> malformed = new ArrayList<>();
+                addMalformedCopies(MessageCodec.tree(message), malformed);
+                for (Object each : malformed) {
                     for (SimMachine to : List.of(world.controlNodes.get(1), world.proxies.get(1))) {
                         sent++;
                         send(to, each);
@@ -189,98 +191,99 @@
         assertThat(world.voters(), is(voters));
         assertThat(replace(world, world.controlNodes.get(1), 1, config(2)), is(200));
         world.run(1500);
-        SimPlatform.OutgoingCall asked = world.platform.call(world.proxies.get(1), "h.example", "/a/1", 3000);
+        SimPlatform.OutgoingCall call = world.platform.call(world.proxies.get(1), "h.example", "/a/1", 3000);
         world.run(3000);
-        assertThat(asked.answers, is(List.of(200)));
+        assertThat(call.answers, is(List.of(200)));
         assertThat(world.faults, is(empty()));
     }
 
     private static void send(SimMachine to, Object tree) {
         try {
-            // As it comes over the wire; of whom such messages come, so that answers go where they are understood.
+            // Encoded as on the wire. The sender is of the kind that sends such messages, so that it understands
+            // replies.
             Message message = MessageCodec.decode(Trees.cbor(tree));
-            boolean ofProxy = message instanceof LeaseRenewal
+            boolean sentByProxy = message instanceof LeaseRenewal
                     || message instanceof DemandReport
                     || message instanceof InstanceReady;
-            to.process.take(ofProxy ? "10.1.0.1" : "10.0.0.3", message);
+            to.process.take(sentByProxy ? "10.1.0.1" : "10.0.0.3", message);
         } catch (MalformedMessage expected) {
-            // It says so, and that is all.
+            // Reported as malformed, with no further effect.
         } catch (RuntimeException e) {
-            throw new AssertionError("not told as malformed: " + tree, e);
+            throw new AssertionError("not reported as malformed: " + tree, e);
         }
     }
 
-    /** Copies of the tree in each of which one part is of another kind. */
-    private static void spoilt(Object tree, List<Object> to) {
+    /** Adds copies of the tree to the list, each with one part replaced by a value of another type. */
+    private static void addMalformedCopies(Object tree, List<Object> copies) {
         if (tree instanceof Map<?, ?> map) {
             map.forEach((name, value) -> {
                 List<Object> parts = new ArrayList<>();
-                spoilt(value, parts);
+                addMalformedCopies(value, parts);
                 parts.add(value instanceof String ? (Object) 7L : "x");
                 for (Object part : parts) {
                     Map<Object, Object> copy = new LinkedHashMap<>(map);
                     copy.put(name, part);
-                    to.add(copy);
+                    copies.add(copy);
                 }
             });
         } else if (tree instanceof List<?> list) {
             for (int i = 0; i < list.size(); i++) {
                 List<Object> parts = new ArrayList<>();
-                spoilt(list.get(i), parts);
+                addMalformedCopies(list.get(i), parts);
                 parts.add(list.get(i) instanceof String ? (Object) 7L : "x");
                 for (Object part : parts) {
                     List<Object> copy = new ArrayList<>(list);
                     copy.set(i, part);
-                    to.add(copy);
+                    copies.add(copy);
                 }
             }
         }
     }
 
-    /** A renewal that cannot be read to its end makes nobody a member. */
+    /** A renewal of which only a part can be decoded adds no member. */
     @Test
-    void aMalformedRenewalMakesNoMember() throws Exception {
+    void malformedRenewalAddsNoMember() throws Exception {
         SimWorld world = serving(3, 3, 2);
-        List<Member> told = new ArrayList<>();
+        List<Member> received = new ArrayList<>();
         world.spy = m -> {
             if (m instanceof MembersChange news) {
-                told.addAll(news.changed());
+                received.addAll(news.changed());
             }
         };
         Member ghost = new Member("life", "ghost", "z-a", "10.1.0.99", false);
         List<Object> renewal = MessageCodec.tree(new LeaseRenewal(ghost, 1, "session", -1, "", ""));
         for (int field = 2; field < renewal.size(); field++) {
-            List<Object> bad = new ArrayList<>(renewal);
-            bad.set(field, List.of());
-            send(world.controlNodes.get(0), bad);
+            List<Object> malformed = new ArrayList<>(renewal);
+            malformed.set(field, List.of());
+            send(world.controlNodes.get(0), malformed);
         }
         world.run(1500);
-        assertThat(told.contains(ghost), is(false));
+        assertThat(received.contains(ghost), is(false));
     }
 
-    /** An error names the kind of the message and its field, or what is wrong with the whole. */
+    /** A decoding error names the kind of the message and its field, or what is wrong with the message as a whole. */
     @Test
-    void anErrorNamesKindAndField() {
+    void decodingErrorNamesKindAndField() {
         List<Object> renewal =
                 MessageCodec.tree(new LeaseRenewal(new Member("l", "n", "z", "h", false), 1, "session", -1, "", ""));
-        List<Object> noNumber = new ArrayList<>(renewal);
-        noNumber.set(2, "x");
-        List<Object> longer = new ArrayList<>(renewal);
-        longer.add(1L);
-        Map<List<Object>, String> why = Map.of(
-                noNumber,
+        List<Object> withoutNumber = new ArrayList<>(renewal);
+        withoutNumber.set(2, "x");
+        List<Object> withExtraField = new ArrayList<>(renewal);
+        withExtraField.add(1L);
+        Map<List<Object>, String> expectedErrors = Map.of(
+                withoutNumber,
                 "message LEASE_RENEWAL, field count: is no whole number",
                 renewal.subList(0, 4),
                 "message LEASE_RENEWAL, field revision: is missing",
-                longer,
+                withExtraField,
                 "message LEASE_RENEWAL: 1 fields too many",
                 List.of(),
                 "no known kind of message",
                 List.of(99L),
                 "no known kind of message");
-        why.forEach((tree, said) -> assertThat(
+        expectedErrors.forEach((tree, expected) -> assertThat(
                 assertThrows(MalformedMessage.class, () -> MessageCodec.decode(Trees.cbor(tree)))
                         .getMessage(),
-                is(said)));
+                is(expected)));
     }
 }
--- a/proxy/src/test/java/saltdale/proxy/InvariantsTest.java
+++ b/proxy/src/test/java/saltdale/proxy/InvariantsTest.java
@@ -18,30 +18,31 @@
 import saltdale.control.WrongOrders;
 import saltdale.control.message.BallotMessage.Chosen;
 
-/** The invariants that the code itself checks see wrong variants, and count what they see. */
+/** The invariants checked by the code itself detect faulty variants and count the violations. */
 class InvariantsTest {
-    private static void assertViolated(SimWorld world, SimMachine at, Invariant invariant) {
-        Counters counters = at.process.counters();
+    private static void assertViolated(SimWorld world, SimMachine node, Invariant invariant) {
+        Counters counters = node.process.counters();
         assertThat(counters.violations(invariant), greaterThan(0L));
         assertThat(counters.text(), containsString(invariant.label() + " " + counters.violations(invariant)));
         assertThat(world.faults.toString(), containsString(invariant.name()));
     }
 
     @Test
-    void anAcknowledgementBeforeTheChoiceIsSeen() {
+    void acknowledgementBeforeChoiceIsDetected() {
         SimWorld world = serving(1, 3, 2);
-        SimMachine at = world.controlNodes.get(0);
-        at.kill();
+        SimMachine node = world.controlNodes.get(0);
+        node.kill();
         world.controlNodeFactory = WrongOrders.ACKNOWLEDGES_BEFORE_CHOSEN::node;
-        at.start();
+        node.start();
         world.run(3000);
         assertThat(world.faults, is(empty()));
-        replace(world, at, 1, config(2));
-        assertViolated(world, at, Invariant.ACKNOWLEDGED_IS_CHOSEN);
+        replace(world, node, 1, config(2));
+        assertViolated(world, node, Invariant.ACKNOWLEDGED_IS_CHOSEN);
     }
 
-    /** A state that is told as chosen, on top of the newest one. */
-    private static void tells(SimWorld world, SimMachine to, long revision, String text) throws MalformedMessage {
+    /** Announces a state on top of the newest one as chosen. */
+    private static void announceChosen(SimWorld world, SimMachine to, long revision, String text)
+            throws MalformedMessage {
         ReplicatedState newest = world.newest;
         ReplicatedState next = new ReplicatedState(
                 newest.version() + 1,
@@ -55,20 +56,20 @@
     }
 
     @Test
-    void aRevisionThatFallsIsSeen() throws MalformedMessage {
+    void decreasingRevisionIsDetected() throws MalformedMessage {
         SimWorld world = serving(2, 3, 2);
         replace(world, world.controlNodes.get(0), 1, config(9));
         world.run(1000);
-        SimMachine at = world.controlNodes.get(1);
-        tells(world, at, 3, config(3));
-        assertViolated(world, at, Invariant.REVISION_RISES);
+        SimMachine node = world.controlNodes.get(1);
+        announceChosen(world, node, 3, config(3));
+        assertViolated(world, node, Invariant.REVISION_RISES);
     }
 
     @Test
-    void anInvalidConfigurationThatIsChosenIsSeen() throws MalformedMessage {
+    void invalidChosenConfigurationIsDetected() throws MalformedMessage {
         SimWorld world = serving(3, 3, 2);
-        SimMachine at = world.controlNodes.get(1);
-        tells(world, at, 3, config(3).replace("\"timeout_ms\":5000", "\"timeout_ms\":0"));
-        assertViolated(world, at, Invariant.CHOSEN_IS_VALID);
+        SimMachine node = world.controlNodes.get(1);
+        announceChosen(world, node, 3, config(3).replace("\"timeout_ms\":5000", "\"timeout_ms\":0"));
+        assertViolated(world, node, Invariant.CHOSEN_IS_VALID);
     }
 }
--- a/proxy/src/test/java/saltdale/proxy/MembershipChangeTest.java
+++ b/proxy/src/test/java/saltdale/proxy/MembershipChangeTest.java
@@ -21,14 +21,14 @@
 import saltdale.proxy.SimCore.Loss;
 
 /**
- * Losses and replacements right after one another, and a second fault at the messages of a change of voters. Each run
- * strikes at every eleventh message of a change; {@code -Dmembership.stride=1} strikes at each.
+ * Losses and replacements of control nodes in direct succession, and a second fault during a change of voters. The
+ * second fault is injected at every eleventh message of the change, at each one with {@code -Dmembership.stride=1}.
  */
 class MembershipChangeTest {
     private static final int STRIDE = Integer.getInteger("membership.stride", 11);
-    private static final int NEVER = -1;
+    private static final int NO_MESSAGE = -1;
 
-    private enum Strike {
+    private enum SecondFault {
         KILL_SENDER,
         CUT_SENDER,
         POWER_OFF_ALL,
@@ -37,44 +37,43 @@
     }
 
     private enum Variant {
-        AS_IT_IS(core -> {}),
-        SETTLED_ONLY_BY_ITS_PROPOSER(
-                core -> core.world.controlNodeFactory = WrongVoterChanges::settledOnlyByItsProposer),
+        CORRECT(core -> {}),
+        COMPLETED_ONLY_BY_PROPOSER(core -> core.world.controlNodeFactory = WrongVoterChanges::settledOnlyByItsProposer),
         LEAVES_BEFORE_SUCCESSOR_VOTES(core -> core.endsAtOnce = true),
         VOTES_FROM_EMPTY_DISK(core -> core.keepsIdentity = true),
-        TELLS_BEFORE_SYNC(core -> core.world.tellsBeforeSync = true),
-        VOTERS_ADDED_FOR_THOSE_GONE(core -> core.world.toleratedLosses = 3);
+        CONFIRMS_BEFORE_SYNC(core -> core.world.tellsBeforeSync = true),
+        VOTERS_ADDED_FOR_LOST_ONES(core -> core.world.toleratedLosses = 3);
 
-        final Consumer<SimCore> in;
+        final Consumer<SimCore> setup;
 
-        Variant(Consumer<SimCore> in) {
-            this.in = in;
+        Variant(Consumer<SimCore> setup) {
+            this.setup = setup;
         }
     }
 
-    /** One loss, a strike at one of the messages of its repair, and once all have caught up one more loss. */
-    private record Run(Variant variant, int controlNodes, Loss loss, Strike strike, int message, long seed) {
+    /** A loss, a second fault at one of the messages of its repair, and another loss once all have caught up. */
+    private record Run(Variant variant, int controlNodes, Loss loss, SecondFault secondFault, int message, long seed) {
         Run at(int otherMessage) {
-            return new Run(variant, controlNodes, loss, strike, otherMessage, seed);
+            return new Run(variant, controlNodes, loss, secondFault, otherMessage, seed);
         }
 
-        /** How many messages the repair took; what was wrong is in {@code faults}. */
-        int play(List<String> faults) {
+        /** Returns the number of messages of the repair; violations are added to {@code faults}. */
+        int execute(List<String> faults) {
             SimCore core = new SimCore(seed, controlNodes);
-            variant.in.accept(core);
+            variant.setup.accept(core);
             core.begin();
             core.operates = false;
             core.world.run(300);
-            int[] count = new int[1];
-            core.world.wire = (from, to, what) -> {
-                if (what instanceof BallotMessage && count[0]++ == message) {
-                    core.world.at(0, () -> strike(core, from, to));
+            int[] messageCount = new int[1];
+            core.world.wire = (from, to, sentMessage) -> {
+                if (sentMessage instanceof BallotMessage && messageCount[0]++ == message) {
+                    core.world.at(0, () -> injectSecondFault(core, from, to));
                 }
             };
             core.lose(loss, core.victim((int) seed));
             core.untilCaughtUp();
             core.untilLeft();
-            int sent = count[0];
+            int sent = messageCount[0];
             core.operate();
             core.loseAll(Loss.WIPE, (int) seed + 1);
             core.untilCaughtUp();
@@ -83,10 +82,10 @@
             return sent;
         }
 
-        private void strike(SimCore core, String from, String to) {
-            // Longer than a proposer tries to end its change, shorter than until its duty is vacant.
+        private void injectSecondFault(SimCore core, String from, String to) {
+            // Longer than a proposer tries to complete its change, shorter than the time until its duty becomes vacant.
             core.away = seed % 2 == 0 ? 1000 : 1900;
-            switch (strike) {
+            switch (secondFault) {
                 case KILL_SENDER -> core.lose(Loss.KILL, core.at(from));
                 case CUT_SENDER -> core.lose(Loss.CUT, core.at(from));
                 case POWER_OFF_ALL ->
@@ -97,30 +96,31 @@
         }
     }
 
-    /** Strikes at the messages of a change in turn; the first run with a fault, null where there is none. */
-    private static Run firstWrong(Run run, int stride, List<String> faults) {
-        int messages = run.at(NEVER).play(faults);
+    /** Injects the fault at one message after the other; returns the first run with a violation, null if none has. */
+    private static Run firstViolation(Run run, int stride, List<String> faults) {
+        int messages = run.at(NO_MESSAGE).execute(faults);
         if (!faults.isEmpty()) {
-            return run.at(NEVER);
+            return run.at(NO_MESSAGE);
         }
         int runs = 0;
         for (int message = (int) run.seed % stride; message < messages; message += stride) {
-            Run struck = run.at(message);
-            struck.play(faults);
+            Run withFault = run.at(message);
+            withFault.execute(faults);
             if (!faults.isEmpty()) {
-                return struck;
+                return withFault;
             }
             runs++;
         }
-        assertThat("messages to strike at", runs * stride, greaterThan(20));
+        assertThat("messages with an injected fault", runs * stride, greaterThan(20));
         return null;
     }
 
-    private static void strikeEverywhere(int controlNodes, Loss loss, Strike strike, int... seeds) {
+    private static void injectEverywhere(int controlNodes, Loss loss, SecondFault secondFault, int... seeds) {
         for (int seed : seeds) {
             List<String> faults = new ArrayList<>();
-            Run wrong = firstWrong(new Run(Variant.AS_IT_IS, controlNodes, loss, strike, NEVER, seed), STRIDE, faults);
-            assertThat(String.valueOf(wrong), faults, is(empty()));
+            Run violating = firstViolation(
+                    new Run(Variant.CORRECT, controlNodes, loss, secondFault, NO_MESSAGE, seed), STRIDE, faults);
+            assertThat(String.valueOf(violating), faults, is(empty()));
         }
     }
 
@@ -128,29 +128,30 @@
     @EnumSource(
             value = Loss.class,
             names = {"REPLACE", "WIPE", "LEAVE"})
-    void aFaultAtAnyMessageOfAChangeLeavesTheNextLossBearable(Loss loss) {
-        for (Strike strike : List.of(Strike.KILL_SENDER, Strike.CUT_SENDER, Strike.POWER_OFF_ALL)) {
-            strikeEverywhere(3, loss, strike, 0, 1);
-            strikeEverywhere(5, loss, strike, 1);
+    void secondFaultDuringAChangeDoesNotPreventRecovery(Loss loss) {
+        for (SecondFault secondFault :
+                List.of(SecondFault.KILL_SENDER, SecondFault.CUT_SENDER, SecondFault.POWER_OFF_ALL)) {
+            injectEverywhere(3, loss, secondFault, 0, 1);
+            injectEverywhere(5, loss, secondFault, 1);
         }
     }
 
-    /** A second disk within the tolerated ones: two of five, or one of three while a member leaves. */
+    /** A second disk is lost within what is tolerated: two of five, or one of three while a member leaves. */
     @ParameterizedTest
     @EnumSource(
-            value = Strike.class,
+            value = SecondFault.class,
             names = {"WIPE_SENDER", "WIPE_RECEIVER"})
-    void aDiskLostAtAnyMessageOfAChangeIsBorneWhereItIsTolerated(Strike strike) {
-        strikeEverywhere(5, Loss.REPLACE, strike, 0);
-        strikeEverywhere(5, Loss.WIPE, strike, 1);
-        strikeEverywhere(5, Loss.LEAVE, strike, 1);
-        strikeEverywhere(3, Loss.LEAVE, strike, 1, 3);
+    void diskLossDuringAChangeIsTolerated(SecondFault secondFault) {
+        injectEverywhere(5, Loss.REPLACE, secondFault, 0);
+        injectEverywhere(5, Loss.WIPE, secondFault, 1);
+        injectEverywhere(5, Loss.LEAVE, secondFault, 1);
+        injectEverywhere(3, Loss.LEAVE, secondFault, 1, 3);
     }
 
-    /** As many at once as are tolerated, of the kinds in turn. */
-    private static List<String> inOrder(Variant variant, long seed, int controlNodes, List<Loss> losses) {
+    /** Loses as many machines at once as are tolerated, by one kind of loss after the other. */
+    private static List<String> faultsAfterLosses(Variant variant, long seed, int controlNodes, List<Loss> losses) {
         SimCore core = new SimCore(seed, controlNodes);
-        variant.in.accept(core);
+        variant.setup.accept(core);
         core.begin();
         for (int i = 0; i < losses.size(); i++) {
             core.lose(losses.get(i), core.victim((int) seed % 5));
@@ -165,23 +166,23 @@
 
     @ParameterizedTest
     @ValueSource(ints = {3, 5})
-    void lossesInEveryOrderEachRightAfterTheOther(int controlNodes) {
+    void consecutiveLossesInEveryOrderAreRepaired(int controlNodes) {
         List<Loss> kinds = List.of(Loss.values());
         int seed = 0;
         for (Loss first : kinds) {
             for (Loss second : kinds) {
                 List<Loss> losses = List.of(first, second, kinds.get(seed * 3 % kinds.size()));
-                List<String> faults = inOrder(Variant.AS_IT_IS, seed, controlNodes, losses);
+                List<String> faults = faultsAfterLosses(Variant.CORRECT, seed, controlNodes, losses);
                 assertThat(controlNodes + " " + losses + ", seed " + seed, faults, is(empty()));
                 seed++;
             }
         }
     }
 
-    /** A member is back that missed the last orders, and another loses its disk before any further one. */
+    /** A member that missed the last changes is back, and another one loses its disk before the next change. */
     private static List<String> staleMemberAndEmptyDisk(Variant variant, long seed) {
         SimCore core = new SimCore(seed, 3);
-        variant.in.accept(core);
+        variant.setup.accept(core);
         core.begin();
         SimMachine wiped = core.victim(0);
         SimMachine stale = core.victim(1);
@@ -200,19 +201,15 @@
     }
 
     @Test
-    void aMemberThatMissedOrdersAndAnEmptyDiskAreNoMajority() {
+    void staleMemberAndEmptyDiskFormNoMajority() {
         for (int seed = 0; seed < 20; seed++) {
-            assertThat("seed " + seed, staleMemberAndEmptyDisk(Variant.AS_IT_IS, seed), is(empty()));
+            assertThat("seed " + seed, staleMemberAndEmptyDisk(Variant.CORRECT, seed), is(empty()));
         }
     }
 
-    /**
-     * Thirty times as slow as a site's disks; the majority needs it while others are replaced. More than is tolerated,
-     * so the repair has twice the time; it must come to an end while orders go on and the disk stays slow.
-     */
-    /** Five machines, two of them in each of two zones; the three seeds vote at first, two of which share a zone. */
+    /** Five machines, two in each of two zones; at first the three seeds vote, two of which share a zone. */
     @Test
-    void oneZoneAfterTheOtherIsLost() {
+    void zonesAreLostOneAfterTheOther() {
         for (int seed = 0; seed < 20; seed++) {
             SimWorld world = new SimWorld(seed).of(5, 0);
             world.toleratedLosses = 1;
@@ -235,9 +232,14 @@
         }
     }
 
+    /**
+     * A disk is thirty times slower than those of a site, and the majority needs it while other members are replaced.
+     * That is more than is tolerated, so the repair has twice the time; it must finish while changes go on and the disk
+     * stays slow.
+     */
     @ParameterizedTest
     @ValueSource(ints = {3, 5})
-    void aSlowDiskHoldsUpNoRepair(int controlNodes) {
+    void slowDiskDoesNotBlockRepair(int controlNodes) {
         for (int seed = 0; seed < 12; seed++) {
             SimCore core = new SimCore(seed, controlNodes);
             core.begin();
@@ -254,12 +256,16 @@
     }
 
     @Test
-    void wrongVariantsAreFoundOut() {
-        found(new Run(Variant.SETTLED_ONLY_BY_ITS_PROPOSER, 3, Loss.REPLACE, Strike.CUT_SENDER, NEVER, 1), 1);
-        found(new Run(Variant.LEAVES_BEFORE_SUCCESSOR_VOTES, 3, Loss.LEAVE, Strike.WIPE_SENDER, NEVER, 1), 1);
+    void checksDetectFaultyVariants() {
+        assertDetected(
+                new Run(Variant.COMPLETED_ONLY_BY_PROPOSER, 3, Loss.REPLACE, SecondFault.CUT_SENDER, NO_MESSAGE, 1), 1);
+        assertDetected(
+                new Run(Variant.LEAVES_BEFORE_SUCCESSOR_VOTES, 3, Loss.LEAVE, SecondFault.WIPE_SENDER, NO_MESSAGE, 1),
+                1);
         List<Loss> replaced = List.of(Loss.REPLACE, Loss.REPLACE);
-        assertThat(inOrder(Variant.VOTERS_ADDED_FOR_THOSE_GONE, 1, 5, replaced), is(not(empty())));
-        found(new Run(Variant.TELLS_BEFORE_SYNC, 3, Loss.REPLACE, Strike.POWER_OFF_ALL, NEVER, 0), 1);
+        assertThat(faultsAfterLosses(Variant.VOTERS_ADDED_FOR_LOST_ONES, 1, 5, replaced), is(not(empty())));
+        assertDetected(
+                new Run(Variant.CONFIRMS_BEFORE_SYNC, 3, Loss.REPLACE, SecondFault.POWER_OFF_ALL, NO_MESSAGE, 0), 1);
         List<String> faults = new ArrayList<>();
         for (int seed = 0; seed < 20 && faults.isEmpty(); seed++) {
             faults.addAll(staleMemberAndEmptyDisk(Variant.VOTES_FROM_EMPTY_DISK, seed));
@@ -267,9 +273,9 @@
         assertThat(faults, is(not(empty())));
     }
 
-    private static void found(Run run, int stride) {
+    private static void assertDetected(Run run, int stride) {
         List<String> faults = new ArrayList<>();
-        firstWrong(run, stride, faults);
-        assertThat(run.variant() + " is found out", faults, is(not(empty())));
+        firstViolation(run, stride, faults);
+        assertThat(run.variant() + " is detected", faults, is(not(empty())));
     }
 }
--- a/proxy/src/test/java/saltdale/proxy/ProxyClusterTest.java
+++ b/proxy/src/test/java/saltdale/proxy/ProxyClusterTest.java
@@ -44,8 +44,8 @@
 import saltdale.control.message.SessionMessage.SnapshotPart;
 
 /**
- * What clients and instances see of proxies: configurations, slots, drains, verdicts, and instances when they are
- * needed.
+ * The behaviour of proxies towards clients and instances: configurations, slots, draining, execution status, and
+ * starting instances on demand.
  */
 class ProxyClusterTest {
     private static long revision(SimMachine proxy) {
@@ -57,7 +57,7 @@
     // Configurations.
 
     @Test
-    void noProxyGoesBackWithinOneLife() {
+    void revisionNeverDecreasesWithinOneProcess() {
         for (int seed = 0; seed < 6; seed++) {
             SimWorld world = serving(seed, 3, 4);
             Map<Proxy, Long> highest = new HashMap<>();
@@ -100,12 +100,12 @@
         }
     }
 
-    /** Even its own control node, in the session that is under way, does not bring it back. */
+    /** An older configuration is ignored even if the selected control node sends it in the current session. */
     @Test
-    void anOlderConfigurationIsNotTaken() throws Exception {
+    void olderConfigurationIsIgnored() throws Exception {
         SimWorld world = new SimWorld(1);
         String[] session = new String[1];
-        Map<String, Long> last = new HashMap<>(); // the number of the newest piece of news, by session
+        Map<String, Long> last = new HashMap<>(); // the number of the newest update, by session
         world.spy = m -> {
             if (m instanceof LeaseRenewal renewal && renewal.member().host().equals("10.1.0.1")) {
                 session[0] = renewal.session();
@@ -118,40 +118,40 @@
         world.run(1000);
         SimMachine proxy = world.proxies.get(0);
         assertThat(revision(proxy), is(2L));
-        long told = last.get(session[0]);
+        long lastNumber = last.get(session[0]);
         ConfigurationTree older = ConfigurationTree.of(Trees.fromJson(config(1).getBytes(StandardCharsets.UTF_8)));
         ConfigurationTree newer = ConfigurationTree.of(Trees.fromJson(config(2).getBytes(StandardCharsets.UTF_8)));
         for (SimMachine controlNode : world.controlNodes) {
             proxy.process.take(
                     controlNode.host,
                     new ConfigurationChange(
-                            session[0], told + 1, 2, newer.digest(), 1, older.digest(), newer.changeTo(older)));
+                            session[0], lastNumber + 1, 2, newer.digest(), 1, older.digest(), newer.changeTo(older)));
         }
-        assertThat("by a change that leads back", revision(proxy), is(2L));
+        assertThat("after a change to an older revision", revision(proxy), is(2L));
         ConfigurationSnapshot snapshot = ConfigurationSnapshot.of(older);
         byte[] bytes = snapshot.bytes();
         for (SimMachine controlNode : world.controlNodes) {
-            proxy.process.take(controlNode.host, new ConfigurationOffer(session[0], told + 2, 1));
+            proxy.process.take(controlNode.host, new ConfigurationOffer(session[0], lastNumber + 2, 1));
             proxy.process.take(
                     controlNode.host, new SnapshotPart(session[0], snapshot.digest(), 0, bytes.length, bytes));
         }
-        assertThat("by a snapshot", revision(proxy), is(2L));
+        assertThat("after a snapshot of an older revision", revision(proxy), is(2L));
         assertTrue(insists(world, 2, config(3), 5000));
-        assertTrue(world.until(3000, () -> revision(proxy) == 3), "and it goes on from there");
+        assertTrue(world.until(3000, () -> revision(proxy) == 3), "later changes are applied");
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"both", "hears", "speaks"})
-    void proxiesOfAControlNodeThatIsCutOffMoveOn(String way) {
+    void proxiesLeaveAnIsolatedControlNode(String direction) {
         for (int seed = 0; seed < 6; seed++) {
             SimWorld world = serving(seed, 3, 6);
-            SimMachine off = world.controlNodes.get(seed % 3);
+            SimMachine isolated = world.controlNodes.get(seed % 3);
             for (SimMachine other : world.controlNodes) {
-                if (other != off && !way.equals("hears")) {
-                    world.cutOneWay(other, off);
+                if (other != isolated && !direction.equals("hears")) {
+                    world.cutOneWay(other, isolated);
                 }
-                if (other != off && !way.equals("speaks")) {
-                    world.cutOneWay(off, other);
+                if (other != isolated && !direction.equals("speaks")) {
+                    world.cutOneWay(isolated, other);
                 }
             }
             world.run(world.chance.nextInt(2000));
@@ -162,7 +162,7 @@
 
     // Instances.
 
-    enum Trouble {
+    enum Disruption {
         NONE,
         JOIN,
         LEAVE,
@@ -173,12 +173,12 @@
     }
 
     @ParameterizedTest
-    @EnumSource(Trouble.class)
-    void noRunnerGetsMoreAtOnceThanItsSlots(Trouble trouble) {
+    @EnumSource(Disruption.class)
+    void noInstanceExceedsItsSlots(Disruption disruption) {
         int over = 0;
         int served = 0;
         for (int seed = 0; seed < 2; seed++) {
-            // Six services, each with a few instances of one slot, all of them busy most of the time.
+            // Six services, each with a few instances of one slot, busy most of the time.
             SimWorld world = serving(seed, 3, 6);
             world.platform.workers.values().forEach(w -> w.memory = 256);
             StringBuilder services = new StringBuilder();
@@ -204,7 +204,7 @@
             world.run(3000);
             for (int i = 0; i < 2; i++) {
                 SimMachine one = world.proxies.get((seed + i) % 6);
-                switch (trouble) {
+                switch (disruption) {
                     case JOIN ->
                         world.proxy("10.1.0." + (50 + i), SimWorld.ZONES[i]).start();
                     case LEAVE -> {
@@ -237,9 +237,9 @@
         assertThat(over, is(0));
     }
 
-    /** An instance that goes while its owner has no session is not counted on for good. */
+    /** An instance that disappears while its owner has no session must not stay in use. */
     @Test
-    void whatWentWhileAProxyWasCutOffIsToldToIt() {
+    void instanceLostDuringIsolationIsNotUsedAfterwards() {
         for (int seed = 0; seed < 12; seed++) {
             SimWorld world = serving(seed, 3, 3);
             load(world, 60, 11_000);
@@ -258,7 +258,7 @@
     }
 
     @Test
-    void nothingIsSentToADrainingRunnerOnceItsTimeIsOver() {
+    void drainingInstanceGetsNoRequestsAfterItsDrainTime() {
         for (int seed = 0; seed < 4; seed++) {
             SimWorld world = serving(seed, 3, 6);
             load(world, 120, 10_000);
@@ -275,8 +275,8 @@
     // Execution status.
 
     @Test
-    void eachCallHasOneAnswerAndRunsOnceUnlessItMayRunAgain() {
-        int again = 0;
+    void eachCallGetsOneAnswerAndOnlyIdempotentCallsRunTwice() {
+        int retried = 0;
         for (int seed = 0; seed < 4; seed++) {
             SimWorld world = serving(seed, 3, 4);
             world.platform.breaks = 0.1;
@@ -293,40 +293,39 @@
             world.run(1500);
             world.proxies.get(1).thaw();
             world.run(5000);
-            for (SimPlatform.OutgoingCall asked : world.platform.all) {
-                assertThat(asked.answers.size(), lessThanOrEqualTo(1));
-                assertThat("answered, or its proxy is gone", asked.answers.size() == 1 || asked.isLost(), is(true));
-                assertThat(asked.idempotent || asked.runs <= 1, is(true));
-                if (!asked.idempotent && (asked.is(503) || asked.is(429))) {
-                    assertThat("what is refused has not run", asked.runs, is(0));
+            for (SimPlatform.OutgoingCall call : world.platform.all) {
+                assertThat(call.answers.size(), lessThanOrEqualTo(1));
+                assertThat("answered, or its proxy is gone", call.answers.size() == 1 || call.isLost(), is(true));
+                assertThat(call.idempotent || call.runs <= 1, is(true));
+                if (!call.idempotent && (call.is(503) || call.is(429))) {
+                    assertThat("a rejected call was not executed", call.runs, is(0));
                 }
-                again += asked.idempotent && asked.runs > 1 && asked.is(200) ? 1 : 0;
+                retried += call.idempotent && call.runs > 1 && call.is(200) ? 1 : 0;
             }
             assertThat(world.faults, is(empty()));
         }
-        assertThat("what may run again does", again, greaterThan(10));
+        assertThat("idempotent calls are retried", retried, greaterThan(10));
     }
 
-    // Instances when they are needed.
+    // Starting instances on demand.
 
     @Test
-    void theFirstCallStartsARunnerAndIsServedByIt() {
+    void firstCallStartsAnInstanceThatServesIt() {
         for (int seed = 0; seed < 10; seed++) {
             SimWorld world = serving(seed, 3, 6);
             world.run(2000);
             assertThat(world.platform.instances.values(), is(empty()));
-            long begun = world.now();
-            SimPlatform.OutgoingCall asked =
-                    world.platform.call(world.proxies.get(seed % 6), "h.example", "/b/1", 5000);
+            long calledAt = world.now();
+            SimPlatform.OutgoingCall call = world.platform.call(world.proxies.get(seed % 6), "h.example", "/b/1", 5000);
             world.run(3000);
-            assertThat(asked.answers, is(List.of(200)));
-            assertThat("a start and a little", (asked.answeredAt - begun) / 1_000_000, lessThan(500L + 150 + 250));
+            assertThat(call.answers, is(List.of(200)));
+            assertThat("boot time plus a margin", (call.answeredAt - calledAt) / 1_000_000, lessThan(500L + 150 + 250));
             assertThat(world.platform.instances.values(), hasSize(1));
         }
     }
 
     @Test
-    void runnersAreSpreadOverTheWorkersOfAZone() {
+    void instancesAreSpreadOverTheWorkersOfAZone() {
         for (int seed = 0; seed < 6; seed++) {
             SimWorld world = serving(seed, 3, 6);
             load(world, 250, 1400);
@@ -346,9 +345,9 @@
     }
 
     @Test
-    void whoHasJustWonTheDutyStopsNothing() {
+    void newDutyHolderStopsNoInstancesAtFirst() {
         for (int seed = 0; seed < 4; seed++) {
-            Set<Object> leaving = new HashSet<>(); // what the one before it has told to get nothing more
+            Set<Object> leaving = new HashSet<>(); // instances that the previous holder marked as leaving
             boolean[] over = new boolean[1];
             SimWorld world = new SimWorld(seed);
             world.spy = m -> {
@@ -371,7 +370,7 @@
             List<SimPlatform.Duty> stops = world.platform.duties.subList(before, world.platform.duties.size()).stream()
                     .filter(d -> d.kind().equals("stop") && d.fence() > fence && !leaving.contains(d.what()))
                     .toList();
-            assertThat("it stops what is idle in the end", stops, is(not(empty())));
+            assertThat("idle instances are stopped in the end", stops, is(not(empty())));
             assertThat("seed " + seed, (stops.get(0).at() - won) / 1_000_000, greaterThan(4000L));
         }
     }
@@ -383,41 +382,41 @@
     }
 
     /**
-     * A proxy told to end holds nothing until it is killed: what waits is turned away, what runs is answered at
-     * the last.
+     * A proxy that shuts down does not keep requests until it is killed: queued ones are rejected, and those in
+     * progress are answered before it exits.
      */
     @Test
-    void whatWaitsAtAProxyThatEndsIsTurnedAwayInTime() {
+    void queuedRequestsAreRejectedWhenAProxyShutsDown() {
         SimWorld world = serving(3, 3, 3);
         world.platform.bootMs = 60_000; // no slot will come
-        SimMachine ending = world.proxies.get(0);
-        SimPlatform.OutgoingCall before = world.platform.call(ending, "h.example", "/a/1", 20_000);
+        SimMachine stopping = world.proxies.get(0);
+        SimPlatform.OutgoingCall before = world.platform.call(stopping, "h.example", "/a/1", 20_000);
         world.run(500);
-        ending.proxy().shutDown(1_000_000_000L);
-        SimPlatform.OutgoingCall meanwhile = world.platform.call(ending, "h.example", "/b/1", 20_000);
+        stopping.proxy().shutDown(1_000_000_000L);
+        SimPlatform.OutgoingCall meanwhile = world.platform.call(stopping, "h.example", "/b/1", 20_000);
         world.run(900);
         assertThat(before.answers, is(empty()));
         world.run(200);
         assertThat(before.is(503) && meanwhile.is(503), is(true));
-        SimPlatform.OutgoingCall late = world.platform.call(ending, "h.example", "/a/1", 20_000);
+        SimPlatform.OutgoingCall late = world.platform.call(stopping, "h.example", "/a/1", 20_000);
         world.run(300);
         assertThat(late.is(503), is(true));
-        assertThat(ending.proxy().openRequests(), is(0));
+        assertThat(stopping.proxy().openRequests(), is(0));
     }
 
-    /** Who waits for a slot at a proxy that leaves asks the new owner at once, not when the old one stays silent. */
+    /** A request queued at a leaving owner moves to the new one at once, not only after the old one becomes silent. */
     @Test
-    void whoWaitsAtAnOwnerThatLeavesAsksTheNewOne() {
+    void requestQueuedAtALeavingOwnerMovesToTheNewOne() {
         for (int seed = 0; seed < 6; seed++) {
             SimWorld world = serving(seed, 3, 6);
             world.platform.bootMs = 1500;
             String zone = SimWorld.ZONES[seed % 3];
             SimMachine owner = owner(world, zone);
-            SimMachine asks = world.proxies.stream()
+            SimMachine requester = world.proxies.stream()
                     .filter(proxy -> proxy.zone.equals(zone) && proxy != owner)
                     .findFirst()
                     .orElseThrow();
-            SimPlatform.OutgoingCall waiting = world.platform.call(asks, "h.example", "/b/1", 4000);
+            SimPlatform.OutgoingCall waiting = world.platform.call(requester, "h.example", "/b/1", 4000);
             world.run(1350);
             owner.proxy().shutDown(2_000_000_000L);
             assertTrue(world.until(
@@ -428,41 +427,41 @@
         }
     }
 
-    /** All instances are in one zone, whose owner goes or stands still: who asks from another zone does not wait on. */
+    /** All instances are in one zone whose owner is lost or frozen: requests from other zones must not keep waiting. */
     @ParameterizedTest
     @ValueSource(booleans = {false, true})
-    void whoAsksFromOtherZonesIsServedOnceTheOwnerIsReplacedOrGoesOn(boolean goesOn) {
+    void requestsFromOtherZonesAreServedAfterTheOwnerIsReplacedOrResumes(boolean resumes) {
         for (int seed = 0; seed < 10; seed++) {
             SimWorld world = serving(seed, 3, 6);
-            SimMachine asks = world.proxies.get(seed % 6);
+            SimMachine requester = world.proxies.get(seed % 6);
             List<SimPlatform.OutgoingCall> calls = new ArrayList<>();
-            callOften(world, asks, calls, 10);
+            callRepeatedly(world, requester, calls, 10);
             world.run(2500);
             List<String> zones = world.platform.live("fn").stream()
                     .map(instance -> instance.worker.zone)
                     .distinct()
                     .toList();
-            assertThat("seed " + seed, zones, is(List.of(asks.zone)));
-            SimMachine far = world.proxies.stream()
-                    .filter(proxy -> !proxy.zone.equals(asks.zone))
+            assertThat("seed " + seed, zones, is(List.of(requester.zone)));
+            SimMachine remoteProxy = world.proxies.stream()
+                    .filter(proxy -> !proxy.zone.equals(requester.zone))
                     .findFirst()
                     .orElseThrow();
-            SimMachine owner = owner(world, asks.zone);
-            if (goesOn) {
+            SimMachine owner = owner(world, requester.zone);
+            if (resumes) {
                 owner.freeze();
                 world.at(Environment.millis(1300), owner::thaw);
             } else {
                 owner.powerOff();
             }
             calls.clear();
-            callOften(world, far, calls, 20);
+            callRepeatedly(world, remoteProxy, calls, 20);
             world.run(6500);
             calls.forEach(call -> assertThat(call.answers, is(List.of(200))));
         }
     }
 
-    /** A call of the function each 100 ms, so many times, each with 4 s to be answered. */
-    private static void callOften(SimWorld world, SimMachine at, List<SimPlatform.OutgoingCall> calls, int times) {
+    /** Calls the function every 100 ms, the given number of times, each call with a deadline of 4 s. */
+    private static void callRepeatedly(SimWorld world, SimMachine at, List<SimPlatform.OutgoingCall> calls, int times) {
         for (int i = 0; i < times; i++) {
             world.at(Environment.millis(100 * i), () -> calls.add(world.platform.call(at, "h.example", "/b/1", 4000)));
         }
