--- a/proxy/src/main/java/saltdale/proxy/ControlSession.java
+++ b/proxy/src/main/java/saltdale/proxy/ControlSession.java
@@ -91,7 +91,7 @@
     }
 
     /**
-     * A time such that every configuration acknowledged before is in force here; on the clock of
+     * A time such that every configuration acknowledged before it, or a newer one, is in force here; on the clock of
      * {@link Environment#now}.
      */
     long configurationKnownAt() {
--- a/proxy/src/test/java/saltdale/proxy/CatchUpTest.java
+++ b/proxy/src/test/java/saltdale/proxy/CatchUpTest.java
@@ -66,8 +66,8 @@
         List<SimMachine> others =
                 world.controlNodes.stream().filter(each -> each != absent).toList();
         for (long base = 1; base <= CHANGES; base++) {
-            SimMachine at = others.get((int) (base % 2));
-            assertThat(replace(world, at, base, config(base + 1, (int) (base % 5))), is(200));
+            SimMachine node = others.get((int) (base % 2));
+            assertThat(replace(world, node, base, config(base + 1, (int) (base % 5))), is(200));
         }
         SimMachine returning = absence == Absence.REPLACED
                 ? world.controlNode("10.0.0.9", List.of(absent.host, others.get(0).host, others.get(1).host), false)
--- a/proxy/src/test/java/saltdale/proxy/ContactChecks.java
+++ b/proxy/src/test/java/saltdale/proxy/ContactChecks.java
@@ -24,7 +24,7 @@
 final class ContactChecks {
     /** Reads the configuration at a control node; faulty variants of the code replace it. */
     interface Reader {
-        void read(SimMachine at, Consumer<ControlNode.Reply> answer);
+        void read(SimMachine node, Consumer<ControlNode.Reply> answer);
     }
 
     private static final long CONFIG_APPLY_NANOS = Environment.millis(3000);
@@ -37,9 +37,9 @@
     final SimWorld world;
     final ContactModel contact;
     final TreeMap<Long, Long> acknowledged = new TreeMap<>(); // revisions, by the time of their acknowledgement
-    Reader reader = (at, answer) -> at.controlNode().read(answer);
+    Reader reader = (node, answer) -> node.controlNode().read(answer);
     /** Is called at the moment of each acknowledgement, with the control node that gives it. */
-    Consumer<SimMachine> onAcknowledgement = at -> {};
+    Consumer<SimMachine> onAcknowledgement = node -> {};
 
     /**
      * Whether at most one process is frozen at a time. Otherwise delayed messages may give a control node contact with
@@ -95,17 +95,17 @@
             if (each.proxy() == null) {
                 continue;
             }
-            long now = each.proxy().configuration() == null
+            long current = each.proxy().configuration() == null
                     ? 0
                     : each.proxy().configuration().revision();
-            if (now < highestRevisions.getOrDefault(each.proxy(), 0L)) {
-                addFault(each.host + " went back to revision " + now);
+            if (current < highestRevisions.getOrDefault(each.proxy(), 0L)) {
+                addFault(each.host + " went back to revision " + current);
             }
-            highestRevisions.put(each.proxy(), now);
+            highestRevisions.put(each.proxy(), current);
             if (contact.isInContact(each)) {
                 stepsInContact++;
-                if (now < revisionDue) {
-                    addFault(each.host + " is in contact and has revision " + now + ", " + revisionDue + " is due");
+                if (current < revisionDue) {
+                    addFault(each.host + " is in contact and has revision " + current + ", " + revisionDue + " is due");
                 }
             }
         }
@@ -116,9 +116,9 @@
         return newestBy(acknowledged, world.now() - CONFIG_APPLY_NANOS, 0);
     }
 
-    private static long newestBy(TreeMap<Long, Long> all, long moment, long none) {
-        Map.Entry<Long, Long> entry = all.floorEntry(moment);
-        return entry == null ? none : entry.getValue();
+    private static long newestBy(TreeMap<Long, Long> all, long time, long otherwise) {
+        Map.Entry<Long, Long> entry = all.floorEntry(time);
+        return entry == null ? otherwise : entry.getValue();
     }
 
     /** Whether a control node has had no contact with a majority for so long that it must have noticed. */
@@ -127,14 +127,14 @@
     }
 
     private void checkSent(String from, Message message) {
-        if (message instanceof Chosen news) {
+        if (message instanceof Chosen announcement) {
             chosenVersions.put(
-                    world.now(), Math.max(news.state().version(), newestBy(chosenVersions, world.now(), -1)));
+                    world.now(), Math.max(announcement.state().version(), newestBy(chosenVersions, world.now(), -1)));
         } else if (message instanceof Heartbeat heartbeat) {
-            SimMachine by = world.machines.get(from);
-            long least = newestBy(chosenVersions, world.now() - LEASE_NANOS - MAX_MESSAGE_DELAY_NANOS, -1);
-            if (by.controlNode() != null && by.controlNode().hasMajority() && heartbeat.version() < least) {
-                addFault(from + " assumes a majority but knows version " + heartbeat.version() + " of " + least);
+            SimMachine sender = world.machines.get(from);
+            long minimum = newestBy(chosenVersions, world.now() - LEASE_NANOS - MAX_MESSAGE_DELAY_NANOS, -1);
+            if (sender.controlNode() != null && sender.controlNode().hasMajority() && heartbeat.version() < minimum) {
+                addFault(from + " assumes a majority but knows version " + heartbeat.version() + " of " + minimum);
             }
         } else if (message instanceof ConfigurationChange
                 || message instanceof ConfigurationOffer
@@ -150,9 +150,9 @@
     }
 
     private void checkDistributedRevision(String from, long revision) {
-        long least = newestBy(acknowledged, world.now() - LEASE_NANOS - MAX_MESSAGE_DELAY_NANOS, 0);
-        if (revision < least) {
-            addFault(from + " distributes revision " + revision + ", but " + least
+        long minimum = newestBy(acknowledged, world.now() - LEASE_NANOS - MAX_MESSAGE_DELAY_NANOS, 0);
+        if (revision < minimum) {
+            addFault(from + " distributes revision " + revision + ", but " + minimum
                     + " was acknowledged a lease earlier");
         }
     }
@@ -172,16 +172,16 @@
         if (stopped) {
             return;
         }
-        SimMachine at = world.controlNodes.get(world.chance.nextInt(world.controlNodes.size()));
-        boolean[] done = new boolean[1];
-        if (at.process != null) {
+        SimMachine node = world.controlNodes.get(world.chance.nextInt(world.controlNodes.size()));
+        boolean[] settled = new boolean[1];
+        if (node.process != null) {
             byte[] body = SimOperator.config(next, 1).getBytes(StandardCharsets.UTF_8);
-            at.process.deliver(() -> at.controlNode()
-                    .change(false, Long.toString(base), body, reply -> handleAnswer(at, base, next, reply, done)));
+            node.process.deliver(() -> node.controlNode()
+                    .change(false, Long.toString(base), body, reply -> handleAnswer(node, base, next, reply, settled)));
         }
         world.at(Environment.millis(1000), () -> {
-            if (!done[0]) {
-                done[0] = true;
+            if (!settled[0]) {
+                settled[0] = true;
                 send(base, next);
             }
         });
@@ -191,25 +191,26 @@
      * Whether a positive answer is backed by a chosen state: a process that resumes may find that state among the
      * messages that arrived in the meantime.
      */
-    private boolean isProven(int status, long base, long next) {
+    private boolean isBackedByChosenState(int status, long base, long next) {
         return status == 200
                 && world.newest != null
                 && OrderMemory.holds(world.newest, false, base, SimOperator.config(next, 1));
     }
 
-    private void handleAnswer(SimMachine at, long base, long next, ControlNode.Reply reply, boolean[] done) {
-        boolean definite = reply.status() < 500 && (atMostOneFrozen || !isProven(reply.status(), base, next));
-        if (definite && isWithoutMajority(at.host, Environment.millis(500))) {
-            addFault(at.host + " answers " + reply.status() + " without contact");
+    private void handleAnswer(SimMachine node, long base, long next, ControlNode.Reply reply, boolean[] settled) {
+        boolean definite =
+                reply.status() < 500 && (atMostOneFrozen || !isBackedByChosenState(reply.status(), base, next));
+        if (definite && isWithoutMajority(node.host, Environment.millis(500))) {
+            addFault(node.host + " answers " + reply.status() + " without contact");
         } else if (reply.status() >= 400 && reply.status() < 500) {
-            addFault(at.host + " refuses revision " + next + " based on " + base + ": " + reply.why());
+            addFault(node.host + " refuses revision " + next + " based on " + base + ": " + reply.why());
         }
         if (reply.status() == 200 && next > acknowledged.lastEntry().getValue()) {
             acknowledged.put(world.now(), next);
-            onAcknowledgement.accept(at);
+            onAcknowledgement.accept(node);
         }
-        if (!done[0]) {
-            done[0] = true;
+        if (!settled[0]) {
+            settled[0] = true;
             boolean taken = reply.status() == 200;
             world.at(
                     Environment.millis(100 + world.chance.nextInt(600)),
@@ -221,13 +222,13 @@
         if (stopped) {
             return;
         }
-        SimMachine at = world.controlNodes.get(world.chance.nextInt(world.controlNodes.size()));
-        long least = acknowledged.lastEntry().getValue();
-        if (at.process != null) {
-            at.process.deliver(() -> reader.read(at, reply -> {
-                long readRevision = reply.status() == 200 ? AgreementTest.revision(new String(reply.body())) : least;
-                if (readRevision < least) {
-                    addFault(at.host + " reads " + readRevision + " although " + least + " was acknowledged");
+        SimMachine node = world.controlNodes.get(world.chance.nextInt(world.controlNodes.size()));
+        long minimum = acknowledged.lastEntry().getValue();
+        if (node.process != null) {
+            node.process.deliver(() -> reader.read(node, reply -> {
+                long readRevision = reply.status() == 200 ? AgreementTest.revision(new String(reply.body())) : minimum;
+                if (readRevision < minimum) {
+                    addFault(node.host + " reads " + readRevision + " although " + minimum + " was acknowledged");
                 }
             }));
         }
--- a/proxy/src/test/java/saltdale/proxy/CutOffTest.java
+++ b/proxy/src/test/java/saltdale/proxy/CutOffTest.java
@@ -118,8 +118,8 @@
             SimMachine isolated = world.controlNodes.get(world.chance.nextInt(3));
             boolean[] isCutOff = new boolean[1];
             if (world.chance.nextBoolean()) {
-                checks.onAcknowledgement = at -> {
-                    if (at == isolated && !isCutOff[0]) {
+                checks.onAcknowledgement = node -> {
+                    if (node == isolated && !isCutOff[0]) {
                         isCutOff[0] = true;
                         cut(isolated, cut);
                     }
@@ -147,12 +147,12 @@
 
         private void applyVariant() {
             if (variant == FaultyVariant.READS_FROM_CACHE_WITHOUT_QUORUM) {
-                Map<SimMachine, ControlNode.Reply> last = new HashMap<>();
-                checks.reader = (at, answer) -> at.controlNode().read(reply -> {
+                Map<SimMachine, ControlNode.Reply> lastReplies = new HashMap<>();
+                checks.reader = (node, answer) -> node.controlNode().read(reply -> {
                     if (reply.status() == 200) {
-                        last.put(at, reply);
+                        lastReplies.put(node, reply);
                     }
-                    answer.accept(last.getOrDefault(at, reply));
+                    answer.accept(lastReplies.getOrDefault(node, reply));
                 });
             } else if (variant == FaultyVariant.LEASE_BY_WALL_CLOCK) {
                 world.machines.values().forEach(machine -> machine.leasesByTimeOfDay = true);
@@ -207,11 +207,11 @@
                 world.isolate(acknowledging); // the messages that it has just sent are lost too
             });
             assertTrue(world.until(2000, () -> status[0] == 200));
-            boolean known = world.until(
+            boolean allUpdated = world.until(
                     3000,
                     () -> world.proxies.stream()
                             .allMatch(p -> p.proxy().configuration().revision() == 2));
-            assertTrue(known, "seed " + seed);
+            assertTrue(allUpdated, "seed " + seed);
         }
     }
 
@@ -229,8 +229,8 @@
         SimMachine replacement = world.controlNode("10.0.0.9", List.of(second.host, third.host), false);
         world.cut(old, replacement);
         world.rewriting = (from, to, message) -> to.equals(second.host)
-                        && message instanceof Chosen news
-                        && news.state().voters().stream()
+                        && message instanceof Chosen announcement
+                        && announcement.state().voters().stream()
                                 .anyMatch(voter -> voter.host().equals(replacement.host))
                 ? null
                 : rewriting.of(from, to, message);
@@ -255,20 +255,20 @@
 
     @Test
     void majorityOfFormerVotersIsNoMajority() {
-        int counted = 0;
+        int chosenCount = 0;
         for (int seed = 0; seed < 8; seed++) {
             SimWorld world = cutOffWithFormerVoters(seed, (from, to, message) -> message);
             assertThat("seed " + seed, nodesAssumingMajority(world), is(0L));
-            boolean settled = insists(world, 1, config(2), 4000);
-            counted += settled ? 1 : 0;
-            boolean known = world.until(
+            boolean chosen = insists(world, 1, config(2), 4000);
+            chosenCount += chosen ? 1 : 0;
+            boolean allUpdated = world.until(
                     3000,
                     () -> world.proxies.stream()
                             .allMatch(p -> p.proxy().configuration().revision() == 2));
-            assertThat("seed " + seed, known, is(settled));
+            assertThat("seed " + seed, allUpdated, is(chosen));
             assertThat(world.faults, is(empty()));
         }
-        assertThat(counted, greaterThan(4));
+        assertThat(chosenCount, greaterThan(4));
     }
 
     /** The faulty variant: heartbeat acknowledgements do not contain the accepted version. */
--- a/proxy/src/test/java/saltdale/proxy/InputTest.java
+++ b/proxy/src/test/java/saltdale/proxy/InputTest.java
@@ -177,10 +177,10 @@
             for (Message message : kind) {
                 List<Object> malformed = new ArrayList<>();
                 addMalformedCopies(MessageCodec.tree(message), malformed);
-                for (Object each : malformed) {
+                for (Object malformedMessage : malformed) {
                     for (SimMachine to : List.of(world.controlNodes.get(1), world.proxies.get(1))) {
                         sent++;
-                        send(to, each);
+                        send(to, malformedMessage);
                     }
                 }
             }
--- a/proxy/src/test/java/saltdale/proxy/ProxyClusterTest.java
+++ b/proxy/src/test/java/saltdale/proxy/ProxyClusterTest.java
@@ -64,23 +64,23 @@
             long[] acknowledged = {1};
             for (int i = 0; i < 160; i++) {
                 if (i % 8 == 0) {
-                    SimMachine one = world.controlNodes.get(world.chance.nextInt(3));
+                    SimMachine machine = world.controlNodes.get(world.chance.nextInt(3));
                     world.cuts.clear();
                     world.controlNodes.forEach(SimMachine::start);
                     world.controlNodes.stream().filter(k -> k.frozen).forEach(SimMachine::thaw);
                     switch (world.chance.nextInt(5)) {
-                        case 0 -> one.kill();
-                        case 1 -> one.freeze();
-                        case 2 -> world.isolate(one);
-                        case 3 -> world.proxies.forEach(p -> world.cutOneWay(one, p));
+                        case 0 -> machine.kill();
+                        case 1 -> machine.freeze();
+                        case 2 -> world.isolate(machine);
+                        case 3 -> world.proxies.forEach(p -> world.cutOneWay(machine, p));
                         default -> world.proxies.get(world.chance.nextInt(4)).kill();
                     }
                     world.proxies.forEach(SimMachine::start);
                     long next = acknowledged[0] + 1;
-                    SimMachine at = world.controlNodes.get(world.chance.nextInt(3));
-                    if (at.process != null) {
+                    SimMachine node = world.controlNodes.get(world.chance.nextInt(3));
+                    if (node.process != null) {
                         replace(
-                                at,
+                                node,
                                 acknowledged[0],
                                 config(next),
                                 reply -> acknowledged[0] = Math.max(acknowledged[0], reply.status() == 200 ? next : 0));
@@ -105,12 +105,12 @@
     void olderConfigurationIsIgnored() throws Exception {
         SimWorld world = new SimWorld(1);
         String[] session = new String[1];
-        Map<String, Long> last = new HashMap<>(); // the number of the newest update, by session
+        Map<String, Long> lastNumbers = new HashMap<>(); // the number of the newest update, by session
         world.spy = m -> {
             if (m instanceof LeaseRenewal renewal && renewal.member().host().equals("10.1.0.1")) {
                 session[0] = renewal.session();
-            } else if (m instanceof News news) {
-                last.put(news.session(), news.number());
+            } else if (m instanceof News update) {
+                lastNumbers.put(update.session(), update.number());
             }
         };
         serving(world, 3, 1);
@@ -118,7 +118,7 @@
         world.run(1000);
         SimMachine proxy = world.proxies.get(0);
         assertThat(revision(proxy), is(2L));
-        long lastNumber = last.get(session[0]);
+        long lastNumber = lastNumbers.get(session[0]);
         ConfigurationTree older = ConfigurationTree.of(Trees.fromJson(config(1).getBytes(StandardCharsets.UTF_8)));
         ConfigurationTree newer = ConfigurationTree.of(Trees.fromJson(config(2).getBytes(StandardCharsets.UTF_8)));
         for (SimMachine controlNode : world.controlNodes) {
@@ -175,7 +175,7 @@
     @ParameterizedTest
     @EnumSource(Disruption.class)
     void noInstanceExceedsItsSlots(Disruption disruption) {
-        int over = 0;
+        int exceeded = 0;
         int served = 0;
         for (int seed = 0; seed < 2; seed++) {
             // Six services, each with a few instances of one slot, busy most of the time.
@@ -203,25 +203,25 @@
             load(world, 240, 8000, () -> "/s" + world.chance.nextInt(6) + "/1");
             world.run(3000);
             for (int i = 0; i < 2; i++) {
-                SimMachine one = world.proxies.get((seed + i) % 6);
+                SimMachine machine = world.proxies.get((seed + i) % 6);
                 switch (disruption) {
                     case JOIN ->
                         world.proxy("10.1.0." + (50 + i), SimWorld.ZONES[i]).start();
                     case LEAVE -> {
-                        one.proxy().shutDown(2_000_000_000L);
-                        world.at(5_000_000_000L, one::kill);
+                        machine.proxy().shutDown(2_000_000_000L);
+                        world.at(5_000_000_000L, machine::kill);
                     }
                     case KILL -> {
-                        one.kill();
-                        world.at(600_000_000L, one::start);
+                        machine.kill();
+                        world.at(600_000_000L, machine::start);
                     }
-                    case POWER -> one.powerOff();
+                    case POWER -> machine.powerOff();
                     case FREEZE -> {
-                        one.freeze();
-                        world.at(200_000_000L + world.chance.nextLong(4_000_000_000L), one::thaw);
+                        machine.freeze();
+                        world.at(200_000_000L + world.chance.nextLong(4_000_000_000L), machine::thaw);
                     }
                     case CUT -> {
-                        world.machines.values().forEach(m -> world.cut(one, m));
+                        world.machines.values().forEach(m -> world.cut(machine, m));
                         world.at(3_000_000_000L, world.cuts::clear);
                     }
                     default -> {}
@@ -229,12 +229,12 @@
                 world.run(1500);
             }
             world.run(4500);
-            over += world.platform.overLimit.size();
+            exceeded += world.platform.overLimit.size();
             served += world.platform.all.stream().filter(a -> a.is(200)).count();
             assertThat(world.faults, is(empty()));
         }
         assertThat(served, greaterThan(2 * 500));
-        assertThat(over, is(0));
+        assertThat(exceeded, is(0));
     }
 
     /** An instance that disappears while its owner has no session must not stay in use. */
@@ -348,13 +348,13 @@
     void newDutyHolderStopsNoInstancesAtFirst() {
         for (int seed = 0; seed < 4; seed++) {
             Set<Object> leaving = new HashSet<>(); // instances that the previous holder marked as leaving
-            boolean[] over = new boolean[1];
+            boolean[] newHolderElected = new boolean[1];
             SimWorld world = new SimWorld(seed);
             world.spy = m -> {
-                if (m instanceof InstanceUpdates updates && !over[0]) {
-                    leavingOf(updates.instances(), leaving);
-                } else if (m instanceof InstancesNews news && !over[0]) {
-                    leavingOf(news.instances(), leaving);
+                if (m instanceof InstanceUpdates updates && !newHolderElected[0]) {
+                    addLeaving(updates.instances(), leaving);
+                } else if (m instanceof InstancesNews update && !newHolderElected[0]) {
+                    addLeaving(update.instances(), leaving);
                 }
             };
             serving(world, 3, 6);
@@ -365,7 +365,7 @@
             DutyTest.holder(world).powerOff();
             assertTrue(world.until(6000, () -> DutyTest.fence(world) > fence));
             long won = world.now();
-            over[0] = true;
+            newHolderElected[0] = true;
             world.run(12_000);
             List<SimPlatform.Duty> stops = world.platform.duties.subList(before, world.platform.duties.size()).stream()
                     .filter(d -> d.kind().equals("stop") && d.fence() > fence && !leaving.contains(d.what()))
@@ -375,7 +375,7 @@
         }
     }
 
-    private static void leavingOf(List<Instance> instances, Set<Object> leaving) {
+    private static void addLeaving(List<Instance> instances, Set<Object> leaving) {
         instances.stream()
                 .filter(instance -> instance.phase() == Instance.Phase.LEAVING)
                 .forEach(instance -> leaving.add(instance.id()));
@@ -461,9 +461,12 @@
     }
 
     /** Calls the function every 100 ms, the given number of times, each call with a deadline of 4 s. */
-    private static void callRepeatedly(SimWorld world, SimMachine at, List<SimPlatform.OutgoingCall> calls, int times) {
+    private static void callRepeatedly(
+            SimWorld world, SimMachine proxy, List<SimPlatform.OutgoingCall> calls, int times) {
         for (int i = 0; i < times; i++) {
-            world.at(Environment.millis(100 * i), () -> calls.add(world.platform.call(at, "h.example", "/b/1", 4000)));
+            world.at(
+                    Environment.millis(100 * i),
+                    () -> calls.add(world.platform.call(proxy, "h.example", "/b/1", 4000)));
         }
     }
 
