--- a/core/src/main/java/saltdale/model/DispatcherSettings.java
+++ b/core/src/main/java/saltdale/model/DispatcherSettings.java
@@ -13,6 +13,7 @@
 
     /** The number of dispatchers that share the runners. */
     public int dispatcherCount = 1;
+
     public String zone = "";
     /** The shortest time between two rounds of events. */
     public Duration roundInterval = Duration.ZERO;
@@ -64,6 +65,7 @@
     public Duration warmUpTime = Duration.ZERO;
     /** The multiple of a cold runner's capacity that it may be sent within {@link #coldLimitWindow}. */
     public double coldLimitMultiple = 1;
+
     public Duration coldLimitWindow = Duration.ZERO;
     /** Whether a runner may reject an attempt after it has started it, so that a rejection proves nothing. */
     public boolean lateRejections;
--- a/core/src/main/java/saltdale/model/Keys.java
+++ b/core/src/main/java/saltdale/model/Keys.java
@@ -24,7 +24,7 @@
         return total == 0 ? 0 : (double) counts[bucket(key)] / total;
     }
 
-    /** Whether the runner is a home of this key, as this share of all runners is; equal at all dispatchers. */
+    /** Whether the runner is a home of this key, as this share of runners is; equal at all dispatchers. */
     public static boolean isHome(long key, long runnerHash, double share) {
         return (mix(key ^ mix(runnerHash)) >>> 11) * 0x1.0p-53 < share;
     }
--- a/core/src/main/java/saltdale/model/Request.java
+++ b/core/src/main/java/saltdale/model/Request.java
@@ -25,6 +25,7 @@
 
     /** The number of slots that it occupies on a runner. */
     public double slots = 1;
+
     public double memory;
     /** A hash of the data that it concerns, which runners may cache; 0 if not given. */
     public long affinityKey;
--- a/core/src/main/java/saltdale/model/Runner.java
+++ b/core/src/main/java/saltdale/model/Runner.java
@@ -43,6 +43,7 @@
     public final Set<Attempt> inFlight = new LinkedHashSet<>();
     /** The requests that wait for an answer to a probe, in the order of the probes. */
     public final Deque<Request> probeWaiters = new ArrayDeque<>();
+
     public LoadReport report = LoadReport.NONE;
     /** True once it was sent an attempt or answered a probe. */
     public boolean contacted;
@@ -139,8 +140,8 @@
     }
 
     /**
-     * Records that it rejected an attempt. At a load of 1 or more it is full; when nearly idle it accepts no such workload
-     * for now, which is tried again after one unit, then after doubling delays of up to four units.
+     * Records that it rejected an attempt. At a load of 1 or more it is full; when nearly idle it accepts no such
+     * workload for now, which is tried again after one unit, then after doubling delays of up to four units.
      */
     public void recordRejection(Duration now, Attempt attempt, Duration unit) {
         if (attempt.runnerLoad >= 1) {
--- a/core/src/main/java/saltdale/overload/AdmissionControl.java
+++ b/core/src/main/java/saltdale/overload/AdmissionControl.java
@@ -31,9 +31,10 @@
         private final DecayingSum missed = new DecayingSum(); // those of them that missed their target
 
         /**
-         * True while too few requests have ended to know the value. Such work is never rejected and takes precedence over
-         * work that can wait longer, which is likely larger; but it may not wait so long that valuable work is delayed.
-         * For a start during an overload: first estimates would reject valuable work or fill all queues with cheap work.
+         * True while too few requests have ended to know the value. Such work is never rejected and takes precedence
+         * over work that can wait longer, which is likely larger; but it may not wait so long that valuable work is
+         * delayed. This matters for a start during an overload, where decisions on first estimates would reject
+         * valuable work or fill all queues with cheap work.
          */
         private boolean isUnknown() {
             return valuePerSecond == Double.POSITIVE_INFINITY;
@@ -139,10 +140,10 @@
     }
 
     /**
-     * Moves the level towards the one that the wait calls for, in bounded steps. Down only from two steps above it, so that
-     * a wait around a limit causes no oscillation. Up only while the most valuable work misses its targets, or a wait that
-     * all work tolerates would cause rejections. The measured wait decays: without new probes nothing would ever be
-     * admitted again.
+     * Moves the level towards the one that the wait calls for, in bounded steps. It falls only if that is at least two
+     * steps lower, so that a fluctuating wait causes no oscillation. It rises only while the most valuable work misses
+     * its targets, since waits that all work tolerates must not cause rejections. The measured wait decays while nothing
+     * is probed, or no work would be admitted ever again.
      */
     private void adjustLevel(Duration now, boolean hasRejectableWork, boolean mayRise) {
         if (now.compareTo(changedAt.plus(settings.minChangeInterval())) < 0) {
@@ -177,9 +178,9 @@
     }
 
     /**
-     * The longest wait at which a request with this slack may be sent to a runner: a share of its slack where earlier tries
-     * of the client are unknown; for less valuable work in an overload, and work of unknown value, at most a wait that
-     * leaves room for the most valuable work behind it.
+     * The longest wait at which a request with this slack may be sent to a runner: a share of its slack where earlier
+     * tries of the client are unknown; for less valuable work in an overload, and work of unknown value, at most a wait
+     * that leaves room for the most valuable work behind it.
      */
     public double maxWaitSeconds(AdmissionClass admissionClass, double slackSeconds, boolean retriesKnown) {
         double ownLimit = retriesKnown ? slackSeconds : settings.slackShare() * slackSeconds;
--- a/core/src/main/java/saltdale/probing/Payoff.java
+++ b/core/src/main/java/saltdale/probing/Payoff.java
@@ -7,8 +7,7 @@
     public static final int PROBE_CAP = 4;
     public static final double MAX_LAMBDA = 0.999;
 
-    private Payoff() {
-    }
+    private Payoff() {}
 
     /** λ = λ'/(1 − 2C·d) after d probes, kept below 1. */
     public static double lambda(double observed, int d) {
--- a/core/src/main/java/saltdale/probing/ProbeLoop.java
+++ b/core/src/main/java/saltdale/probing/ProbeLoop.java
@@ -24,7 +24,7 @@
         return runTime == 0 ? 0 : roundTrip / runTime + meanQueue * C;
     }
 
-    /** Whether the payoff B of another probe exceeds its cost, after this many probes found no idle runner. */
+    /** Whether the payoff B of another probe exceeds its cost, after this many found no idle runner. */
     public boolean worthAnother(int probed, double shortestQueue) {
         return probed < PROBE_CAP && payoff(shortestQueue, lambda(observedLambda, probed), probed) > cost();
     }
--- a/core/src/test/java/saltdale/decision/DispatcherTest.java
+++ b/core/src/test/java/saltdale/decision/DispatcherTest.java
@@ -97,7 +97,8 @@
         assertFalse(dispatcher.isIdle(DispatcherFixture.at(0), runner, 4));
         Attempt attempt = fixture.newRequestSentTo(runner).lastAttempt();
         assertTrue(dispatcher.isIdle(DispatcherFixture.at(30), runner, 1));
-        assertFalse(dispatcher.isIdle(DispatcherFixture.at(50), runner, 1), "an attempt of this dispatcher waits there");
+        assertFalse(
+                dispatcher.isIdle(DispatcherFixture.at(50), runner, 1), "an attempt of this dispatcher waits there");
         dispatcher.onStarted(DispatcherFixture.at(50), attempt);
         assertTrue(dispatcher.isIdle(DispatcherFixture.at(50), runner, 1));
     }
@@ -112,7 +113,8 @@
         runner.contacted = true;
         fixture.newRequestSentTo(runner);
         assertEquals(1, dispatcher.load(runner));
-        runner.typeStats.recordSlots(inFlightReport(5, 2)); // on a machine of the same type, which therefore has seven slots
+        runner.typeStats.recordSlots(
+                inFlightReport(5, 2)); // on a machine of the same type, which therefore has seven slots
         runner.report = inFlightReport(11, 0);
         assertEquals(4, dispatcher.load(runner));
         fixture.settings.loadBasedWeights = true;
@@ -296,7 +298,9 @@
                 .filter(attempt -> attempt.runner == cold)
                 .count();
         long toWarm = fixture.attempts.size() - toCold;
-        assertTrue(toCold <= 2.5 * 0.3 * toWarm / 8 * 2 + 1, toCold + " to the cold runner, " + toWarm + " to the warm one");
+        assertTrue(
+                toCold <= 2.5 * 0.3 * toWarm / 8 * 2 + 1,
+                toCold + " to the cold runner, " + toWarm + " to the warm one");
     }
 
     @Test
@@ -442,7 +446,8 @@
         assertEquals(100, countFirstProbesOf(runners.subList(2, 4)));
         fixture.createWithRunners(6);
         assertTrue(
-                countFirstProbesOf(List.copyOf(fixture.dispatcher.runners.subList(2, 4))) < 60, "without failures all are equal");
+                countFirstProbesOf(List.copyOf(fixture.dispatcher.runners.subList(2, 4))) < 60,
+                "without failures all are equal");
     }
 
     @Test
@@ -611,7 +616,7 @@
             dispatcher.onAttemptEnd(
                     DispatcherFixture.at(i < 20 ? 400 : 1200), request.attempts.get(0), Outcome.FULFILLED, true, null);
         }
-        assertTrue(dispatcher.runTimeRatio(DispatcherFixture.at(1200), dispatcher.runners.get(0)) > 1.3);
+        assertTrue(dispatcher.ratio(DispatcherFixture.at(1200), dispatcher.runners.get(0)) > 1.3);
     }
 
     @Test
@@ -621,7 +626,7 @@
                 fixture.newRequestSentTo(dispatcher.runners.get(0)).attempts.get(0);
         dispatcher.onStarted(DispatcherFixture.at(900), attempt);
         dispatcher.onAttemptEnd(DispatcherFixture.at(900), attempt, Outcome.FULFILLED, true, null);
-        assertEquals(1, dispatcher.runTimeRatio(DispatcherFixture.at(900), attempt.runner), 0.01);
+        assertEquals(1, dispatcher.ratio(DispatcherFixture.at(900), attempt.runner), 0.01);
     }
 
     @Test
@@ -655,7 +660,9 @@
                 dispatcher.isIdle(DispatcherFixture.at(4000), attempt.runner, 1), "it waited on a runner found idle");
     }
 
-    /** With a slack of 0.4 s leaving the zone counts as a load of four times its price, before any run time is known. */
+    /**
+     * With a slack of 0.4 s leaving the zone counts as a load of four times its price, before any run time is known.
+     */
     @Test
     void crossZoneSendCountsAsTheWaitOfEqualCost() {
         for (double price : new double[] {0.1, 1.5}) {
--- a/core/src/test/java/saltdale/overload/AdmissionControlTest.java
+++ b/core/src/test/java/saltdale/overload/AdmissionControlTest.java
@@ -47,8 +47,9 @@
         assertEquals(9, levelAfter(0, 1, 1500));
         assertEquals(0, levelAfter(0, 9, 1600));
         assertFalse(rejectsCheap(2600, 0, 0, 99));
-        assertTrue(
-                admission.lastChange().startsWith("level 1 to 0: wait 0.000 s, the most valuable work tolerates 1.000 s"));
+        assertTrue(admission
+                .lastChange()
+                .startsWith("level 1 to 0: wait 0.000 s, the most valuable work tolerates 1.000 s"));
     }
 
     @Test
@@ -93,7 +94,10 @@
             assertTrue(admitsBoth(1000 + i * 100L, 7, 7), "the values of both are unknown");
         }
         assertEquals(
-                0.5, admission.maxWaitSeconds(cheap, 4, false), 1e-9, "waits no longer than the class of less slack tolerates");
+                0.5,
+                admission.maxWaitSeconds(cheap, 4, false),
+                1e-9,
+                "waits no longer than the class of less slack tolerates");
         for (int i = 0; i < 20; i++) {
             assertTrue(admitsBoth(4000 + i * 100L, 9, 7), "unknown work with more slack displaces nothing");
         }
