--- a/core/src/main/java/saltdale/decision/ColdBudget.java
+++ b/core/src/main/java/saltdale/decision/ColdBudget.java
@@ -20,12 +20,12 @@
         // With a share under one job cold runners would stay idle: a job is then sent at random, so that the
         // average matches the share; only jobs that fit into the budget of all dispatchers together.
         double totalBudget = budget * settings.dispatcherCount;
-        double searchedRate = stats.stream().filter(seen -> seen.runTimeOrDefault() <= totalBudget)
+        double searchedRate = stats.stream().filter(w -> w.runTimeOrDefault() <= totalBudget)
                 .mapToDouble(w -> w.searchedWork.valueAt(now, timeConstant)).sum() / seconds(timeConstant);
         boolean drawn = remaining == budget && work <= totalBudget
                 && draw * searchedRate < budget / seconds(settings.coldLimitWindow) * fleet.readyCount;
         return work <= remaining || drawn || fleet.warmWorkRate == 0 && runner.inFlight.isEmpty()
-                && random.nextInt(settings.dispatcherCount) == 0;  // no data yet: one dispatcher of all
+                && random.nextInt(settings.dispatcherCount) == 0;  // no data yet: on average one dispatcher
     }
 
     double remaining(Duration now, Runner runner) {
--- a/core/src/main/java/saltdale/decision/Dispatcher.java
+++ b/core/src/main/java/saltdale/decision/Dispatcher.java
@@ -18,10 +18,10 @@
 /** Probes runners for each request, sends it to the first idle one found, and decides on further attempts. */
 public final class Dispatcher {
     static final double SATURATION = 0.95;  // busy share above which busy and unstable runners are needed too
-    static final double MOVABLE_BUSY = 0.5;  // busy share up to which waiting work is moved to another runner
+    static final double MAX_BUSY_TO_MOVE = 0.5;  // busy share up to which waiting work is moved
     static final double PRIOR_RUNS = 4;  // weight of the prior, in runs at the usual speed
-    static final double MAX_FAILURES = 0.3;  // a runner that lately failed more than this is ejected
-    static final double HOMES = 3;  // home runners of a key, and multiple of the key's share of all runners
+    static final double EJECT_SHARE = 0.3;  // a runner that lately failed more than this is ejected
+    static final double HOMES = 3;  // homes of a key: this many runners, plus this multiple of its share
     static final double RETRY_VALUE = 0.5;  // value relative to a first try: a retry has little time left
     static final double ZONE_DOUBT = 0.7;  // highest probability of avoiding a runner of an unresponsive zone
 
@@ -48,7 +48,7 @@
     final Histogram connects = Histogram.ofBooleans(32);  // success of recent connection attempts
     private final FleetSurvey fleet;
     private final ColdBudget coldBudget;
-    private final boolean nonePure;
+    private final boolean nonePure;  // no workload is pure
     private Duration subscribeAt, subscribeDelay;  // next subscription (null while subscribed); retry delay
     private final AdmissionControl admission;  // null without overload settings
     private final RetryBudget retryBudget = new RetryBudget();  // used with overload settings only
@@ -113,9 +113,9 @@
     }
 
     public void onRequest(Duration now, Request req) {
-        WorkloadStats seen = stats.get(req.workload);
-        seen.maxClientTimeout = max(seen.maxClientTimeout, req.clientTimeout());
-        if (req.runTimeHint != null) { seen.addRunTime(seconds(req.runTimeHint)); }
+        WorkloadStats stat = stats.get(req.workload);
+        stat.maxClientTimeout = max(stat.maxClientTimeout, req.clientTimeout());
+        if (req.runTimeHint != null) { stat.addRunTime(seconds(req.runTimeHint)); }
         meanRunTime += (runTime(req) - meanRunTime) / Math.min(++arrivalCount, 99);
         meanValue += (value(req) - meanValue) / Math.min(arrivalCount, 99);
         req.randomDraw = random.nextDouble();
@@ -130,12 +130,12 @@
     // Prevents work of low value per second from displacing more valuable work during an overload.
     private boolean isCrowdedOut(Duration now, Request req) {
         Workload w = req.workload;
-        WorkloadStats seen = stats.get(w);
+        WorkloadStats stat = stats.get(w);
         double value = valuePerSecond(w);
-        double slack = seconds(w.targetLatency) + (w.latencyStretch - 1) * seen.meanRunTime;
-        double workSeconds = seen.sampleCount == 0 ? seen.runTimeOrDefault() : runTime(req);
+        double slack = seconds(w.targetLatency) + (w.latencyStretch - 1) * stat.meanRunTime;
+        double workSeconds = stat.sampleCount == 0 ? stat.runTimeOrDefault() : runTime(req);
         admission.recordArrival(now, admissionClass(req), workSeconds,
-                isMarkedRetry(req) ? RETRY_VALUE * value : value, slack, seen.sampleCount);
+                isMarkedRetry(req) ? RETRY_VALUE * value : value, slack, stat.sampleCount);
         return admission.shouldReject(now, admissionClass(req), req.randomDraw);
     }
 
@@ -275,7 +275,7 @@
         Duration last = min(req.deadline, settings.shutdownAt).minus(settings.roundInterval.multipliedBy(4));
         req.plannedCheckAt = null;
         if (req.streamingAttempt != null || req.closed) { return; }
-        checkAt(req, last);  // in time for a response of its own
+        checkAt(req, last);  // leaves time for the dispatcher's own response
         if (reached(now, last)) {
             respond(req, null);
         } else if (req.probeTarget != null || pending == null && req.plannedRunner == null) {
@@ -294,7 +294,7 @@
             }
             req.addProbeResult(req.probeTarget, 2 * probing.meanQueue + 1,
                     extraLoad(now, req, req.probeTarget));
-            recordNoResponse(now, req.probeTarget);  // and the search goes on, or it would halt here
+            recordNoResponse(now, req.probeTarget);  // go on without it: the search must not halt
             req.probeTarget = null;
         }
         while (req.probedRunners.isEmpty()
@@ -393,7 +393,7 @@
                     && random.nextDouble() < Math.exp(-seconds(now.minus(r.foundBusyAt)) / probing.runTime);
                 // Only pure work tests for failing runners: after a failure other work may go to few runners.
                 unlikely |= r.acceptsAny(first) || fleet.ejectedCount > 0 && req.workload.repeatSafety != PURE
-                        && (r.failures.count() == 0 || r.failures.lastBin() > MAX_FAILURES);
+                        && (r.failures.count() == 0 || r.failures.lastBin() > EJECT_SHARE);
                 double ratio = ratio(now, r);
                 double extraLoad = extraLoad(req, r, target - ratio * runTime, maxIdleTime, now);
                 int rank = (trusted ? 0 : 32) + (target >= ratio * runTime ? 0 : 16)
@@ -407,7 +407,7 @@
         return best;
     }
 
-    /** The more valuable restricted workloads whose runners this request avoids while others have room. */
+    /** More valuable restricted workloads, whose only runners it must not fill while others have room. */
     private Workload[] yieldsTo(Request req) {
         return req.workload.isRestricted() || restricted.length == 0 || generalLambda >= SATURATION ? NONE
                 : Stream.of(restricted).filter(w -> valuePerSecond(w) > valuePerSecond(req.workload))
@@ -589,7 +589,7 @@
             return;
         }
         req.recheckDelay = now.minus(pending.sentAt);
-        if (probing.observedLambda > MOVABLE_BUSY) {  // a cancelled attempt may run on: avoid double work
+        if (probing.observedLambda > MAX_BUSY_TO_MOVE) {  // a cancelled attempt may run on: avoid double work
             checkAt(req, now.plus(req.recheckDelay));
             return;
         }
@@ -621,15 +621,15 @@
                 Duration start = startUnknown
                         ? ended.sentAt.plus(ofSeconds(ended.runnerLoad * waitPerLoad(ended.runner)))
                         : ended.startedAt == null ? ended.sentAt : ended.startedAt;
-                double took = seconds(max(now.minus(start), settings.roundInterval));
-                WorkloadStats seen = stats.get(req.workload);
+                double actual = seconds(max(now.minus(start), settings.roundInterval));
+                WorkloadStats stat = stats.get(req.workload);
                 if (req.runTimeHint == null) {  // capped: outliers distort the mean
-                    seen.addRunTime(seen.sampleCount == 0 ? took : Math.min(took, 4 * seen.meanRunTime));
+                    stat.addRunTime(stat.sampleCount == 0 ? actual : Math.min(actual, 4 * stat.meanRunTime));
                 }
-                probing.recordRunTime(took);
+                probing.recordRunTime(actual);
                 if (!startUnknown) {
-                    ended.runner.runTimeRatio.add(Math.min(took, 4 * runTime(req) * ratio(now, ended.runner)),
-                            runTime(req), PRIOR_RUNS);
+                    ended.runner.runTimeRatio.add(Math.min(actual,
+                            4 * runTime(req) * ratio(now, ended.runner)), runTime(req), PRIOR_RUNS);
                     ended.runner.ratioUpdatedAt = now;
                 }
                 if (settings.warmth(now, ended.runner) >= 1) {
@@ -643,7 +643,7 @@
             case ERROR, BROKEN, TIMED_OUT -> recordHealth(now, ended.runner, true);
             case NOT_CONNECTED -> {
                 // While connections fail everywhere, this runner is not the cause: don't eject all runners.
-                if (connects.count() - connects.lastBin() <= MAX_FAILURES * (connects.count() + PRIOR_RUNS)) {
+                if (connects.count() - connects.lastBin() <= EJECT_SHARE * (connects.count() + PRIOR_RUNS)) {
                     recordHealth(now, ended.runner, true);
                     recordNoResponse(now, ended.runner);
                 }
@@ -654,7 +654,7 @@
     /** Counts a success or failure; a runner that fails often is ejected, with doubling trial intervals. */
     private void recordHealth(Duration now, Runner r, boolean failed) {
         r.failures.add(failed);
-        boolean fails = r.failures.lastBin() >= 2 && r.failures.lastBin() > MAX_FAILURES * r.failures.count();
+        boolean fails = r.failures.lastBin() >= 2 && r.failures.lastBin() > EJECT_SHARE * r.failures.count();
         boolean recovered = !failed && r.trialInterval != null
                 && r.trialInterval.compareTo(backoff.dividedBy(8)) <= 0;
         if (recovered) { r.failures.clear(); }
--- a/core/src/main/java/saltdale/model/DispatcherSettings.java
+++ b/core/src/main/java/saltdale/model/DispatcherSettings.java
@@ -25,7 +25,7 @@
     /** Whether the dispatcher must subscribe to the runner list itself. */
     public boolean subscribes;
 
-    /** The time limit for a renewed subscription; retries are spaced within it. */
+    /** The time limit for requesting a subscription again; retries are spaced within it. */
     public Duration subscribeWithin = Duration.ofSeconds(10);
 
     /** Whether weights in the list fall with load: the maximum weight over 1 + jobs per slot. */
@@ -41,7 +41,9 @@
     /** Whether shed responses carry a Retry-After. */
     public boolean sendsRetryAfter;
 
+    /** The maximum number of attempts for one request. */
     public int maxAttempts = Integer.MAX_VALUE;
+
     public Duration maxRetryAfter = Duration.ZERO;
     public Duration connectTimeout = Duration.ZERO;
     /** How long a connection may be idle. */
@@ -66,6 +68,7 @@
     /** The multiple of a cold runner's capacity that it may be sent within {@link #coldLimitWindow}. */
     public double coldLimitMultiple = 1;
 
+    /** The length of the window in which the work sent to a cold runner is limited. */
     public Duration coldLimitWindow = Duration.ZERO;
     /** Whether a runner may reject an attempt after it has started it, so that a rejection proves nothing. */
     public boolean lateRejections;
@@ -81,8 +84,12 @@
     /** The weight of the service in the objective, relative to the prices. */
     public double goalWeight = 1;
 
+    /** The price of one attempt in another zone. */
     public double crossZonePrice;
+
+    /** The price of one new connection. */
     public double handshakePrice;
+
     public double probePrice;
     public double wastePrice;
 
--- a/core/src/main/java/saltdale/model/OverloadSettings.java
+++ b/core/src/main/java/saltdale/model/OverloadSettings.java
@@ -3,8 +3,8 @@
 import java.time.Duration;
 
 /**
- * Settings of the admission control for overloads (the table {@code overload} of EDGE_CONFIG); without the table there
- * is none.
+ * Settings of the admission control for overloads: the table {@code overload} of EDGE_CONFIG with the keys low, high,
+ * borne, missed, step and known, in the order of the components. Without the table there is no admission control.
  *
  * @param lowWaitShare the wait, as a share of the wait that the most valuable work can tolerate, up to which nothing is
  *     rejected
--- a/core/src/main/java/saltdale/model/Request.java
+++ b/core/src/main/java/saltdale/model/Request.java
@@ -52,13 +52,27 @@
     public Attempt streamingAttempt;
 
     // Planned but not yet carried out: Dispatcher.applyActions compares these fields with the state above.
+    /** The runner to probe next; null if none. */
     public Runner plannedProbe;
+
+    /** The runner to send the next attempt to; null if none. */
     public Runner plannedRunner;
+
+    /** The load found at {@link #plannedRunner}. */
     public double plannedLoad;
+
+    /** The response to give; null if none. */
     public LocalResponse plannedResponse;
+
+    /** The Retry-After of that response; null for none. */
     public Duration plannedRetryAfter;
+
+    /** When the request is to be decided on again; null if not planned. */
     public Duration plannedCheckAt;
+
+    /** When the earliest timer set for it fires; null if none is set. */
     public Duration timerAt;
+
     /** True for a search while an attempt is pending. */
     public boolean seekingAlternative;
 
--- a/core/src/main/java/saltdale/model/Runner.java
+++ b/core/src/main/java/saltdale/model/Runner.java
@@ -30,7 +30,9 @@
     public MachineTypeStats typeStats = new MachineTypeStats(null);
 
     public String zone = "";
+    /** Its weight in the list. */
     public double weight = 1;
+
     /** GONE until a list contains it, and again once the dispatcher has removed it. */
     public Mode mode = Mode.GONE;
 
@@ -44,6 +46,7 @@
     /** The requests that wait for an answer to a probe, in the order of the probes. */
     public final Deque<Request> probeWaiters = new ArrayDeque<>();
 
+    /** Its most recent load report. */
     public LoadReport report = LoadReport.NONE;
     /** True once it was sent an attempt or answered a probe. */
     public boolean contacted;
@@ -197,16 +200,16 @@
 
     /** The slots of pending attempts without a reported start. */
     public double notStartedSlots() {
-        return notStarted().mapToDouble(d -> d.request.slots).sum();
+        return notStarted().mapToDouble(a -> a.request.slots).sum();
     }
 
     /** Whether an attempt sent before this time has no reported start. */
     public boolean hasNotStartedSince(Duration time) {
-        return notStarted().anyMatch(d -> d.sentAt.compareTo(time) < 0);
+        return notStarted().anyMatch(a -> a.sentAt.compareTo(time) < 0);
     }
 
     private Stream<Attempt> notStarted() {
-        return inFlight.stream().filter(d -> d.startedAt == null);
+        return inFlight.stream().filter(a -> a.startedAt == null);
     }
 
     /** The work sent to it while cold since this time; older attempts are forgotten. */
--- a/core/src/main/java/saltdale/overload/AdmissionControl.java
+++ b/core/src/main/java/saltdale/overload/AdmissionControl.java
@@ -142,8 +142,8 @@
     /**
      * Moves the level towards the one that the wait calls for, in bounded steps. It falls only if that is at least two
      * steps lower, so that a fluctuating wait causes no oscillation. It rises only while the most valuable work misses
-     * its targets, since waits that all work tolerates must not cause rejections. The measured wait decays while nothing
-     * is probed, or no work would be admitted ever again.
+     * its targets, since waits that all work tolerates must not cause rejections. The measured wait decays while
+     * nothing is probed, or no work would be admitted ever again.
      */
     private void adjustLevel(Duration now, boolean hasRejectableWork, boolean mayRise) {
         if (now.compareTo(changedAt.plus(settings.minChangeInterval())) < 0) {
--- a/core/src/main/java/saltdale/settings/JsonFields.java
+++ b/core/src/main/java/saltdale/settings/JsonFields.java
@@ -43,7 +43,7 @@
     }
 
     private String string(JsonNode value, String field, String defaultValue) {
-        JsonNode string = checked(value, field, JsonNode::isTextual, "a text");
+        JsonNode string = checked(value, field, JsonNode::isTextual, "a string");
         return string == null ? defaultValue : string.textValue();
     }
 
@@ -58,7 +58,7 @@
     }
 
     private JsonNode integer(JsonNode value, String field, Predicate<JsonNode> type) {
-        return required(checked(value, field, type, "a whole number"), field, "a whole number");
+        return required(checked(value, field, type, "an integer"), field, "an integer");
     }
 
     private <T> T required(T value, String field, String expected) {
@@ -76,7 +76,7 @@
     }
 
     public String string(int i, String field) {
-        return required(string(i, field, null), field, "a text");
+        return required(string(i, field, null), field, "a string");
     }
 
     public String string(int i, String field, String defaultValue) {
