--- a/control/src/main/java/saltdale/control/InstanceListReader.java
+++ b/control/src/main/java/saltdale/control/InstanceListReader.java
@@ -65,12 +65,14 @@
         double minIntervalSeconds = controlNode.voterCount()
                 * (pageCount + 1)
                 / (AVERAGE_RATE_SHARE * nodeSettings.rates().listCallsPerSecond());
-        environment.schedule(Math.max(nodeSettings.heartbeatNanos() / 2, (long) (minIntervalSeconds * 1e9)), this::read);
+        environment.schedule(
+                Math.max(nodeSettings.heartbeatNanos() / 2, (long) (minIntervalSeconds * 1e9)), this::read);
     }
 
     private long pageIntervalNanos() {
-        return (long)
-                (controlNode.voterCount() / (PEAK_RATE_SHARE * nodeSettings.rates().listCallsPerSecond()) * 1e9);
+        return (long) (controlNode.voterCount()
+                / (PEAK_RATE_SHARE * nodeSettings.rates().listCallsPerSecond())
+                * 1e9);
     }
 
     private void requestPage(String token, List<Instance> instances, int page, long requestedAt) {
@@ -91,7 +93,8 @@
                     String next = body.text("next_page_token");
                     reading = true;
                     // Spaces the pages so that bursts of all control nodes together stay within the rate limit.
-                    environment.schedule(pageIntervalNanos(), () -> requestPage(next, instances, page + 1, requestedAt));
+                    environment.schedule(
+                            pageIntervalNanos(), () -> requestPage(next, instances, page + 1, requestedAt));
                     return;
                 }
             } catch (MalformedMessage e) {
--- a/node/src/test/java/saltdale/node/ChainModel.java
+++ b/node/src/test/java/saltdale/node/ChainModel.java
@@ -281,7 +281,8 @@
             cluster.schedule(
                     2 * cluster.randomDelayNanos(),
                     () -> cluster.deliver(
-                            process, () -> cluster.proxy(process).connectionTested(id, cluster.acceptsConnections(id))));
+                            process,
+                            () -> cluster.proxy(process).connectionTested(id, cluster.acceptsConnections(id))));
         }
 
         @Override
--- a/node/src/test/java/saltdale/node/UpstreamExchangeTest.java
+++ b/node/src/test/java/saltdale/node/UpstreamExchangeTest.java
@@ -62,7 +62,8 @@
                 Duration.ofSeconds(2)));
     }
 
-    private Attempt.Outcome exchange(EventLoop loop, UpstreamConnections connections, Attempt attempt) throws IOException {
+    private Attempt.Outcome exchange(EventLoop loop, UpstreamConnections connections, Attempt attempt)
+            throws IOException {
         HttpParser parser = new HttpParser(HttpParser.Kind.REQUEST);
         parser.parse(ByteBuffer.wrap(REQUEST.getBytes(StandardCharsets.ISO_8859_1)));
         List<Attempt.Outcome> ends = new ArrayList<>();
--- a/proxy/src/main/java/saltdale/proxy/OwnedServices.java
+++ b/proxy/src/main/java/saltdale/proxy/OwnedServices.java
@@ -154,8 +154,8 @@
     /** Lets the grants of former members expire soon. */
     void membersGone(Collection<Member> members) {
         long expiresAt = environment.now() + heartbeatNanos / 3;
-        members.forEach(
-                member -> allocators.values().forEach(allocator -> allocator.memberGone(member.incarnation(), expiresAt)));
+        members.forEach(member ->
+                allocators.values().forEach(allocator -> allocator.memberGone(member.incarnation(), expiresAt)));
     }
 
     // Slots.
@@ -219,8 +219,8 @@
             if (recentlyReleasedUntil.containsKey(slot.key())) {
                 continue;
             }
-            PendingGrant grant =
-                    new PendingGrant(slot.instance(), slot.life(), environment.now() + slot.remainingMillis() * 1_000_000);
+            PendingGrant grant = new PendingGrant(
+                    slot.instance(), slot.life(), environment.now() + slot.remainingMillis() * 1_000_000);
             if (!isOwner(slot.service()) || !applyGrant(allocator(slot.service()), slot.key(), grant)) {
                 pendingGrants.put(slot.key(), grant);
             }
--- a/proxy/src/main/java/saltdale/proxy/Proxy.java
+++ b/proxy/src/main/java/saltdale/proxy/Proxy.java
@@ -243,8 +243,8 @@
         ownedServices.membersChanged();
         requests.ownersChanged(previous);
         List<Member> gone = previous.stream()
-                .filter(old ->
-                        members.stream().noneMatch(member -> member.incarnation().equals(old.incarnation())))
+                .filter(old -> members.stream()
+                        .noneMatch(member -> member.incarnation().equals(old.incarnation())))
                 .toList();
         ownedServices.membersGone(gone);
         slotRequester.membersGone(gone);
--- a/proxy/src/main/java/saltdale/proxy/RequestLifecycle.java
+++ b/proxy/src/main/java/saltdale/proxy/RequestLifecycle.java
@@ -72,7 +72,8 @@
         long deadline = now + Math.min(remainingNanos - DEADLINE_MARGIN_NANOS, route.timeoutMs() * 1_000_000);
         Request request = new Request(id, route, chooseService(route), clientContext, priority, now, deadline);
         retryBudget.countRequest(request.service, now);
-        request.cancelDeadlineTimer = environment.schedule(Math.max(0, deadline - now), () -> deadlineExceeded(request));
+        request.cancelDeadlineTimer =
+                environment.schedule(Math.max(0, deadline - now), () -> deadlineExceeded(request));
         slotRequester.requestSlot(request);
         return request;
     }
--- a/proxy/src/test/java/saltdale/control/FaultyOrderHandling.java
+++ b/proxy/src/test/java/saltdale/control/FaultyOrderHandling.java
@@ -76,7 +76,8 @@
     }
 
     private static Proposer.ChangeResult refusal(int status) {
-        return Proposer.ChangeResult.unchanged(new ConfigurationService.Reply(status, "refused by a deliberate fault", null));
+        return Proposer.ChangeResult.unchanged(
+                new ConfigurationService.Reply(status, "refused by a deliberate fault", null));
     }
 
     private static long oldestOf64(ReplicatedState newest) {
--- a/proxy/src/test/java/saltdale/proxy/CutOffTest.java
+++ b/proxy/src/test/java/saltdale/proxy/CutOffTest.java
@@ -95,7 +95,8 @@
                 }
                 case CLOCK_STEP ->
                     world.schedule(
-                            world.random.nextInt(1200) * 1_000_000L, () -> isolated.wallClockOffsetNanos -= 30_000_000_000L);
+                            world.random.nextInt(1200) * 1_000_000L,
+                            () -> isolated.wallClockOffsetNanos -= 30_000_000_000L);
                 default -> {}
             }
         }
--- a/proxy/src/test/java/saltdale/proxy/SimMachine.java
+++ b/proxy/src/test/java/saltdale/proxy/SimMachine.java
@@ -112,8 +112,8 @@
                 onEnd.run();
             }
         };
-        terminated.deliver(() ->
-                terminated.controlNode.shutDown(graceMillis * 700_000, () -> world.schedule(50_000_000, killIfRunning)));
+        terminated.deliver(() -> terminated.controlNode.shutDown(
+                graceMillis * 700_000, () -> world.schedule(50_000_000, killIfRunning)));
         world.schedule(graceMillis * 1_000_000, killIfRunning);
     }
 
--- a/proxy/src/test/java/saltdale/proxy/SimOperator.java
+++ b/proxy/src/test/java/saltdale/proxy/SimOperator.java
@@ -48,8 +48,8 @@
 
     static int change(SimWorld world, SimMachine at, boolean amends, String base, String body) {
         List<ControlNode.Reply> replies = new ArrayList<>();
-        at.process.deliver(() ->
-                at.controlNode().changeConfiguration(amends, base, body.getBytes(StandardCharsets.UTF_8), replies::add));
+        at.process.deliver(() -> at.controlNode()
+                .changeConfiguration(amends, base, body.getBytes(StandardCharsets.UTF_8), replies::add));
         return world.runUntil(5000, () -> !replies.isEmpty()) ? replies.get(0).status() : 0;
     }
 
--- a/proxy/src/test/java/saltdale/proxy/SimPlatform.java
+++ b/proxy/src/test/java/saltdale/proxy/SimPlatform.java
@@ -410,8 +410,8 @@
             call.answers.add(decision == null ? 0 : decision instanceof RouteDecision.Denied ? 404 : 503);
             return call;
         }
-        at.process.deliver(() ->
-                at.proxy().handleRequest("a-" + calls.size(), route, Environment.millisToNanos(leftMs), "10.9.9.9", call));
+        at.process.deliver(() -> at.proxy()
+                .handleRequest("a-" + calls.size(), route, Environment.millisToNanos(leftMs), "10.9.9.9", call));
         return call;
     }
 
@@ -494,7 +494,8 @@
             return;
         }
         // The list has shown the instance as draining for longer than drain_ms.
-        if (to.drainingAt != Long.MAX_VALUE && world.now() - to.drainingAt > Environment.millisToNanos(listLagMs + 3000)) {
+        if (to.drainingAt != Long.MAX_VALUE
+                && world.now() - to.drainingAt > Environment.millisToNanos(listLagMs + 3000)) {
             callsAfterDrain.add(world.now());
         }
         if (to.busy >= slots.get(to.service)) {
