--- a/net/src/main/java/saltdale/protocol/HttpWriter.java
+++ b/net/src/main/java/saltdale/protocol/HttpWriter.java
@@ -77,8 +77,8 @@
             ByteArrayOutputStream out, Head head, Set<String> dropped, Set<String> always) {
         for (Head.HeaderLine line : head.headers) {
             String name = line.name().toLowerCase(Locale.ROOT);
-            // A client must not be able to remove the headers that identify a job to a runner by naming them in its
-            // Connection header.
+            // The headers that identify a job to a runner are always kept: a client must not be able to remove them by
+            // naming them in its Connection header.
             if (!dropped.contains(name) && (always.contains(name) || !head.headerContains("Connection", name))) {
                 byte[] raw = head.rawHeader(line);
                 out.write(raw, 0, raw.length);
--- a/net/src/main/java/saltdale/protocol/JsonReader.java
+++ b/net/src/main/java/saltdale/protocol/JsonReader.java
@@ -6,8 +6,8 @@
 import java.util.regex.Pattern;
 
 /**
- * A pull parser for a single JSON text. Values that the caller does not need are checked for correct syntax and
- * skipped.
+ * A pull parser for a single JSON text.
+ * Values that the caller does not need are skipped after a check of their syntax.
  */
 final class JsonReader {
     /** Thrown if the text is not valid JSON, or does not have the requested structure. */
--- a/net/src/main/java/saltdale/serving/ServerConnection.java
+++ b/net/src/main/java/saltdale/serving/ServerConnection.java
@@ -214,8 +214,8 @@
     }
 
     /**
-     * Sends a response with a text body to the request being served; {@code more} holds complete header lines or is
-     * empty.
+     * Sends a response with a text body to the request being served.
+     * {@code more} holds complete header lines or is empty.
      */
     public void respond(int status, String more, String text) {
         respond(status, more, text.isEmpty() ? EMPTY_BODY : (text + "\n").getBytes(StandardCharsets.UTF_8));
--- a/storage/src/main/java/saltdale/storage/StoreFile.java
+++ b/storage/src/main/java/saltdale/storage/StoreFile.java
@@ -46,8 +46,8 @@
         }
 
         /**
-         * Does nothing, which avoids a second sync after every other write; {@link MirroredRecordStore} keeps the file
-         * small enough.
+         * Does nothing, which avoids a second sync after every other write.
+         * {@link MirroredRecordStore} keeps the file small enough.
          */
         @Override
         protected void shrinkStoreIfPossible(int minPercent) {}
@@ -164,8 +164,8 @@
         records.keyIterator(null).forEachRemaining(names::add);
         byte[] seal = null;
         for (String name : names) {
-            // Looks up each record by name, as later reads do: a torn inner page may hide a record that iteration still
-            // finds.
+            // Looks up each record by name, as later reads do, because a torn inner page may hide a record from a
+            // lookup that the iteration still finds.
             byte[] entry = records.get(name);
             if (entry == null) {
                 return -1;
@@ -243,8 +243,8 @@
     }
 
     /**
-     * Copies the records of the other file (none if null), applies the changes (a null value removes the record), and
-     * syncs.
+     * Copies the records of the source (none if it is null), applies the changes and syncs the file. A null value in
+     * the changes removes the record.
      */
     void update(StoreFile source, Map<String, byte[]> changes) {
         long next = source == null ? 0 : source.generation + 1;
--- a/storage/src/test/java/saltdale/storage/PowerCutTest.java
+++ b/storage/src/test/java/saltdale/storage/PowerCutTest.java
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Shows that MVStore alone is not safe. If this ever fails, the design in "docs/record store.md" can be
-     * reconsidered.
+     * Shows that MVStore alone is not safe.
+     * If this test ever fails, the design in "docs/record store.md" can be reconsidered.
      */
     @Test
     void mvStoreAloneLosesWrites() throws Exception {
