--- a/core/src/main/java/saltdale/model/Keys.java
+++ b/core/src/main/java/saltdale/model/Keys.java
@@ -42,7 +42,7 @@
         return hash == 0 ? 1 : hash;
     }
 
-    /** The finalizer of MurmurHash3. */
+    /** The finaliser of MurmurHash3. */
     private static long mix(long z) {
         z = (z ^ z >>> 33) * 0xff51afd7ed558ccdL;
         z = (z ^ z >>> 33) * 0xc4ceb9fe1a85ec53L;
