--- a/rig/src/main/java/saltdale/rig/experiment/DispatcherProcesses.java
+++ b/rig/src/main/java/saltdale/rig/experiment/DispatcherProcesses.java
@@ -21,7 +21,7 @@
 import org.slf4j.LoggerFactory;
 import saltdale.model.DispatcherSettings;
 import saltdale.model.Workload;
-import saltdale.rig.judge.Witness;
+import saltdale.rig.judge.EventObserver;
 import saltdale.rig.plan.Day;
 import saltdale.rig.plan.Make;
 import saltdale.rig.standin.LoopbackAddresses;
@@ -48,7 +48,7 @@
     private final LoopbackAddresses places;
     private final Path folder;
     private final Origin origin;
-    private final Witness witness;
+    private final EventObserver witness;
     private final String cpus;
     private final List<Member> members = new ArrayList<>();
     private volatile boolean ending;
@@ -62,7 +62,7 @@
             LoopbackAddresses places,
             Path folder,
             Origin origin,
-            Witness witness,
+            EventObserver witness,
             String cpus) {
         this.day = day;
         this.version = version;
@@ -175,14 +175,14 @@
         Member member = members.get(i);
         member.toldToEnd = true;
         member.cpuOfEarlierLives += cpu(member.process);
-        witness.killed(origin.now(), i);
+        witness.dispatcherKilled(origin.now(), i);
         member.process.destroyForcibly();
         try {
             member.process.waitFor(5, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        witness.killed(origin.now(), i); // what it took between the two is its clients' too
+        witness.dispatcherKilled(origin.now(), i); // what it took between the two is its clients' too
     }
 
     /** Tells one to end in order. */
@@ -196,7 +196,7 @@
     public void stop(List<Integer> which) {
         which.forEach(i -> {
             members.get(i).stopped = true;
-            witness.stopped(origin.now(), i);
+            witness.dispatcherPaused(origin.now(), i);
         });
         signal("STOP", which);
     }
@@ -205,7 +205,7 @@
         signal("CONT", which);
         which.forEach(i -> {
             members.get(i).stopped = false;
-            witness.wentOn(origin.now(), i);
+            witness.dispatcherResumed(origin.now(), i);
         });
     }
 
--- a/rig/src/main/java/saltdale/rig/experiment/Experiment.java
+++ b/rig/src/main/java/saltdale/rig/experiment/Experiment.java
@@ -116,10 +116,10 @@
         if (!version.levels()) {
             day.orders.overload = null;
         }
-        Simulation.Minds minds = version.choice() == null
+        Simulation.DispatcherFactory minds = version.choice() == null
                 ? null
                 : (orders, door, chance) ->
-                        new BaselineDispatcher(orders, door, chance, version.choice(), BaselineDispatcher.Slip.NONE);
+                        new BaselineDispatcher(orders, door, chance, version.choice(), BaselineDispatcher.Defect.NONE);
         return Run.simulated(day, version.name(), point.name, repeat, Run.asks(day, beside()), minds);
     }
 
--- a/rig/src/main/java/saltdale/rig/experiment/Outcome.java
+++ b/rig/src/main/java/saltdale/rig/experiment/Outcome.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import saltdale.rig.judge.Breach;
+import saltdale.rig.judge.Violation;
 import saltdale.rig.load.Tally;
 import saltdale.rig.load.Watch;
 
@@ -18,7 +18,7 @@
         String point,
         int repeat,
         Map<String, Double> figures,
-        List<Breach> breaches,
+        List<Violation> breaches,
         String isVoid,
         Tally tally,
         Watch watch) {
--- a/rig/src/main/java/saltdale/rig/experiment/Run.java
+++ b/rig/src/main/java/saltdale/rig/experiment/Run.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.atomic.AtomicReference;
 import saltdale.model.Durations;
 import saltdale.rig.fleet.TroubleSchedule;
+import saltdale.rig.judge.EventRecorder;
 import saltdale.rig.judge.Judge;
-import saltdale.rig.judge.Notes;
-import saltdale.rig.judge.Terms;
+import saltdale.rig.judge.JudgeSettings;
 import saltdale.rig.load.Arrivals;
 import saltdale.rig.load.Ask;
 import saltdale.rig.load.Generator;
@@ -55,23 +55,23 @@
     }
 
     public static Outcome simulated(
-            Day day, String version, String point, int repeat, Iterator<Ask> asks, Simulation.Minds minds) {
+            Day day, String version, String point, int repeat, Iterator<Ask> asks, Simulation.DispatcherFactory minds) {
         Simulation sim = new Simulation(day, minds == null ? ModuleDispatcher::new : minds, asks).run();
         Judge judge = sim.judge();
-        Map<String, Double> figures =
-                Outcome.figures(sim.tally(), judge.broken(), judge.asked(), judge.answered(), judge.dispatches());
-        figures.put("events", (double) sim.events());
-        figures.put("probes_per_request", sim.probes() / (double) Math.max(1, judge.asked()));
+        Map<String, Double> figures = Outcome.figures(
+                sim.tally(), judge.violationCount(), judge.requestCount(), judge.answeredCount(), judge.attemptCount());
+        figures.put("events", (double) sim.executedEventCount());
+        figures.put("probes_per_request", sim.probeCount() / (double) Math.max(1, judge.requestCount()));
         figures.put(
                 "probe_share",
-                sim.probes() * (day.probeCost.toNanos() / 1e9) / (day.capacity() * day.length.toNanos() / 1e9));
+                sim.probeCount() * (day.probeCost.toNanos() / 1e9) / (day.capacity() * day.length.toNanos() / 1e9));
         figures.putAll(Overloads.figures(day, sim.tally(), sim.spread()));
         return new Outcome(
                 version,
                 point,
                 repeat,
                 figures,
-                judge.breaches(),
+                judge.violations(),
                 null,
                 sim.tally(),
                 sim.fleet().watch());
@@ -97,7 +97,7 @@
                     "on sockets a day has at most " + LoopbackAddresses.MOST_DISPATCHERS + " dispatchers");
         }
         Files.createDirectories(folder);
-        Notes notes = new Notes();
+        EventRecorder notes = new EventRecorder();
         Origin origin = new Origin();
         LoopbackAddresses places = new LoopbackAddresses(freePort());
         AtomicReference<StandInFleet> fleet = new AtomicReference<>();
@@ -137,19 +137,24 @@
                 Files.writeString(folder.resolve("counters.txt"), dispatchers.get(0, "/counters"));
                 Thread.sleep(300); // for what is still on its way to the stand-ins
                 Duration late = Durations.max(runners.mostLate(), clients.mostLate());
-                Judge judge = new Judge(Terms.of(day, SLACK.plus(late)), Duration.ofSeconds(5));
+                Judge judge = new Judge(JudgeSettings.of(day, SLACK.plus(late)), Duration.ofSeconds(5));
                 clients.inside(generator::hangUp);
-                notes.tell(judge);
-                judge.end();
+                notes.replayTo(judge);
+                judge.finish();
                 Map<String, Double> figures = Outcome.figures(
-                        generator.tally(), judge.broken(), judge.asked(), judge.answered(), judge.dispatches());
+                        generator.tally(),
+                        judge.violationCount(),
+                        judge.requestCount(),
+                        judge.answeredCount(),
+                        judge.attemptCount());
                 figures.putAll(Overloads.figures(day, generator.tally(), generator.spread()));
-                figures.put("cpu_us_per_job", cpu * 1e6 / Math.max(1, judge.asked()));
+                figures.put("cpu_us_per_job", cpu * 1e6 / Math.max(1, judge.requestCount()));
                 figures.put("memory_mb", memory);
                 figures.put("runners_late_most_ms", runners.mostLate().toNanos() / 1e6);
                 figures.put("generator_lag_p99_ms", generator.lag().getValueAtPercentile(99) / 1e3);
                 figures.put("generator_lag_max_ms", generator.lag().getMaxValue() / 1e3);
-                figures.put("runner_requests_per_job", fleet.get().requests() / (double) Math.max(1, judge.asked()));
+                figures.put(
+                        "runner_requests_per_job", fleet.get().requests() / (double) Math.max(1, judge.requestCount()));
                 figures.put(
                         "first_1000_answers_s",
                         generator.thousandthAt() == null
@@ -161,7 +166,7 @@
                         point,
                         repeat,
                         figures,
-                        judge.breaches(),
+                        judge.violations(),
                         generator.isVoid(),
                         generator.tally(),
                         fleet.get().watch());
@@ -174,7 +179,7 @@
 
     /** Does to dispatchers what the day says; on a thread of its own, since it waits for processes. */
     private static void faults(Day day, DispatcherProcesses dispatchers, Origin origin, Duration start) {
-        for (TroubleSchedule.Turn turn : new TroubleSchedule(day.troubles).turns()) {
+        for (TroubleSchedule.ScheduledAction turn : new TroubleSchedule(day.troubles).scheduledActions()) {
             if (!turn.trouble().onProcess()) {
                 continue;
             }
@@ -185,11 +190,11 @@
                 return;
             }
             List<Integer> which = turn.trouble().runners();
-            switch (turn.act()) {
-                case KILL -> which.forEach(dispatchers::kill);
-                case END -> which.forEach(dispatchers::end);
-                case STOP -> dispatchers.stop(which);
-                case GO_ON -> dispatchers.goOn(which);
+            switch (turn.action()) {
+                case KILL_DISPATCHER -> which.forEach(dispatchers::kill);
+                case SHUT_DOWN_DISPATCHER -> which.forEach(dispatchers::end);
+                case PAUSE_DISPATCHER -> dispatchers.stop(which);
+                case RESUME_DISPATCHER -> dispatchers.goOn(which);
                 default -> which.forEach(dispatchers::revive);
             }
         }
--- a/rig/src/main/java/saltdale/rig/experiment/Version.java
+++ b/rig/src/main/java/saltdale/rig/experiment/Version.java
@@ -16,7 +16,11 @@
  * @param levels whether it meets overloads as the day's table says; else as if there was none
  */
 public record Version(
-        String name, List<String> flags, List<String> program, BaselineDispatcher.Choice choice, boolean levels) {
+        String name,
+        List<String> flags,
+        List<String> program,
+        BaselineDispatcher.SelectionPolicy choice,
+        boolean levels) {
     public Version(String name, List<String> flags, List<String> program) {
         this(name, flags, program, null, true);
     }
@@ -36,8 +40,8 @@
     /** One that is played in simulated time: this build's module, or a baseline. */
     static Version simulated(Sheet row) {
         String name = name(row);
-        BaselineDispatcher.Choice choice =
-                row.has("baseline") ? row.word("baseline", BaselineDispatcher.Choice.RANDOM) : null;
+        BaselineDispatcher.SelectionPolicy choice =
+                row.has("baseline") ? row.word("baseline", BaselineDispatcher.SelectionPolicy.RANDOM) : null;
         return new Version(name, List.of(), List.of(), choice, row.flag("levels", true));
     }
 
--- a/rig/src/main/java/saltdale/rig/fleet/ColdBudget.java
+++ b/rig/src/main/java/saltdale/rig/fleet/ColdBudget.java
@@ -25,8 +25,8 @@
         this.window = window.toNanos();
     }
 
-    boolean over(long now, double capacity) {
-        return over(now, capacity, true);
+    boolean addAndCheckExceeded(long now, double capacity) {
+        return addAndCheckExceeded(now, capacity, true);
     }
 
     /**
@@ -35,7 +35,7 @@
      * @param capacity at present, in seconds of work a second
      * @param told whether the sender had been told of the start
      */
-    public boolean over(long now, double capacity, boolean told) {
+    public boolean addAndCheckExceeded(long now, double capacity, boolean told) {
         sent.addLast(new Sent(now, told));
         byTold += told ? 1 : 0;
         while (sent.peekFirst().at <= now - window) {
@@ -46,7 +46,7 @@
     }
 
     /** The share of the last window's assignments that came from senders told of the start. */
-    public double toldShare() {
+    public double informedShare() {
         return sent.isEmpty() ? 0 : (double) byTold / sent.size();
     }
 
--- a/rig/src/main/java/saltdale/rig/fleet/Receipts.java
+++ b/rig/src/main/java/saltdale/rig/fleet/ReceiptStore.java
@@ -10,10 +10,10 @@
 import saltdale.rig.plan.Day;
 
 /** The receipts that a group of runners remembers together, each for the window of its workload. */
-public final class Receipts {
+public final class ReceiptStore {
     /** The memories that one runner shares: with all, with those of its zone, with those of its cell. */
-    public record Shared(Receipts all, Receipts zone, Receipts cell) {
-        Receipts of(Workload workload) {
+    public record ByScope(ReceiptStore all, ReceiptStore zone, ReceiptStore cell) {
+        ReceiptStore of(Workload workload) {
             return switch (workload.dedupScope) {
                 case ALL -> all;
                 case ZONE -> zone;
@@ -23,16 +23,16 @@
     }
 
     /** The memories of the runners of a day, by their numbers. */
-    public static List<Shared> of(Day day) {
-        Receipts all = new Receipts();
-        Map<String, Receipts> zones = new HashMap<>();
-        Map<Integer, Receipts> cells = new HashMap<>();
-        List<Shared> shared = new ArrayList<>();
+    public static List<ByScope> of(Day day) {
+        ReceiptStore all = new ReceiptStore();
+        Map<String, ReceiptStore> zones = new HashMap<>();
+        Map<Integer, ReceiptStore> cells = new HashMap<>();
+        List<ByScope> shared = new ArrayList<>();
         for (int i = 0; i < day.runners; i++) {
-            shared.add(new Shared(
+            shared.add(new ByScope(
                     all,
-                    zones.computeIfAbsent(day.zone(i), k -> new Receipts()),
-                    cells.computeIfAbsent(day.cell(i), k -> new Receipts())));
+                    zones.computeIfAbsent(day.zone(i), k -> new ReceiptStore()),
+                    cells.computeIfAbsent(day.cell(i), k -> new ReceiptStore())));
         }
         return shared;
     }
--- a/rig/src/main/java/saltdale/rig/fleet/Work.java
+++ b/rig/src/main/java/saltdale/rig/fleet/RunnerJob.java
@@ -3,7 +3,7 @@
 import saltdale.model.Workload;
 
 /** One dispatch as a runner has it. */
-public final class Work {
+public final class RunnerJob {
     /** The request's id; the same for each dispatch of an assignment. */
     public final String id;
     /** The mark that shows a repeat; null where there is none. */
@@ -11,11 +11,11 @@
 
     public final Workload workload;
     /** Seconds on one free core of speed 1, before what disturbs the runner. */
-    public final double size;
+    public final double sizeSeconds;
     /** Whoever handed it over gets its news; by the dispatcher's number. */
-    public final int from;
+    public final int dispatcher;
     /** What the face that holds the runner keeps with it. */
-    public Object mark;
+    public Object attachment;
 
     double left;
     double whole;
@@ -24,16 +24,16 @@
     /** Dropped as a repeat: it ends with the first one's result and has no effect of its own. */
     boolean repeat;
 
-    public Work(String id, String receipt, Workload workload, double size, int from) {
+    public RunnerJob(String id, String receipt, Workload workload, double size, int from) {
         this.id = id;
         this.receipt = receipt;
         this.workload = workload;
-        this.size = size;
-        this.from = from;
+        this.sizeSeconds = size;
+        this.dispatcher = from;
     }
 
     /** Whether it had an effect once it was done: what a receipt has shown to be a repeat has none. */
-    public boolean isRepeat() {
+    public boolean isDuplicate() {
         return repeat;
     }
 }
--- a/rig/src/main/java/saltdale/rig/fleet/RunnerModel.java
+++ b/rig/src/main/java/saltdale/rig/fleet/RunnerModel.java
@@ -19,16 +19,16 @@
  */
 public final class RunnerModel {
     /** How a runner meets a job that is handed to it. */
-    public enum Offer {
-        TAKEN,
+    public enum OfferResult {
+        ACCEPTED,
         FULL,
         DRAINING,
         ERROR,
-        FELL
+        CRASHED
     }
 
     /** How a job that was taken ends, unless it is taken back; shed: done, and told as returned. */
-    public enum End {
+    public enum JobEnd {
         DONE,
         SHED,
         FAILED,
@@ -37,12 +37,12 @@
     }
 
     /** Whom it tells what has come of the jobs that it took. */
-    public interface Told {
-        void started(Duration at, Work work);
+    public interface JobListener {
+        void started(Duration at, RunnerJob work);
 
-        void running(Duration at, Work work, double share);
+        void progressed(Duration at, RunnerJob work, double share);
 
-        void ended(Duration at, Work work, End how);
+        void ended(Duration at, RunnerJob work, JobEnd how);
     }
 
     private static final long NEVER = Long.MAX_VALUE;
@@ -52,16 +52,16 @@
     private record Figures(long at, int waiting, int running) {}
 
     public final Make make;
-    private final Told told;
+    private final JobListener told;
     private final SplittableRandom chance;
-    private final Receipts.Shared receipts;
+    private final ReceiptStore.ByScope receipts;
     private final ColdBudget cold;
-    private final List<Work> running = new ArrayList<>();
-    private final List<Work> waiting = new ArrayList<>();
+    private final List<RunnerJob> running = new ArrayList<>();
+    private final List<RunnerJob> waiting = new ArrayList<>();
     private final Deque<Figures> past = new ArrayDeque<>();
-    private Condition condition = Condition.GOOD;
+    private RunnerCondition condition = RunnerCondition.NORMAL;
     private long now;
-    private long bornAt = Long.MIN_VALUE;
+    private long startedNanos = Long.MIN_VALUE;
     private long warmStepAt = NEVER;
     private boolean up = true;
     private boolean draining;
@@ -77,12 +77,12 @@
      */
     public RunnerModel(
             Make make,
-            Receipts.Shared receipts,
+            ReceiptStore.ByScope receipts,
             double tipMultiple,
             Duration fall,
             double meanWork,
             SplittableRandom chance,
-            Told told) {
+            JobListener told) {
         this.make = make;
         this.receipts = receipts;
         this.chance = chance;
@@ -99,33 +99,33 @@
     }
 
     /** Pushed over while it was cold: it stays down until it is started anew. */
-    public boolean hasFallen() {
+    public boolean hasCrashed() {
         return fallen;
     }
 
-    public int held() {
+    public int heldCount() {
         return running.size() + waiting.size();
     }
 
-    public int waiting() {
+    public int waitingCount() {
         return waiting.size();
     }
 
     /** When it last started; null for long ago. */
-    public Duration bornAt() {
-        return bornAt == Long.MIN_VALUE ? null : Duration.ofNanos(bornAt);
+    public Duration startedAt() {
+        return startedNanos == Long.MIN_VALUE ? null : Duration.ofNanos(startedNanos);
     }
 
     /** The share of its full capacity that it has by now. */
-    public double warmth(Duration at) {
-        return warmth(at.toNanos());
+    public double capacityShare(Duration at) {
+        return capacityShare(at.toNanos());
     }
 
-    private double warmth(long at) {
+    private double capacityShare(long at) {
         double within = make.warmWithin().toNanos();
-        return bornAt == Long.MIN_VALUE || at - bornAt >= within
+        return startedNanos == Long.MIN_VALUE || at - startedNanos >= within
                 ? 1
-                : make.coldFrom() + (1 - make.coldFrom()) * Math.max(0, (at - bornAt) / within);
+                : make.coldFrom() + (1 - make.coldFrom()) * Math.max(0, (at - startedNanos) / within);
     }
 
     /** When it has something to tell or to change by itself; null for never. */
@@ -136,7 +136,7 @@
 
     private long nextNanos() {
         long next = running.isEmpty() ? NEVER : warmStepAt;
-        for (Work each : running) {
+        for (RunnerJob each : running) {
             long end = rate <= 0 ? NEVER : now + Math.max(0, (long) Math.ceil(each.left / rate * 1e9));
             next = Math.min(next, Math.min(end, rate <= 0 ? NEVER : each.tellAt));
         }
@@ -164,7 +164,7 @@
     private void pass(long to) {
         double done = rate * (to - now) / 1e9;
         if (done > 0) {
-            for (Work each : running) {
+            for (RunnerJob each : running) {
                 each.left -= done;
             }
         }
@@ -174,16 +174,16 @@
     private void step() {
         if (warmStepAt <= now) {
             long stride = make.warmWithin().toNanos() / WARM_STEPS;
-            warmStepAt = warmth(now) >= 1 ? NEVER : now + stride;
+            warmStepAt = capacityShare(now) >= 1 ? NEVER : now + stride;
         }
-        for (Work each : List.copyOf(running)) {
+        for (RunnerJob each : List.copyOf(running)) {
             if (each.left <= 1e-9) {
                 running.remove(each);
-                boolean shed = condition.lateSheds() > 0 && chance.nextDouble() < condition.lateSheds();
-                told.ended(time(), each, each.fails ? End.FAILED : shed ? End.SHED : End.DONE);
+                boolean shed = condition.lateShedShare() > 0 && chance.nextDouble() < condition.lateShedShare();
+                told.ended(time(), each, each.fails ? JobEnd.FAILED : shed ? JobEnd.SHED : JobEnd.DONE);
             } else if (each.tellAt <= now) {
                 each.tellAt = now + make.progressEvery().toNanos();
-                told.running(time(), each, Math.min(1, 1 - each.left / each.whole));
+                told.progressed(time(), each, Math.min(1, 1 - each.left / each.whole));
             }
         }
         begin();
@@ -191,32 +191,34 @@
     }
 
     /** Hands it a job. What it turns away has cost it nothing but, while it is cold, part of its budget. */
-    public Offer offer(Duration at, Work work) {
+    public OfferResult offer(Duration at, RunnerJob work) {
         advance(at);
         if (!isUp()) {
             throw new IllegalStateException("a runner that is down takes no calls");
         }
-        if (cold != null && warmth(now) < 1 && cold.over(now, warmth(now) * make.capacity())) {
+        if (cold != null
+                && capacityShare(now) < 1
+                && cold.addAndCheckExceeded(now, capacityShare(now) * make.capacity())) {
             fall();
-            return Offer.FELL;
+            return OfferResult.CRASHED;
         } else if (draining) {
-            return Offer.DRAINING;
-        } else if (chance.nextDouble() < condition.errors()) {
-            return Offer.ERROR;
+            return OfferResult.DRAINING;
+        } else if (chance.nextDouble() < condition.errorShare()) {
+            return OfferResult.ERROR;
         } else if (running.size() >= make.slots() && waiting.size() >= make.queue()) {
-            return Offer.FULL;
+            return OfferResult.FULL;
         }
-        work.whole = work.size * (chance.nextDouble() < condition.dearShare() ? condition.dearer() : 1);
+        work.whole = work.sizeSeconds * (chance.nextDouble() < condition.costlyShare() ? condition.costFactor() : 1);
         work.left = work.whole;
         waiting.add(work);
         begin();
         changed();
-        return Offer.TAKEN;
+        return OfferResult.ACCEPTED;
     }
 
     private void begin() {
         while (running.size() < make.slots() && !waiting.isEmpty() && !condition.stalled()) {
-            Work next = next();
+            RunnerJob next = next();
             waiting.remove(next);
             next.tellAt = make.progressEvery().isZero()
                     ? NEVER
@@ -232,7 +234,7 @@
         }
     }
 
-    private Work next() {
+    private RunnerJob next() {
         return switch (make.order()) {
             case FIFO -> waiting.get(0);
             case LIFO -> waiting.get(waiting.size() - 1);
@@ -246,12 +248,12 @@
     }
 
     /** Takes a job back; true where it is there no more: it was waiting, has ended, or stops. */
-    public boolean takeBack(Duration at, String id, int from) {
+    public boolean cancel(Duration at, String id, int from) {
         advance(at);
-        boolean gone = waiting.removeIf(w -> w.id.equals(id) && w.from == from);
-        boolean runs = running.stream().anyMatch(w -> w.id.equals(id) && w.from == from);
+        boolean gone = waiting.removeIf(w -> w.id.equals(id) && w.dispatcher == from);
+        boolean runs = running.stream().anyMatch(w -> w.id.equals(id) && w.dispatcher == from);
         if (runs && make.cancelStops()) {
-            running.removeIf(w -> w.id.equals(id) && w.from == from);
+            running.removeIf(w -> w.id.equals(id) && w.dispatcher == from);
             begin();
         }
         changed();
@@ -259,7 +261,7 @@
     }
 
     /** What disturbs it from now on. */
-    public void condition(Duration at, Condition next) {
+    public void setCondition(Duration at, RunnerCondition next) {
         advance(at);
         condition = next;
         begin();
@@ -271,9 +273,9 @@
         advance(at);
         draining = true;
         if (handBack) {
-            for (Work each : List.copyOf(waiting)) {
+            for (RunnerJob each : List.copyOf(waiting)) {
                 waiting.remove(each);
-                told.ended(time(), each, End.RETURNED);
+                told.ended(time(), each, JobEnd.RETURNED);
             }
         }
         changed();
@@ -293,7 +295,7 @@
         up = true;
         draining = false;
         fallen = false;
-        bornAt = now;
+        startedNanos = now;
         warmStepAt = now;
         past.clear();
         if (cold != null) {
@@ -308,31 +310,31 @@
     }
 
     private void loseAll() {
-        List<Work> all = new ArrayList<>(running);
+        List<RunnerJob> all = new ArrayList<>(running);
         all.addAll(waiting);
         running.clear();
         waiting.clear();
         changed();
-        all.forEach(each -> told.ended(time(), each, End.LOST));
+        all.forEach(each -> told.ended(time(), each, JobEnd.LOST));
     }
 
     private void changed() {
         int n = running.size();
-        double cores = make.cores() * (1 - condition.coresTaken());
+        double cores = make.cores() * (1 - condition.coresTakenShare());
         double crowd = Math.max(0, (n + waiting.size()) / (double) make.cores() - make.thrashAt());
         rate = n == 0 || condition.stalled()
                 ? 0
                 : Math.min(1, cores / n)
                         * make.speed()
-                        * warmth(now)
-                        / condition.slower()
+                        * capacityShare(now)
+                        / condition.slowdownFactor()
                         / (1 + make.thrash() * crowd);
         past.addLast(new Figures(now, waiting.size(), n));
         long old = now
                 - 2
                         * (make.reportEvery().toNanos()
                                 + make.reportDelay().toNanos()
-                                + (long) (condition.reportLate() * 1e9));
+                                + (long) (condition.reportDelaySeconds() * 1e9));
         while (past.size() > 1 && second(past).at <= old) {
             past.removeFirst();
         }
@@ -347,7 +349,7 @@
     /** The load report as it is at this time: made anew now and then, and late. */
     public LoadReport report(Duration at) {
         advance(at);
-        long seen = now - make.reportDelay().toNanos() - (long) (condition.reportLate() * 1e9);
+        long seen = now - make.reportDelay().toNanos() - (long) (condition.reportDelaySeconds() * 1e9);
         long every = make.reportEvery().toNanos();
         seen = every == 0 ? seen : seen / every * every;
         Figures figures = new Figures(0, 0, 0);
@@ -357,8 +359,8 @@
             }
             figures = each;
         }
-        double queue = figures.waiting * condition.reportTimes();
-        double inWork = figures.running * condition.reportTimes();
+        double queue = figures.waiting * condition.reportedLoadFactor();
+        double inWork = figures.running * condition.reportedLoadFactor();
         return new LoadReport(
                 queue,
                 inWork + queue,
--- a/rig/src/main/java/saltdale/rig/fleet/TroubleSchedule.java
+++ b/rig/src/main/java/saltdale/rig/fleet/TroubleSchedule.java
@@ -14,29 +14,29 @@
  */
 public final class TroubleSchedule {
     /** One thing that happens to runners, dispatchers or links. */
-    public enum Act {
-        CONDITION,
+    public enum Action {
+        CHANGE_CONDITION,
         CRASH,
         VANISH,
         START,
         DRAIN,
         HAND_BACK,
         REMOVE,
-        CUT,
-        HEAL,
-        WIRE,
-        KILL,
-        REVIVE,
-        MUTE,
-        UNMUTE,
-        STOP,
-        GO_ON,
-        END,
-        WAY
+        CUT_ZONE,
+        RECONNECT_ZONE,
+        CHANGE_WIRE,
+        KILL_DISPATCHER,
+        RESTART_DISPATCHER,
+        SILENCE_LIST,
+        RESUME_LIST,
+        PAUSE_DISPATCHER,
+        RESUME_DISPATCHER,
+        SHUT_DOWN_DISPATCHER,
+        CHANGE_LINK
     }
 
     /** It happens to each of the trouble's runners (or dispatchers) then. */
-    public record Turn(Duration at, Act act, Trouble trouble) {}
+    public record ScheduledAction(Duration at, Action action, Trouble trouble) {}
 
     private final List<Trouble> troubles;
 
@@ -45,51 +45,57 @@
     }
 
     /** All that happens, in order. */
-    public List<Turn> turns() {
-        List<Turn> turns = new ArrayList<>();
+    public List<ScheduledAction> scheduledActions() {
+        List<ScheduledAction> turns = new ArrayList<>();
         for (Trouble t : troubles) {
             switch (t.kind()) {
-                case CRASH -> both(turns, t, Act.CRASH, Act.START);
-                case VANISH -> both(turns, t, Act.VANISH, Act.START);
-                case ZONE_CUT -> both(turns, t, Act.CUT, Act.HEAL);
-                case DISPATCHER_KILL -> both(turns, t, Act.KILL, Act.REVIVE);
-                case LIST_SILENT -> both(turns, t, Act.MUTE, Act.UNMUTE);
+                case CRASH -> both(turns, t, Action.CRASH, Action.START);
+                case VANISH -> both(turns, t, Action.VANISH, Action.START);
+                case ZONE_CUT -> both(turns, t, Action.CUT_ZONE, Action.RECONNECT_ZONE);
+                case DISPATCHER_KILL -> both(turns, t, Action.KILL_DISPATCHER, Action.RESTART_DISPATCHER);
+                case LIST_SILENT -> both(turns, t, Action.SILENCE_LIST, Action.RESUME_LIST);
                 case DRAIN, HAND_BACK -> {
-                    both(turns, t, t.kind() == Kind.DRAIN ? Act.DRAIN : Act.HAND_BACK, Act.REMOVE);
+                    both(turns, t, t.kind() == Kind.DRAIN ? Action.DRAIN : Action.HAND_BACK, Action.REMOVE);
                     if (t.size() > 0) {
-                        turns.add(new Turn(t.end().plus(t.length()), Act.START, t));
+                        turns.add(new ScheduledAction(t.end().plus(t.length()), Action.START, t));
                     }
                 }
-                case DISPATCHER_STOP -> both(turns, t, Act.STOP, Act.GO_ON);
-                case DISPATCHER_RESTART -> both(turns, t, Act.END, Act.REVIVE);
+                case DISPATCHER_STOP -> both(turns, t, Action.PAUSE_DISPATCHER, Action.RESUME_DISPATCHER);
+                case DISPATCHER_RESTART -> both(turns, t, Action.SHUT_DOWN_DISPATCHER, Action.RESTART_DISPATCHER);
                 case DISPATCHER_SLOW ->
                     inTurns(t, (from, to) -> {
-                        turns.add(new Turn(from, Act.STOP, t));
-                        turns.add(new Turn(to, Act.GO_ON, t));
+                        turns.add(new ScheduledAction(from, Action.PAUSE_DISPATCHER, t));
+                        turns.add(new ScheduledAction(to, Action.RESUME_DISPATCHER, t));
                     });
                 case WAY_FLAPS ->
                     inTurns(t, (from, to) -> {
-                        turns.add(new Turn(from, Act.WAY, t));
-                        turns.add(new Turn(to, Act.WAY, t));
+                        turns.add(new ScheduledAction(from, Action.CHANGE_LINK, t));
+                        turns.add(new ScheduledAction(to, Action.CHANGE_LINK, t));
                     });
-                case WAY_RESET, WAY_SILENT, WAY_ONE_SIDED, WAY_LATE, WAY_SLOW -> both(turns, t, Act.WAY, Act.WAY);
+                case WAY_RESET, WAY_SILENT, WAY_ONE_SIDED, WAY_LATE, WAY_SLOW ->
+                    both(turns, t, Action.CHANGE_LINK, Action.CHANGE_LINK);
                 case NEIGHBOUR -> {
-                    both(turns, t, Act.CONDITION, Act.CONDITION);
+                    both(turns, t, Action.CHANGE_CONDITION, Action.CHANGE_CONDITION);
                     Duration half = Duration.ofNanos((long) (t.extra() * 1e9));
                     for (Duration at = t.at(); !half.isZero() && at.compareTo(t.end()) < 0; at = at.plus(half)) {
-                        turns.add(new Turn(at, Act.CONDITION, t));
+                        turns.add(new ScheduledAction(at, Action.CHANGE_CONDITION, t));
                     }
                 }
-                default -> both(turns, t, t.onWire() ? Act.WIRE : Act.CONDITION, t.onWire() ? Act.WIRE : Act.CONDITION);
+                default ->
+                    both(
+                            turns,
+                            t,
+                            t.onWire() ? Action.CHANGE_WIRE : Action.CHANGE_CONDITION,
+                            t.onWire() ? Action.CHANGE_WIRE : Action.CHANGE_CONDITION);
             }
         }
-        turns.sort(Comparator.comparing(Turn::at));
+        turns.sort(Comparator.comparing(ScheduledAction::at));
         return turns;
     }
 
-    private static void both(List<Turn> turns, Trouble t, Act first, Act last) {
-        turns.add(new Turn(t.at(), first, t));
-        turns.add(new Turn(t.end(), last, t));
+    private static void both(List<ScheduledAction> turns, Trouble t, Action first, Action last) {
+        turns.add(new ScheduledAction(t.at(), first, t));
+        turns.add(new ScheduledAction(t.end(), last, t));
     }
 
     private static void inTurns(Trouble t, BiConsumer<Duration, Duration> each) {
@@ -101,54 +107,54 @@
     }
 
     /** How the way between these two is at this time. */
-    public Passage way(int runner, int dispatcher, Duration at) {
+    public LinkCondition linkCondition(int runner, int dispatcher, Duration at) {
         return passage(at, t -> t.befalls(runner, dispatcher));
     }
 
     /** How the way from this dispatcher to the list is at this time. */
-    public Passage listWay(int dispatcher, Duration at) {
+    public LinkCondition listLinkCondition(int dispatcher, Duration at) {
         return passage(at, t -> t.list() && t.dispatchers().contains(dispatcher));
     }
 
-    private Passage passage(Duration at, Predicate<Trouble> which) {
-        Passage all = Passage.FREE;
+    private LinkCondition passage(Duration at, Predicate<Trouble> which) {
+        LinkCondition all = LinkCondition.CLEAR;
         for (Trouble t : troubles) {
             if (t.onWay() && at.compareTo(t.at()) >= 0 && at.compareTo(t.end()) < 0 && which.test(t)) {
-                all = all.and(passage(t, at));
+                all = all.combinedWith(passage(t, at));
             }
         }
         return all;
     }
 
-    private static Passage passage(Trouble t, Duration at) {
+    private static LinkCondition passage(Trouble t, Duration at) {
         return switch (t.kind()) {
-            case WAY_RESET -> new Passage(true, true, true, 0, 0, 0);
-            case WAY_SILENT -> new Passage(false, true, true, 0, 0, 0);
-            case WAY_ONE_SIDED -> new Passage(false, t.size() < 0.5, t.size() >= 0.5, 0, 0, 0);
-            case WAY_LATE -> new Passage(false, false, false, t.size() / 1e3, t.extra(), 0);
-            case WAY_SLOW -> new Passage(false, false, false, 0, 0, t.size());
+            case WAY_RESET -> new LinkCondition(true, true, true, 0, 0, 0);
+            case WAY_SILENT -> new LinkCondition(false, true, true, 0, 0, 0);
+            case WAY_ONE_SIDED -> new LinkCondition(false, t.size() < 0.5, t.size() >= 0.5, 0, 0, 0);
+            case WAY_LATE -> new LinkCondition(false, false, false, t.size() / 1e3, t.extra(), 0);
+            case WAY_SLOW -> new LinkCondition(false, false, false, 0, 0, t.size());
             case WAY_FLAPS -> {
                 double into = at.minus(t.at()).toNanos() / 1e9 % t.extra();
                 boolean cut = into < t.size() * t.extra() - 1e-6; // by the hour that a turn was set for
-                yield new Passage(false, cut, cut, 0, 0, 0);
+                yield new LinkCondition(false, cut, cut, 0, 0, 0);
             }
-            default -> Passage.FREE;
+            default -> LinkCondition.CLEAR;
         };
     }
 
     /** What disturbs this runner at this time. */
-    public Condition condition(int runner, Duration at) {
-        Condition all = Condition.GOOD;
+    public RunnerCondition runnerCondition(int runner, Duration at) {
+        RunnerCondition all = RunnerCondition.NORMAL;
         for (Trouble t : troubles) {
             if (on(t, runner, at)) {
-                all = all.and(alone(t, at));
+                all = all.combinedWith(alone(t, at));
             }
         }
         return all;
     }
 
     /** The troubles on the wire to this runner at this time. */
-    public List<Trouble> wire(int runner, Duration at) {
+    public List<Trouble> wireTroubles(int runner, Duration at) {
         return troubles.stream().filter(t -> t.onWire() && on(t, runner, at)).toList();
     }
 
@@ -156,20 +162,20 @@
         return t.runners().contains(runner) && at.compareTo(t.at()) >= 0 && at.compareTo(t.end()) < 0;
     }
 
-    private static Condition alone(Trouble t, Duration at) {
-        Condition good = Condition.GOOD;
+    private static RunnerCondition alone(Trouble t, Duration at) {
+        RunnerCondition good = RunnerCondition.NORMAL;
         double size = t.size();
         return switch (t.kind()) {
-            case SLOW -> new Condition(size, false, 0, 0, 0, 1, 0, 0, 1);
-            case STALL -> new Condition(1, true, 0, 0, 0, 1, 0, 0, 1);
-            case ERRORS -> new Condition(1, false, size, 0, 0, 1, 0, 0, 1);
-            case LATE_SHED -> new Condition(1, false, 0, size, 0, 1, 0, 0, 1);
-            case DEARER -> new Condition(1, false, 0, 0, t.extra(), size, 0, 0, 1);
-            case LATE_REPORTS -> new Condition(1, false, 0, 0, 0, 1, 0, size, 1);
-            case WRONG_REPORTS -> new Condition(1, false, 0, 0, 0, 1, 0, 0, size);
+            case SLOW -> new RunnerCondition(size, false, 0, 0, 0, 1, 0, 0, 1);
+            case STALL -> new RunnerCondition(1, true, 0, 0, 0, 1, 0, 0, 1);
+            case ERRORS -> new RunnerCondition(1, false, size, 0, 0, 1, 0, 0, 1);
+            case LATE_SHED -> new RunnerCondition(1, false, 0, size, 0, 1, 0, 0, 1);
+            case DEARER -> new RunnerCondition(1, false, 0, 0, t.extra(), size, 0, 0, 1);
+            case LATE_REPORTS -> new RunnerCondition(1, false, 0, 0, 0, 1, 0, size, 1);
+            case WRONG_REPORTS -> new RunnerCondition(1, false, 0, 0, 0, 1, 0, 0, size);
             case NEIGHBOUR -> {
                 boolean taken = t.extra() == 0 || (long) (at.minus(t.at()).toNanos() / (t.extra() * 1e9)) % 2 == 0;
-                yield taken ? new Condition(1, false, 0, 0, 0, 1, Math.min(0.99, size), 0, 1) : good;
+                yield taken ? new RunnerCondition(1, false, 0, 0, 0, 1, Math.min(0.99, size), 0, 1) : good;
             }
             default -> good;
         };
--- a/rig/src/main/java/saltdale/rig/judge/Judge.java
+++ b/rig/src/main/java/saltdale/rig/judge/Judge.java
@@ -19,7 +19,7 @@
  * Judges the four rules by what was seen from outside. It is told in the order of time; a request is
  * forgotten once nothing about it can matter any more.
  */
-public final class Judge implements Witness {
+public final class Judge implements EventObserver {
     private static final Duration CATCH_UP = Duration.ofMillis(250); // for all that came while it stood still
     private static final Duration SETTLES = Duration.ofSeconds(2); // until what a way held back has come
     private static final int MOST_TURNED_OFF = 200; // one request in so many, as the platform's judge has it
@@ -74,7 +74,7 @@
         }
     }
 
-    private record Word(Duration at, Health health, Duration bornAt) {}
+    private record Word(Duration at, ListedHealth health, Duration bornAt) {}
 
     private static final class Life {
         Make make;
@@ -83,66 +83,66 @@
         boolean told;
     }
 
-    private final Terms terms;
+    private final JudgeSettings terms;
     private final Duration memory;
     private final Map<String, Case> cases = new HashMap<>();
     private final Deque<Case> inOrder = new ArrayDeque<>();
     private final Map<Long, Word> words = new HashMap<>();
     private final Map<Integer, Life> lives = new HashMap<>();
-    private final List<Breach> breaches = new ArrayList<>();
-    private final Map<Breach.Kind, Long> counts = new EnumMap<>(Breach.Kind.class);
+    private final List<Violation> violations = new ArrayList<>();
+    private final Map<Violation.Kind, Long> countsByKind = new EnumMap<>(Violation.Kind.class);
     private final Map<Integer, Duration> stopped = new HashMap<>(); // dispatchers, since when
     private final Map<Integer, List<Runnable>> untold = new HashMap<>(); // what such a one was told meanwhile
     private final Map<Long, Duration> disturbed = new HashMap<>(); // ways, until when: the last is not yet over
-    private long asked;
-    private long answered;
-    private long dispatches;
+    private long requestCount;
+    private long answeredCount;
+    private long attemptCount;
     private long turnedOff;
     private final Map<String, Integer> turnedOffBy = new TreeMap<>(); // dispatcher and tenth of a second
     private Duration wentOn = Duration.ZERO; // the last of those that were stopped
 
     /** {@code memory}: how long after its deadline something about a request may still come. */
-    public Judge(Terms terms, Duration memory) {
+    public Judge(JudgeSettings terms, Duration memory) {
         this.terms = terms;
         this.memory = memory;
     }
 
-    public List<Breach> breaches() {
-        return breaches;
+    public List<Violation> violations() {
+        return violations;
     }
 
-    public Map<Breach.Kind, Long> counts() {
-        return counts;
+    public Map<Violation.Kind, Long> countsByKind() {
+        return countsByKind;
     }
 
-    public long broken() {
-        return counts.values().stream().mapToLong(Long::longValue).sum();
+    public long violationCount() {
+        return countsByKind.values().stream().mapToLong(Long::longValue).sum();
     }
 
-    public long asked() {
-        return asked;
+    public long requestCount() {
+        return requestCount;
     }
 
     /** How many requests got a whole final answer. */
-    public long answered() {
-        return answered;
+    public long answeredCount() {
+        return answeredCount;
     }
 
-    public long dispatches() {
-        return dispatches;
+    public long attemptCount() {
+        return attemptCount;
     }
 
-    private void breach(Breach.Kind kind, Duration at, String about, String why) {
-        if (counts.merge(kind, 1L, Long::sum) <= KEPT / 10 && breaches.size() < KEPT) {
-            breaches.add(new Breach(kind, at, about, why));
+    private void breach(Violation.Kind kind, Duration at, String about, String why) {
+        if (countsByKind.merge(kind, 1L, Long::sum) <= KEPT / 10 && violations.size() < KEPT) {
+            violations.add(new Violation(kind, at, about, why));
         }
     }
 
     // ---- Clients.
 
     @Override
-    public void asked(Duration at, String id, Workload workload, int dispatcher, Duration patience) {
-        asked++;
+    public void requestSent(Duration at, String id, Workload workload, int dispatcher, Duration patience) {
+        requestCount++;
         Case made = new Case(id, workload, dispatcher, at.plus(patience));
         cases.put(id, made);
         inOrder.add(made);
@@ -150,27 +150,27 @@
     }
 
     @Override
-    public void answered(Duration at, String id, Final how, String result) {
+    public void answerReceived(Duration at, String id, FinalAnswer how, String result) {
         Case about = cases.get(id);
         if (about == null) {
             return;
         }
         if (about.answered) {
-            breach(Breach.Kind.ANSWERED_TWICE, at, id, "another final answer, " + how);
+            breach(Violation.Kind.ANSWERED_TWICE, at, id, "another final answer, " + how);
             return;
         }
-        answered++;
+        answeredCount++;
         about.answered = true;
-        Duration last = about.deadline.plus(terms.answerGrace()).plus(terms.slack());
+        Duration last = about.deadline.plus(terms.answerGrace()).plus(terms.timingTolerance());
         if (at.compareTo(last) > 0 && !about.excused) {
-            breach(Breach.Kind.ANSWERED_LATE, at, id, ms(at.minus(about.deadline)) + " after patience ended");
+            breach(Violation.Kind.ANSWERED_LATE, at, id, ms(at.minus(about.deadline)) + " after patience ended");
         }
         about.endedAt = at;
-        if (how == Final.FULFILLED && !about.results.contains(result)) {
-            breach(Breach.Kind.ANSWER_NOBODY_MADE, at, id, "no runner made this result for it");
-        } else if (how == Final.SHED && !mayShed(about)) {
-            breach(Breach.Kind.SHED_AFTER_RUN, at, id, about.workload.repeatSafety + " and may have run");
-        } else if (how == Final.GIVEN_UP) {
+        if (how == FinalAnswer.FULFILLED && !about.results.contains(result)) {
+            breach(Violation.Kind.ANSWER_NOBODY_MADE, at, id, "no runner made this result for it");
+        } else if (how == FinalAnswer.SHED && !mayShed(about)) {
+            breach(Violation.Kind.SHED_AFTER_RUN, at, id, about.workload.repeatSafety + " and may have run");
+        } else if (how == FinalAnswer.GIVEN_UP) {
             heldBack(at, about);
         }
     }
@@ -197,10 +197,10 @@
             }
             over = seen.overAt.compareTo(over) > 0 ? seen.overAt : over;
         }
-        Duration most = terms.slack().plus(Duration.ofMillis(250));
+        Duration most = terms.timingTolerance().plus(Duration.ofMillis(250));
         if (at.minus(over).compareTo(most) > 0 && at.compareTo(about.deadline) <= 0) {
             breach(
-                    Breach.Kind.HELD_BACK,
+                    Violation.Kind.HELD_BACK,
                     at,
                     about.id,
                     "given up " + ms(at.minus(over)) + " after nothing could follow");
@@ -208,7 +208,7 @@
     }
 
     @Override
-    public void cut(Duration at, String id) {
+    public void connectionLost(Duration at, String id) {
         Case about = cases.get(id);
         if (about != null && about.endedAt == null) {
             about.endedAt = at;
@@ -217,7 +217,7 @@
     }
 
     @Override
-    public void turnedOff(Duration at, String id) {
+    public void newConnectionClosed(Duration at, String id) {
         Case about = cases.get(id);
         if (about != null && about.endedAt == null) {
             about.turnedOff = true; // counted at the end, since that its dispatcher was killed may be heard later
@@ -226,7 +226,7 @@
     }
 
     @Override
-    public void left(Duration at, String id) {
+    public void clientLeft(Duration at, String id) {
         Case about = cases.get(id);
         if (about != null && about.endedAt == null) {
             about.excused = true;
@@ -235,7 +235,7 @@
     }
 
     @Override
-    public void killed(Duration at, int dispatcher) {
+    public void dispatcherKilled(Duration at, int dispatcher) {
         for (Case each : cases.values()) {
             if (each.dispatcher == dispatcher && !each.answered) {
                 each.excused = true;
@@ -245,7 +245,7 @@
     }
 
     @Override
-    public void stopped(Duration at, int dispatcher) {
+    public void dispatcherPaused(Duration at, int dispatcher) {
         stopped.putIfAbsent(dispatcher, at);
         untold.putIfAbsent(dispatcher, new ArrayList<>());
     }
@@ -255,7 +255,7 @@
      * its fault; nor is what it was told meanwhile, which counts from now.
      */
     @Override
-    public void wentOn(Duration at, int dispatcher) {
+    public void dispatcherResumed(Duration at, int dispatcher) {
         Duration since = stopped.remove(dispatcher);
         if (since == null) {
             return;
@@ -272,7 +272,7 @@
     }
 
     @Override
-    public void way(Duration at, int runner, int dispatcher, boolean free) {
+    public void linkChanged(Duration at, int runner, int dispatcher, boolean free) {
         disturbed.put(key(dispatcher, runner), free ? at.plus(SETTLES) : Duration.ofSeconds(Long.MAX_VALUE));
         if (!free) { // what is called off there can't be seen from now on
             for (Case each : cases.values()) {
@@ -297,8 +297,8 @@
     // ---- Runners.
 
     @Override
-    public void reached(Duration firstByte, Duration at, String id, int runner, int dispatcher, double work) {
-        dispatches++;
+    public void attemptReceived(Duration firstByte, Duration at, String id, int runner, int dispatcher, double work) {
+        attemptCount++;
         reachedCold(at, runner, dispatcher);
         boolean late = isDisturbed(at, runner, dispatcher);
         if (!late) {
@@ -310,19 +310,19 @@
         }
         Workload w = about.workload;
         if (!w.zones.isEmpty() && !w.zones.contains(terms.zones()[runner])
-                || !w.machineTypes.isEmpty() && !w.machineTypes.contains(terms.kinds()[runner])) {
+                || !w.machineTypes.isEmpty() && !w.machineTypes.contains(terms.machineTypes()[runner])) {
             breach(
-                    Breach.Kind.MISPLACED,
+                    Violation.Kind.MISPLACED,
                     at,
                     id,
                     "dispatched to runner " + runner + " of zone " + terms.zones()[runner] + " and kind "
-                            + terms.kinds()[runner] + ", where " + w.name + " may not run");
+                            + terms.machineTypes()[runner] + ", where " + w.name + " may not run");
         }
-        Duration over = about.endedAt == null ? null : about.endedAt.plus(terms.slack());
-        Duration last = about.deadline.plus(terms.answerGrace()).plus(terms.slack());
+        Duration over = about.endedAt == null ? null : about.endedAt.plus(terms.timingTolerance());
+        Duration last = about.deadline.plus(terms.answerGrace()).plus(terms.timingTolerance());
         if (!late && (over != null && firstByte.compareTo(over) > 0 || firstByte.compareTo(last) > 0)) {
             breach(
-                    Breach.Kind.SENT_AFTER_END,
+                    Violation.Kind.SENT_AFTER_END,
                     at,
                     id,
                     "dispatched to runner " + runner + " by dispatcher " + dispatcher
@@ -339,9 +339,9 @@
     private void repeated(Duration at, Case about, int runner, boolean late) {
         Workload w = about.workload;
         for (Seen earlier : about.seen) {
-            if (earlier.overAt == null && !earlier.unstarted && !terms.parallel() && !late) {
+            if (earlier.overAt == null && !earlier.unstarted && !terms.parallelAttempts() && !late) {
                 breach(
-                        Breach.Kind.TWO_OUT,
+                        Violation.Kind.TWO_OUT,
                         at,
                         about.id,
                         "dispatched to runner " + runner + " while one is out at " + earlier.runner);
@@ -350,16 +350,16 @@
                 continue;
             }
             if (w.repeatSafety == Workload.RepeatSafety.EFFECTFUL) {
-                breach(Breach.Kind.REPEATED_EFFECTFUL, at, about.id, "it may have run at runner " + earlier.runner);
+                breach(Violation.Kind.REPEATED_EFFECTFUL, at, about.id, "it may have run at runner " + earlier.runner);
             } else if (!sameGroup(w, earlier.runner, runner)) {
                 breach(
-                        Breach.Kind.OUTSIDE_GROUP,
+                        Violation.Kind.OUTSIDE_GROUP,
                         at,
                         about.id,
                         "it may have run at runner " + earlier.runner + ", whose receipts runner " + runner
                                 + " does not know");
-            } else if (!late && at.compareTo(earlier.at.plus(w.dedupWindow).plus(terms.slack())) > 0) {
-                breach(Breach.Kind.AFTER_WINDOW, at, about.id, "its receipt was forgotten by then");
+            } else if (!late && at.compareTo(earlier.at.plus(w.dedupWindow).plus(terms.timingTolerance())) > 0) {
+                breach(Violation.Kind.AFTER_WINDOW, at, about.id, "its receipt was forgotten by then");
             }
         }
     }
@@ -375,12 +375,12 @@
     private void drained(Duration firstByte, String id, int runner, int dispatcher) {
         Word word = words.get(key(dispatcher, runner));
         if (word == null
-                || word.health == Health.UP
-                || firstByte.compareTo(word.at.plus(terms.drainGrace()).plus(terms.slack())) <= 0) {
+                || word.health == ListedHealth.UP
+                || firstByte.compareTo(word.at.plus(terms.drainGrace()).plus(terms.timingTolerance())) <= 0) {
             return;
         }
         breach(
-                word.health == Health.GONE ? Breach.Kind.SENT_TO_GONE : Breach.Kind.SENT_TO_DRAINING,
+                word.health == ListedHealth.GONE ? Violation.Kind.SENT_TO_GONE : Violation.Kind.SENT_TO_DRAINING,
                 firstByte,
                 id,
                 "dispatcher " + dispatcher + " was told of runner " + runner + " "
@@ -402,28 +402,29 @@
         double share = life.make.coldFrom() + (1 - life.make.coldFrom()) * age.toNanos() / within.toNanos();
         Word word = words.get(key(dispatcher, runner));
         boolean told = word != null && word.bornAt != null && word.bornAt.compareTo(life.startedAt) >= 0;
-        boolean over = life.budget.over(at.toNanos(), share * life.make.capacity(), told);
-        if (over && life.budget.toldShare() >= 2.0 / 3 && !life.told) {
+        boolean over = life.budget.addAndCheckExceeded(at.toNanos(), share * life.make.capacity(), told);
+        if (over && life.budget.informedShare() >= 2.0 / 3 && !life.told) {
             life.told = true;
             breach(
-                    Breach.Kind.COLD_PUSHED_OVER,
+                    Violation.Kind.COLD_PUSHED_OVER,
                     at,
                     "runner " + runner,
-                    "sent more than " + terms.tipMultiple() + " times what it can do, " + ms(age) + " after its start");
+                    "sent more than " + terms.coldLimitMultiple() + " times what it can do, " + ms(age)
+                            + " after its start");
         }
     }
 
     @Override
-    public void unstarted(Duration at, String id, int runner) {
+    public void attemptNotStarted(Duration at, String id, int runner) {
         Seen seen = seen(id, runner);
         if (seen != null) {
-            seen.unstarted = !terms.fullProvesNothing();
+            seen.unstarted = !terms.lateRejections();
             seen.overAt = at;
         }
     }
 
     @Override
-    public void over(Duration at, String id, int runner) {
+    public void attemptEnded(Duration at, String id, int runner) {
         Seen seen = seen(id, runner);
         if (seen != null && seen.overAt == null) {
             seen.overAt = at;
@@ -436,19 +437,19 @@
     }
 
     @Override
-    public void effect(Duration at, String id, int runner, String result) {
+    public void effectProduced(Duration at, String id, int runner, String result) {
         Case about = cases.get(id);
         if (about == null) {
             return;
         }
         about.results.add(result);
         if (++about.effects > 1 && about.workload.repeatSafety != Workload.RepeatSafety.PURE) {
-            breach(Breach.Kind.EFFECT_TWICE, at, id, "runner " + runner + " ran it, and another had");
+            breach(Violation.Kind.EFFECT_TWICE, at, id, "runner " + runner + " ran it, and another had");
         }
     }
 
     @Override
-    public void made(Duration at, String id, String result) {
+    public void duplicateAnswered(Duration at, String id, String result) {
         Case about = cases.get(id);
         if (about != null) {
             about.results.add(result);
@@ -456,7 +457,7 @@
     }
 
     @Override
-    public void silent(Duration at, int runner) {
+    public void runnerSilent(Duration at, int runner) {
         for (Case each : cases.values()) {
             Seen seen = each.at(runner);
             if (seen != null && seen.overAt == null) {
@@ -466,25 +467,25 @@
     }
 
     @Override
-    public void started(Duration at, int runner, Make make) {
+    public void runnerStarted(Duration at, int runner, Make make) {
         Life life = new Life();
         life.make = make;
         life.startedAt = at;
-        life.budget = new ColdBudget(terms.tipMultiple(), terms.fall(), terms.meanWork());
+        life.budget = new ColdBudget(terms.coldLimitMultiple(), terms.coldLimitWindow(), terms.meanWorkSeconds());
         lives.put(runner, life);
     }
 
     @Override
-    public void told(Duration at, int dispatcher, int runner, Health health, Duration bornAt) {
+    public void listEntryReceived(Duration at, int dispatcher, int runner, ListedHealth health, Duration bornAt) {
         if (stopped.containsKey(dispatcher)) {
-            untold.get(dispatcher).add(() -> told(wentOn, dispatcher, runner, health, bornAt));
+            untold.get(dispatcher).add(() -> listEntryReceived(wentOn, dispatcher, runner, health, bornAt));
             return;
         }
         // The first word that it is to be left alone counts; a later one of the same kind gives no new grace.
         words.merge(
                 key(dispatcher, runner),
                 new Word(at, health, bornAt),
-                (old, next) -> old.health != Health.UP && next.health != Health.UP
+                (old, next) -> old.health != ListedHealth.UP && next.health != ListedHealth.UP
                         ? new Word(old.at, next.health, next.bornAt)
                         : next);
     }
@@ -497,25 +498,25 @@
 
     private void forget(Duration now) {
         while (!inOrder.isEmpty() && now.compareTo(inOrder.peek().deadline.plus(memory)) > 0) {
-            over(inOrder.poll());
+            closeRequest(inOrder.poll());
         }
     }
 
     /** All has been told: what has no answer by now has none. */
-    public void end() {
+    public void finish() {
         while (!inOrder.isEmpty()) {
-            over(inOrder.poll());
+            closeRequest(inOrder.poll());
         }
-        if (turnedOff * MOST_TURNED_OFF > asked) {
+        if (turnedOff * MOST_TURNED_OFF > requestCount) {
             breach(
-                    Breach.Kind.LOST,
+                    Violation.Kind.LOST,
                     wentOn,
                     turnedOff + " requests",
                     "their new connections were closed with no answer: dispatcher " + turnedOffBy);
         }
     }
 
-    private void over(Case each) {
+    private void closeRequest(Case each) {
         if (each.turnedOff) {
             if (!each.excused) {
                 turnedOff++;
@@ -527,7 +528,7 @@
                 && !stopped.containsKey(each.dispatcher)
                 && (each.cut || each.endedAt == null)) {
             breach(
-                    Breach.Kind.LOST,
+                    Violation.Kind.LOST,
                     each.cut ? each.endedAt : each.deadline,
                     each.id,
                     "dispatcher "
--- a/rig/src/main/java/saltdale/rig/judge/Terms.java
+++ b/rig/src/main/java/saltdale/rig/judge/JudgeSettings.java
@@ -11,19 +11,19 @@
  * @param meanWork of an assignment, seconds
  * @param zones of each runner, for what decides by group or place; likewise kinds and cells
  */
-public record Terms(
+public record JudgeSettings(
         Duration answerGrace,
         Duration drainGrace,
-        Duration slack,
-        boolean parallel,
-        boolean fullProvesNothing,
-        double tipMultiple,
-        Duration fall,
-        double meanWork,
+        Duration timingTolerance,
+        boolean parallelAttempts,
+        boolean lateRejections,
+        double coldLimitMultiple,
+        Duration coldLimitWindow,
+        double meanWorkSeconds,
         String[] zones,
-        String[] kinds,
+        String[] machineTypes,
         int[] cells) {
-    public static Terms of(Day day, Duration slack) {
+    public static JudgeSettings of(Day day, Duration slack) {
         String[] zones = new String[day.runners];
         String[] kinds = new String[day.runners];
         int[] cells = new int[day.runners];
@@ -32,7 +32,7 @@
             kinds[i] = day.make(i).name();
             cells[i] = day.cell(i);
         }
-        return new Terms(
+        return new JudgeSettings(
                 day.answerGrace,
                 day.drainGrace,
                 slack,
--- a/rig/src/main/java/saltdale/rig/judge/Breach.java
+++ b/rig/src/main/java/saltdale/rig/judge/Violation.java
@@ -7,7 +7,7 @@
  *
  * @param about the request's id, or the runner
  */
-public record Breach(Kind kind, Duration at, String about, String why) {
+public record Violation(Kind kind, Duration at, String subject, String detail) {
     /** The ways to break a rule; the figure is the rule's, 5 that on placement. */
     public enum Kind {
         LOST(1),
@@ -27,10 +27,10 @@
         COLD_PUSHED_OVER(4),
         MISPLACED(5);
 
-        public final int rule;
+        public final int ruleNumber;
 
         Kind(int rule) {
-            this.rule = rule;
+            this.ruleNumber = rule;
         }
     }
 
@@ -39,10 +39,10 @@
         return String.format(
                 java.util.Locale.ROOT,
                 "rule %d, %s at %.3f s: %s: %s",
-                kind.rule,
+                kind.ruleNumber,
                 kind.name().toLowerCase().replace('_', ' '),
                 at.toNanos() / 1e9,
-                about,
-                why);
+                subject,
+                detail);
     }
 }
--- a/rig/src/main/java/saltdale/rig/load/Generator.java
+++ b/rig/src/main/java/saltdale/rig/load/Generator.java
@@ -12,8 +12,8 @@
 import org.HdrHistogram.Histogram;
 import saltdale.protocol.Head;
 import saltdale.protocol.HttpParser;
-import saltdale.rig.judge.Witness;
-import saltdale.rig.judge.Witness.Final;
+import saltdale.rig.judge.EventObserver;
+import saltdale.rig.judge.EventObserver.FinalAnswer;
 import saltdale.rig.plan.Day;
 import saltdale.rig.standin.LoopThread;
 import saltdale.rig.standin.LoopbackAddresses;
@@ -39,7 +39,7 @@
     private final LoopThread loopThread;
     private final Day day;
     private final Origin origin;
-    private final Witness witness;
+    private final EventObserver witness;
     private final Tally tally;
     private final Persistence persistence;
     private final ConnectionPool[] pools;
@@ -65,7 +65,7 @@
             Day day,
             List<InetSocketAddress> dispatchers,
             Origin origin,
-            Witness witness,
+            EventObserver witness,
             long seed,
             String run,
             Duration start) {
@@ -196,7 +196,7 @@
                 Try first = current;
                 loopThread.loop.schedule(ask.job().workload().clientTimeout.dividedBy(2), () -> {
                     if (current == first && !finished) {
-                        witness.left(origin.now(), first.id);
+                        witness.clientLeft(origin.now(), first.id);
                         first.drop();
                         finish(null, true);
                     }
@@ -204,10 +204,10 @@
             }
         }
 
-        void over(Final how, Duration pause, boolean unreachable) {
+        void over(FinalAnswer how, Duration pause, boolean unreachable) {
             current = null;
             Duration wait = persistence.next(
-                    ask.job().workload(), tries, unreachable ? Final.SHED : how, pause, origin.now(), ask.at());
+                    ask.job().workload(), tries, unreachable ? FinalAnswer.SHED : how, pause, origin.now(), ask.at());
             if (wait == null) {
                 finish(how, false);
             } else {
@@ -215,7 +215,7 @@
             }
         }
 
-        private void finish(Final how, boolean left) {
+        private void finish(FinalAnswer how, boolean left) {
             finished = true;
             open--;
             tally.over(ask, how, origin.now(), tries, left);
@@ -247,7 +247,7 @@
                 return;
             }
             if (!again) { // before it is written: the answer may be here before this thread is on again
-                witness.asked(
+                witness.requestSent(
                         origin.now(),
                         id,
                         customer.ask.job().workload(),
@@ -299,12 +299,12 @@
                 } else {
                     connection.close();
                 }
-                Final how = switch (head.status()) {
-                    case 200 -> Final.FULFILLED;
-                    case 429, 503 -> Final.SHED;
-                    default -> Final.GIVEN_UP;
+                FinalAnswer how = switch (head.status()) {
+                    case 200 -> FinalAnswer.FULFILLED;
+                    case 429, 503 -> FinalAnswer.SHED;
+                    default -> FinalAnswer.GIVEN_UP;
                 };
-                witness.answered(origin.now(), id, how, body);
+                witness.answerReceived(origin.now(), id, how, body);
                 if (++answers == 1000) {
                     thousandthAt = origin.now();
                 }
@@ -333,22 +333,22 @@
             }
             boolean unsent = connection.sendProgress().isIncomplete();
             if (unsent) {
-                witness.left(origin.now(), id); // no dispatcher has taken it
+                witness.clientLeft(origin.now(), id); // no dispatcher has taken it
                 unreachable(dispatcher);
             } else if (!connection.isReused() && parser.isAtStart()) {
-                witness.turnedOff(origin.now(), id);
+                witness.newConnectionClosed(origin.now(), id);
             } else {
-                witness.cut(origin.now(), id);
+                witness.connectionLost(origin.now(), id);
             }
             end(null, null, unsent);
         }
 
-        private void end(Final how, Duration pause, boolean unreachable) {
+        private void end(FinalAnswer how, Duration pause, boolean unreachable) {
             over = true;
             if (limit != null) {
                 limit.cancel();
             }
-            spread.ended(dispatcher, customer.ask.job().workload().importance, how == Final.SHED);
+            spread.ended(dispatcher, customer.ask.job().workload().importance, how == FinalAnswer.SHED);
             customer.over(how, pause, unreachable);
         }
     }
--- a/rig/src/main/java/saltdale/rig/load/Persistence.java
+++ b/rig/src/main/java/saltdale/rig/load/Persistence.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.SplittableRandom;
 import saltdale.model.Workload;
-import saltdale.rig.judge.Witness.Final;
+import saltdale.rig.judge.EventObserver.FinalAnswer;
 import saltdale.rig.plan.Traffic;
 
 /** Whether and when clients try again: waits that double, with jitter, and a budget over all of them. */
@@ -37,8 +37,9 @@
      * @param pause that the answer asked for; null for none
      * @param firstAt when the first try was sent, for the window of receipts
      */
-    public Duration next(Workload workload, int tries, Final how, Duration pause, Duration now, Duration firstAt) {
-        if (how == Final.FULFILLED || tries > traffic.retries() || !mayRepeat(workload, how, now, firstAt)) {
+    public Duration next(
+            Workload workload, int tries, FinalAnswer how, Duration pause, Duration now, Duration firstAt) {
+        if (how == FinalAnswer.FULFILLED || tries > traffic.retries() || !mayRepeat(workload, how, now, firstAt)) {
             return null;
         }
         if (traffic.budget() < 1) {
@@ -56,8 +57,8 @@
     }
 
     /** A shed one did not run; else only what drops repeats anywhere may be asked for again. */
-    private boolean mayRepeat(Workload workload, Final how, Duration now, Duration firstAt) {
-        return how == Final.SHED
+    private boolean mayRepeat(Workload workload, FinalAnswer how, Duration now, Duration firstAt) {
+        return how == FinalAnswer.SHED
                 || workload.repeatSafety == Workload.RepeatSafety.PURE
                 || workload.repeatSafety == Workload.RepeatSafety.RECEIPTED
                         && workload.dedupScope == Workload.DedupScope.ALL
--- a/rig/src/main/java/saltdale/rig/load/Tally.java
+++ b/rig/src/main/java/saltdale/rig/load/Tally.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.HdrHistogram.Histogram;
 import saltdale.model.Workload;
-import saltdale.rig.judge.Witness.Final;
+import saltdale.rig.judge.EventObserver.FinalAnswer;
 import saltdale.rig.plan.Job;
 
 /** What became of the asks of a day, counted from their intended times. Not safe for more than one thread. */
@@ -87,9 +87,9 @@
      * @param how null where no answer came
      * @param tries that its client made; 0 where it went away
      */
-    public void over(Ask ask, Final how, Duration at, int tries, boolean left) {
+    public void over(Ask ask, FinalAnswer how, Duration at, int tries, boolean left) {
         Duration took = at.minus(ask.at());
-        boolean inTime = how == Final.FULFILLED && took.compareTo(promised(ask)) <= 0;
+        boolean inTime = how == FinalAnswer.FULFILLED && took.compareTo(promised(ask)) <= 0;
         long us = Math.max(0, Math.min(LONGEST, took.toNanos() / 1000));
         Second second = second((int) ask.at().minus(start).toSeconds());
         if (!left) {
@@ -100,7 +100,7 @@
             second.worth += ask.job().workload().importance;
             second.earned += inTime ? ask.job().workload().importance : 0;
             of[1] += inTime ? 1 : 0;
-            if (how == Final.FULFILLED) {
+            if (how == FinalAnswer.FULFILLED) {
                 second.latency.recordValue(us);
             }
         }
@@ -119,9 +119,9 @@
         importance += ask.job().workload().importance;
         if (how == null) {
             row.unanswered++;
-        } else if (how == Final.SHED) {
+        } else if (how == FinalAnswer.SHED) {
             row.shed++;
-        } else if (how == Final.GIVEN_UP) {
+        } else if (how == FinalAnswer.GIVEN_UP) {
             row.givenUp++;
         } else {
             row.fulfilled++;
--- a/rig/src/main/java/saltdale/rig/simulate/BaselineDispatcher.java
+++ b/rig/src/main/java/saltdale/rig/simulate/BaselineDispatcher.java
@@ -24,7 +24,7 @@
  */
 public final class BaselineDispatcher implements SimulatedDispatcher {
     /** How the next runner is chosen. */
-    public enum Choice {
+    public enum SelectionPolicy {
         RANDOM,
         ROUND_ROBIN,
         LEAST_OUT,
@@ -35,7 +35,7 @@
     }
 
     /** One rule broken in one way. */
-    public enum Slip {
+    public enum Defect {
         NONE,
         FORGETS,
         ANSWERS_TWICE,
@@ -59,8 +59,8 @@
     private final DispatcherSettings orders;
     private final DispatcherActions door;
     private final SplittableRandom chance;
-    private final Choice choice;
-    private final Slip slip;
+    private final SelectionPolicy choice;
+    private final Defect slip;
     private final Set<Runner> runners = new LinkedHashSet<>();
     private final Map<Runner, Duration> coldUntil = new HashMap<>();
     private final Map<Runner, Duration> lastCold = new HashMap<>();
@@ -68,7 +68,11 @@
     private int turn;
 
     public BaselineDispatcher(
-            DispatcherSettings orders, DispatcherActions door, SplittableRandom chance, Choice choice, Slip slip) {
+            DispatcherSettings orders,
+            DispatcherActions door,
+            SplittableRandom chance,
+            SelectionPolicy choice,
+            Defect slip) {
         this.orders = orders;
         this.door = door;
         this.chance = chance;
@@ -77,17 +81,17 @@
     }
 
     @Override
-    public void began(Duration now) {
+    public void onStart(Duration now) {
         // It is told the list.
     }
 
     @Override
-    public void listed(Duration now, List<RunnerListEntry> sightings, boolean whole, boolean cached) {
+    public void onRunnerList(Duration now, List<RunnerListEntry> sightings, boolean whole, boolean cached) {
         for (RunnerListEntry s : sightings) {
             s.runner().update(s, s.runner().typeStats);
             boolean stays = s.mode() == Runner.Mode.READY
-                    || s.mode() == Runner.Mode.DRAINING && slip == Slip.IGNORES_DRAIN
-                    || s.mode() == Runner.Mode.GONE && slip == Slip.IGNORES_GONE;
+                    || s.mode() == Runner.Mode.DRAINING && slip == Defect.IGNORES_DRAIN
+                    || s.mode() == Runner.Mode.GONE && slip == Defect.IGNORES_GONE;
             if (stays) {
                 runners.add(s.runner());
             } else {
@@ -100,20 +104,20 @@
     }
 
     @Override
-    public void arrived(Duration now, Request a) {
-        wishes.add(() -> door.setTimer(a.deadline.minus(now).minusMillis(slip == Slip.ANSWERS_LATE ? -400 : 5), a));
-        if (slip == Slip.FORGETS && chance.nextInt(20) == 0) {
+    public void onRequest(Duration now, Request a) {
+        wishes.add(() -> door.setTimer(a.deadline.minus(now).minusMillis(slip == Defect.ANSWERS_LATE ? -400 : 5), a));
+        if (slip == Defect.FORGETS && chance.nextInt(20) == 0) {
             return;
         }
         go(now, a);
         // given up while it is out, then sent again
-        if (slip == Slip.SENDS_AFTER_END && !a.attempts.isEmpty()) {
+        if (slip == Defect.SENDS_AFTER_END && !a.attempts.isEmpty()) {
             wishes.add(() -> door.setTimer(Duration.ofMillis(5), a.lastAttempt()));
         }
     }
 
     private void go(Duration now, Request a) {
-        boolean over = choice == Choice.FIXED_LIMIT
+        boolean over = choice == SelectionPolicy.FIXED_LIMIT
                 && a.attempts.isEmpty()
                 && runners.stream().mapToInt(r -> r.inFlight.size()).sum() * orders.dispatcherCount
                         >= HELD * runners.size();
@@ -122,7 +126,7 @@
             answer(a);
         } else {
             send(now, a, runner);
-            if (slip == Slip.COPIES) {
+            if (slip == Defect.COPIES) {
                 Runner other = choose(now, a);
                 if (other != null) {
                     send(now, a, other);
@@ -145,7 +149,7 @@
                 fit.add(r);
             }
         }
-        if (slip == Slip.FLOODS_COLD) {
+        if (slip == Defect.FLOODS_COLD) {
             for (Runner r : runners) {
                 if (now.compareTo(coldUntil.getOrDefault(r, Duration.ZERO)) < 0 && mayGo(a, r)) {
                     return r;
@@ -172,7 +176,9 @@
     }
 
     private double load(Runner r) {
-        return choice == Choice.SEES_LATE ? Math.max(((Sight) door).held(r), r.inFlight.size()) : r.inFlight.size();
+        return choice == SelectionPolicy.SEES_LATE
+                ? Math.max(((RunnerLoadView) door).held(r), r.inFlight.size())
+                : r.inFlight.size();
     }
 
     /** Sends to a cold runner are spread so thin that all dispatchers together stay far under its budget. */
@@ -191,21 +197,21 @@
 
     private boolean mayGo(Request a, Runner r) {
         Workload w = a.workload;
-        if (slip != Slip.MISPLACES && !w.mayRunOn(r)) {
+        if (slip != Defect.MISPLACES && !w.mayRunOn(r)) {
             return false;
         } else if (w.repeatSafety == Workload.RepeatSafety.PURE || !a.mayHaveRun()) {
             return true;
         } else if (w.repeatSafety == Workload.RepeatSafety.EFFECTFUL) {
-            return slip == Slip.REPEATS_EFFECTFUL;
+            return slip == Defect.REPEATS_EFFECTFUL;
         }
-        return slip == Slip.LEAVES_GROUP
-                || slip == Slip.OUTLASTS_WINDOW
+        return slip == Defect.LEAVES_GROUP
+                || slip == Defect.OUTLASTS_WINDOW
                 || a.attempts.stream().allMatch(d -> w.sharesDedupScope(d.runner, r));
     }
 
     private boolean mayShed(Request a) {
         Workload w = a.workload;
-        return slip == Slip.SHEDS_WHAT_RAN
+        return slip == Defect.SHEDS_WHAT_RAN
                 || w.repeatSafety == Workload.RepeatSafety.PURE
                 || !a.mayHaveRun()
                 || w.repeatSafety == Workload.RepeatSafety.RECEIPTED && w.dedupScope == Workload.DedupScope.ALL;
@@ -219,37 +225,37 @@
         boolean shed = mayShed(a);
         Runnable say = shed ? () -> door.shed(a, null) : () -> door.giveUp(a);
         wishes.add(say);
-        if (slip == Slip.ANSWERS_TWICE) {
+        if (slip == Defect.ANSWERS_TWICE) {
             wishes.add(say);
         }
     }
 
     @Override
-    public void started(Duration now, Attempt d) {
+    public void onStarted(Duration now, Attempt d) {
         d.startedAt = now;
     }
 
     @Override
-    public void progressed(Duration now, Attempt d) {
+    public void onProgress(Duration now, Attempt d) {
         d.lastProgressAt = now;
     }
 
     @Override
-    public void ended(Duration now, Attempt d, Outcome outcome, boolean over, LoadReport report) {
+    public void onAttemptEnd(Duration now, Attempt d, Outcome outcome, boolean over, LoadReport report) {
         Request a = d.request;
         d.outcome = outcome;
-        d.ambiguousRejection = outcome == Outcome.TURNED_AWAY && orders.lateRejections && slip != Slip.TRUSTS_FULL;
+        d.ambiguousRejection = outcome == Outcome.TURNED_AWAY && orders.lateRejections && slip != Defect.TRUSTS_FULL;
         d.runner.inFlight.remove(d);
         if (over) {
             a.closed = true;
-        } else if (slip == Slip.ANSWERS_LATE && now.compareTo(a.deadline) >= 0) {
+        } else if (slip == Defect.ANSWERS_LATE && now.compareTo(a.deadline) >= 0) {
             return;
         } else if (!a.closed && a.pendingAttempt() == null) {
             boolean again = a.attempts.size() < orders.maxAttempts;
             boolean canFollow = again && runners.stream().anyMatch(r -> mayGo(a, r) && !a.wasSentTo(r));
-            if (slip == Slip.HOLDS_BACK && !canFollow) {
+            if (slip == Defect.HOLDS_BACK && !canFollow) {
                 return; // until its patience is nearly over
-            } else if (slip == Slip.OUTLASTS_WINDOW && a.mayHaveRun()) {
+            } else if (slip == Defect.OUTLASTS_WINDOW && a.mayHaveRun()) {
                 wishes.add(() -> door.setTimer(a.workload.dedupWindow.plusMillis(100), d));
             } else if (canFollow) {
                 go(now, a);
@@ -260,7 +266,7 @@
     }
 
     @Override
-    public void probed(Duration now, Runner r, boolean answered, Duration took, LoadReport report) {
+    public void onProbeResult(Duration now, Runner r, boolean answered, Duration took, LoadReport report) {
         // It never asks.
     }
 
@@ -279,14 +285,14 @@
     }
 
     @Override
-    public void woken(Duration now, Object what) {
+    public void onTimer(Duration now, Object what) {
         if (what instanceof Request a && !a.closed) {
-            if (slip == Slip.FORGETS && a.attempts.isEmpty()) {
+            if (slip == Defect.FORGETS && a.attempts.isEmpty()) {
                 return;
             }
             callOff(a);
             answer(a);
-        } else if (what instanceof Attempt d && slip == Slip.SENDS_AFTER_END) {
+        } else if (what instanceof Attempt d && slip == Defect.SENDS_AFTER_END) {
             if (d.outcome == null && !d.request.closed) {
                 answer(d.request);
                 wishes.add(() -> door.setTimer(Duration.ofMillis(20), d));
@@ -299,12 +305,12 @@
     }
 
     @Override
-    public void settle(Duration now) {
+    public void applyActions(Duration now) {
         List<Runnable> all = List.copyOf(wishes);
         wishes.clear();
         all.forEach(Runnable::run);
         if (!wishes.isEmpty()) {
-            settle(now);
+            applyActions(now);
         }
     }
 }
--- a/rig/src/main/java/saltdale/rig/simulate/Proof.java
+++ b/rig/src/main/java/saltdale/rig/simulate/JudgeProof.java
@@ -5,18 +5,18 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import saltdale.rig.judge.Breach;
+import saltdale.rig.judge.Violation;
 import saltdale.rig.load.Arrivals;
 import saltdale.rig.plan.Day;
 import saltdale.rig.plan.Sheet;
-import saltdale.rig.simulate.BaselineDispatcher.Choice;
-import saltdale.rig.simulate.BaselineDispatcher.Slip;
+import saltdale.rig.simulate.BaselineDispatcher.Defect;
+import saltdale.rig.simulate.BaselineDispatcher.SelectionPolicy;
 
 /**
  * Proves the judge: small dispatchers, each wrong in one way, on a day that brings out all of them, and a
  * right one.
  */
-public final class Proof {
+public final class JudgeProof {
     private static final String DAY = """
             name = "proof"
             seed = 5
@@ -90,60 +90,61 @@
             """;
 
     /** What each wrong one is to be caught at; one kind of breach may bring others along. */
-    private static final Map<Slip, Breach.Kind> CAUGHT = new EnumMap<>(Map.ofEntries(
-            Map.entry(Slip.FORGETS, Breach.Kind.LOST),
-            Map.entry(Slip.ANSWERS_TWICE, Breach.Kind.ANSWERED_TWICE),
-            Map.entry(Slip.ANSWERS_LATE, Breach.Kind.ANSWERED_LATE),
-            Map.entry(Slip.SENDS_AFTER_END, Breach.Kind.SENT_AFTER_END),
-            Map.entry(Slip.HOLDS_BACK, Breach.Kind.HELD_BACK),
-            Map.entry(Slip.REPEATS_EFFECTFUL, Breach.Kind.REPEATED_EFFECTFUL),
-            Map.entry(Slip.SHEDS_WHAT_RAN, Breach.Kind.SHED_AFTER_RUN),
-            Map.entry(Slip.LEAVES_GROUP, Breach.Kind.OUTSIDE_GROUP),
-            Map.entry(Slip.OUTLASTS_WINDOW, Breach.Kind.AFTER_WINDOW),
-            Map.entry(Slip.COPIES, Breach.Kind.TWO_OUT),
-            Map.entry(Slip.IGNORES_DRAIN, Breach.Kind.SENT_TO_DRAINING),
-            Map.entry(Slip.IGNORES_GONE, Breach.Kind.SENT_TO_GONE),
-            Map.entry(Slip.MISPLACES, Breach.Kind.MISPLACED),
-            Map.entry(Slip.TRUSTS_FULL, Breach.Kind.REPEATED_EFFECTFUL),
-            Map.entry(Slip.FLOODS_COLD, Breach.Kind.COLD_PUSHED_OVER)));
+    private static final Map<Defect, Violation.Kind> CAUGHT = new EnumMap<>(Map.ofEntries(
+            Map.entry(Defect.FORGETS, Violation.Kind.LOST),
+            Map.entry(Defect.ANSWERS_TWICE, Violation.Kind.ANSWERED_TWICE),
+            Map.entry(Defect.ANSWERS_LATE, Violation.Kind.ANSWERED_LATE),
+            Map.entry(Defect.SENDS_AFTER_END, Violation.Kind.SENT_AFTER_END),
+            Map.entry(Defect.HOLDS_BACK, Violation.Kind.HELD_BACK),
+            Map.entry(Defect.REPEATS_EFFECTFUL, Violation.Kind.REPEATED_EFFECTFUL),
+            Map.entry(Defect.SHEDS_WHAT_RAN, Violation.Kind.SHED_AFTER_RUN),
+            Map.entry(Defect.LEAVES_GROUP, Violation.Kind.OUTSIDE_GROUP),
+            Map.entry(Defect.OUTLASTS_WINDOW, Violation.Kind.AFTER_WINDOW),
+            Map.entry(Defect.COPIES, Violation.Kind.TWO_OUT),
+            Map.entry(Defect.IGNORES_DRAIN, Violation.Kind.SENT_TO_DRAINING),
+            Map.entry(Defect.IGNORES_GONE, Violation.Kind.SENT_TO_GONE),
+            Map.entry(Defect.MISPLACES, Violation.Kind.MISPLACED),
+            Map.entry(Defect.TRUSTS_FULL, Violation.Kind.REPEATED_EFFECTFUL),
+            Map.entry(Defect.FLOODS_COLD, Violation.Kind.COLD_PUSHED_OVER)));
 
     /** What the judge said of one dispatcher: {@code expected} null for the right ones. */
-    public record Case(String name, Breach.Kind expected, Map<Breach.Kind, Long> found, String first) {
+    public record Case(String name, Violation.Kind expected, Map<Violation.Kind, Long> found, String first) {
         public boolean asExpected() {
             return expected == null ? found.isEmpty() : found.containsKey(expected);
         }
     }
 
-    private Proof() {}
+    private JudgeProof() {}
 
     public static List<Case> run() {
         List<Case> cases = new ArrayList<>();
-        for (Slip slip : Slip.values()) {
+        for (Defect slip : Defect.values()) {
             cases.add(play(
                     slip.name().toLowerCase().replace('_', ' '),
                     CAUGHT.get(slip),
-                    (orders, door, chance) -> new BaselineDispatcher(orders, door, chance, Choice.LEAST_OUT, slip)));
+                    (orders, door, chance) ->
+                            new BaselineDispatcher(orders, door, chance, SelectionPolicy.LEAST_OUT, slip)));
         }
         cases.add(play("the decision module", null, ModuleDispatcher::new));
         return cases;
     }
 
     /** The wrong ones that a day brings out; all but the right one. */
-    public static Set<Slip> slips() {
+    public static Set<Defect> defects() {
         return CAUGHT.keySet();
     }
 
-    private static Case play(String name, Breach.Kind expected, Simulation.Minds minds) {
+    private static Case play(String name, Violation.Kind expected, Simulation.DispatcherFactory minds) {
         Day day = new Day(Sheet.of("proof", DAY));
         Simulation sim = new Simulation(day, minds, new Arrivals(day.traffic, day.jobs, day.length, day.seed)).run();
         return new Case(
                 name,
                 expected,
-                sim.judge().counts(),
-                sim.judge().breaches().stream()
+                sim.judge().countsByKind(),
+                sim.judge().violations().stream()
                         .filter(b -> expected == null || b.kind() == expected)
                         .findFirst()
-                        .map(Breach::toString)
+                        .map(Violation::toString)
                         .orElse(""));
     }
 }
--- a/rig/src/main/java/saltdale/rig/simulate/ModuleDispatcher.java
+++ b/rig/src/main/java/saltdale/rig/simulate/ModuleDispatcher.java
@@ -26,37 +26,37 @@
     }
 
     @Override
-    public void began(Duration now) {
+    public void onStart(Duration now) {
         module.onStart(now);
     }
 
     @Override
-    public void listed(Duration now, List<RunnerListEntry> sightings, boolean whole, boolean cached) {
+    public void onRunnerList(Duration now, List<RunnerListEntry> sightings, boolean whole, boolean cached) {
         module.onRunnerList(now, sightings, whole, cached);
     }
 
     @Override
-    public void arrived(Duration now, Request a) {
+    public void onRequest(Duration now, Request a) {
         module.onRequest(now, a);
     }
 
     @Override
-    public void started(Duration now, Attempt d) {
+    public void onStarted(Duration now, Attempt d) {
         module.onStarted(now, d);
     }
 
     @Override
-    public void progressed(Duration now, Attempt d) {
+    public void onProgress(Duration now, Attempt d) {
         module.onProgress(now, d);
     }
 
     @Override
-    public void ended(Duration now, Attempt d, Outcome outcome, boolean over, LoadReport report) {
+    public void onAttemptEnd(Duration now, Attempt d, Outcome outcome, boolean over, LoadReport report) {
         module.onAttemptEnd(now, d, outcome, over, report);
     }
 
     @Override
-    public void probed(Duration now, Runner r, boolean answered, Duration took, LoadReport report) {
+    public void onProbeResult(Duration now, Runner r, boolean answered, Duration took, LoadReport report) {
         module.onProbeResult(now, r, answered, took, report);
     }
 
@@ -66,12 +66,12 @@
     }
 
     @Override
-    public void woken(Duration now, Object what) {
+    public void onTimer(Duration now, Object what) {
         module.onTimer(now, what);
     }
 
     @Override
-    public void settle(Duration now) {
+    public void applyActions(Duration now) {
         module.applyActions(now);
     }
 }
--- a/rig/src/main/java/saltdale/rig/simulate/OverloadProof.java
+++ b/rig/src/main/java/saltdale/rig/simulate/OverloadProof.java
@@ -13,7 +13,7 @@
 import saltdale.model.Request;
 import saltdale.model.Runner;
 import saltdale.model.Workload;
-import saltdale.rig.judge.Breach;
+import saltdale.rig.judge.Violation;
 import saltdale.rig.load.Arrivals;
 import saltdale.rig.load.Overloads;
 import saltdale.rig.load.Tally;
@@ -67,7 +67,7 @@
     private static final long MOST_CHANGES = 10; // within a second: the usual step is 100 ms
 
     /** What must hold of each dispatcher, or of all together. */
-    public enum Law {
+    public enum Property {
         /** The dear work is served before the cheap. */
         DEAREST_FIRST,
         /** The level changes no oftener than is stated. */
@@ -83,24 +83,24 @@
     }
 
     /** The ways of being wrong. */
-    private enum Slip {
+    private enum Defect {
         NONE(null),
-        SHEDS_THE_DEAREST_FIRST(Law.DEAREST_FIRST),
-        NO_HYSTERESIS(Law.FEW_CHANGES),
-        PAUSE_WITHOUT_SPREAD(Law.SPREAD_PAUSES),
-        REPEATS_UNBOUNDED(Law.BOUNDED_REPEATS),
-        SHEDS_WHAT_MAY_HAVE_RUN(Law.RULES),
-        SERVES_THE_HOPELESS_FIRST(Law.NOT_THE_HOPELESS);
+        SHEDS_THE_DEAREST_FIRST(Property.DEAREST_FIRST),
+        NO_HYSTERESIS(Property.FEW_CHANGES),
+        PAUSE_WITHOUT_SPREAD(Property.SPREAD_PAUSES),
+        REPEATS_UNBOUNDED(Property.BOUNDED_REPEATS),
+        SHEDS_WHAT_MAY_HAVE_RUN(Property.RULES),
+        SERVES_THE_HOPELESS_FIRST(Property.NOT_THE_HOPELESS);
 
-        final Law broken;
+        final Property broken;
 
-        Slip(Law broken) {
+        Defect(Property broken) {
             this.broken = broken;
         }
     }
 
     /** What was seen of one dispatcher: {@code expected} null for the right one. */
-    public record Case(String name, Law expected, Map<Law, String> broken) {
+    public record Case(String name, Property expected, Map<Property, String> broken) {
         public boolean asExpected() {
             return expected == null ? broken.isEmpty() : broken.containsKey(expected);
         }
@@ -110,13 +110,13 @@
 
     public static List<Case> run() {
         List<Case> cases = new ArrayList<>();
-        for (Slip slip : Slip.values()) {
+        for (Defect slip : Defect.values()) {
             cases.add(new Case(slip.name().toLowerCase().replace('_', ' '), slip.broken, play(slip)));
         }
         return cases;
     }
 
-    private static Map<Law, String> play(Slip slip) {
+    private static Map<Property, String> play(Defect slip) {
         Day day = new Day(Sheet.of("overload proof", DAY));
         Seen seen = new Seen();
         Simulation sim = new Simulation(
@@ -124,50 +124,50 @@
                         (orders, door, chance) -> mind(slip, orders, door, chance, seen),
                         new Arrivals(day.traffic, day.jobs, day.length, day.seed))
                 .run();
-        Map<Law, String> broken = new TreeMap<>();
+        Map<Property, String> broken = new TreeMap<>();
         List<Tally.Row> rows = new ArrayList<>(sim.tally().rows().values());
         check(
                 broken,
-                Law.DEAREST_FIRST,
+                Property.DEAREST_FIRST,
                 rows.get(0).service() > 1.5 * rows.get(1).service(),
                 "in time: short %.2f, long %.2f",
                 rows.get(0).service(),
                 rows.get(1).service());
         check(
                 broken,
-                Law.FEW_CHANGES,
+                Property.FEW_CHANGES,
                 seen.mostChanges <= MOST_CHANGES,
                 "%d changes within a second, %d allowed",
                 seen.mostChanges,
                 MOST_CHANGES);
         check(
                 broken,
-                Law.SPREAD_PAUSES,
+                Property.SPREAD_PAUSES,
                 seen.deviation() > 0.3 * seen.mean(),
                 "pauses of %.3f s deviate by %.3f s",
                 seen.mean(),
                 seen.deviation());
         check(
                 broken,
-                Law.BOUNDED_REPEATS,
+                Property.BOUNDED_REPEATS,
                 seen.dispatches <= 1.1 * seen.first,
                 "%.0f dispatches of %.0f assignments",
                 seen.dispatches,
                 seen.first);
         check(
                 broken,
-                Law.RULES,
-                sim.judge().broken() == 0,
+                Property.RULES,
+                sim.judge().violationCount() == 0,
                 "%s",
-                sim.judge().breaches().stream()
+                sim.judge().violations().stream()
                         .findFirst()
-                        .map(Breach::toString)
+                        .map(Violation::toString)
                         .orElse(""));
         Map<String, Double> figures = sim.tally().figures();
         double inTime = rows.stream().mapToDouble(row -> row.inTime).sum() / figures.get("fulfilled");
         check(
                 broken,
-                Law.NOT_THE_HOPELESS,
+                Property.NOT_THE_HOPELESS,
                 inTime > 0.7,
                 "%.2f of what is fulfilled is in time, %.2f of what could " + "be had",
                 inTime,
@@ -175,14 +175,15 @@
         return broken;
     }
 
-    private static void check(Map<Law, String> broken, Law law, boolean kept, String words, Object... figures) {
+    private static void check(
+            Map<Property, String> broken, Property law, boolean kept, String words, Object... figures) {
         if (!kept) {
             broken.put(law, String.format(java.util.Locale.ROOT, words, figures));
         }
     }
 
     private static SimulatedDispatcher mind(
-            Slip slip, DispatcherSettings orders, DispatcherActions door, SplittableRandom chance, Seen seen) {
+            Defect slip, DispatcherSettings orders, DispatcherActions door, SplittableRandom chance, Seen seen) {
         DispatcherSettings told = orders;
         switch (slip) {
             case SHEDS_THE_DEAREST_FIRST -> told.workloads.get(0).importance = 0.01;
@@ -193,12 +194,20 @@
         }
         seen.slip = slip;
         DispatcherActions watched = new Watched(door, seen);
-        if (slip == Slip.REPEATS_UNBOUNDED) {
+        if (slip == Defect.REPEATS_UNBOUNDED) {
             return new BaselineDispatcher(
-                    told, watched, chance, BaselineDispatcher.Choice.LEAST_OUT, BaselineDispatcher.Slip.NONE);
-        } else if (slip == Slip.SHEDS_WHAT_MAY_HAVE_RUN) {
+                    told,
+                    watched,
+                    chance,
+                    BaselineDispatcher.SelectionPolicy.LEAST_OUT,
+                    BaselineDispatcher.Defect.NONE);
+        } else if (slip == Defect.SHEDS_WHAT_MAY_HAVE_RUN) {
             return new BaselineDispatcher(
-                    told, watched, chance, BaselineDispatcher.Choice.LEAST_OUT, BaselineDispatcher.Slip.SHEDS_WHAT_RAN);
+                    told,
+                    watched,
+                    chance,
+                    BaselineDispatcher.SelectionPolicy.LEAST_OUT,
+                    BaselineDispatcher.Defect.SHEDS_WHAT_RAN);
         }
         return new Counted(told, watched, chance, seen);
     }
@@ -215,8 +224,8 @@
         }
 
         @Override
-        public void settle(Duration now) {
-            super.settle(now);
+        public void applyActions(Duration now) {
+            super.applyActions(now);
             long changes = module().admissionControl().changeCount();
             if (now.toSeconds() > second) {
                 second = now.toSeconds();
@@ -228,7 +237,7 @@
 
     /** What went through the doors. */
     private static final class Seen {
-        private Slip slip;
+        private Defect slip;
         private long mostChanges;
         private double first;
         private double dispatches;
@@ -256,7 +265,7 @@
 
         @Override
         public void shed(Request assignment, Duration pause) {
-            Duration told = seen.slip == Slip.PAUSE_WITHOUT_SPREAD ? Duration.ofSeconds(1) : pause;
+            Duration told = seen.slip == Defect.PAUSE_WITHOUT_SPREAD ? Duration.ofSeconds(1) : pause;
             if (told != null && assignment.workload.repeatSafety == Workload.RepeatSafety.PURE) {
                 double seconds = told.toNanos() / 1e9;
                 seen.pauses++;
--- a/rig/src/main/java/saltdale/rig/simulate/Fleet.java
+++ b/rig/src/main/java/saltdale/rig/simulate/SimulatedFleet.java
@@ -5,11 +5,11 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import saltdale.model.LoadReport;
-import saltdale.rig.fleet.Receipts;
+import saltdale.rig.fleet.ReceiptStore;
+import saltdale.rig.fleet.RunnerJob;
 import saltdale.rig.fleet.RunnerModel;
-import saltdale.rig.fleet.TroubleSchedule.Act;
-import saltdale.rig.fleet.Work;
-import saltdale.rig.judge.Witness.Health;
+import saltdale.rig.fleet.TroubleSchedule.Action;
+import saltdale.rig.judge.EventObserver.ListedHealth;
 import saltdale.rig.load.Watch;
 import saltdale.rig.plan.Day;
 import saltdale.rig.plan.Make;
@@ -18,13 +18,13 @@
  * The runners of a simulated day, each a model with the timeline for its clock, and what the list says of
  * them.
  */
-public final class Fleet {
+public final class SimulatedFleet {
     private static final class Slot {
         final int number;
         final RunnerModel model;
         boolean silent;
         Duration wakeAt;
-        Health health = Health.UP;
+        ListedHealth health = ListedHealth.UP;
         Duration bornAt;
 
         Slot(int number, RunnerModel model) {
@@ -37,11 +37,11 @@
     private final List<Slot> slots = new ArrayList<>();
     private final Watch watch;
 
-    Fleet(Simulation sim, SplittableRandom chance) {
+    SimulatedFleet(Simulation sim, SplittableRandom chance) {
         this.sim = sim;
         Day day = sim.day;
         watch = new Watch(day.runners);
-        List<Receipts.Shared> receipts = Receipts.of(day);
+        List<ReceiptStore.ByScope> receipts = ReceiptStore.of(day);
         for (int i = 0; i < day.runners; i++) {
             slots.add(new Slot(
                     i,
@@ -63,11 +63,11 @@
     void sample() {
         for (Slot slot : slots) {
             slot.model.advance(sim.time.now());
-            watch.sample(sim.time.now(), slot.number, slot.model.held(), slot.model.isUp() && !slot.silent);
+            watch.sample(sim.time.now(), slot.number, slot.model.heldCount(), slot.model.isUp() && !slot.silent);
         }
     }
 
-    Health health(int runner) {
+    ListedHealth health(int runner) {
         return slots.get(runner).health;
     }
 
@@ -88,14 +88,14 @@
         return slots.get(runner).model.isUp();
     }
 
-    RunnerModel.Offer offer(int runner, Work work) {
-        RunnerModel.Offer offer = slots.get(runner).model.offer(sim.time.now(), work);
+    RunnerModel.OfferResult offer(int runner, RunnerJob work) {
+        RunnerModel.OfferResult offer = slots.get(runner).model.offer(sim.time.now(), work);
         schedule(slots.get(runner));
         return offer;
     }
 
     boolean takeBack(int runner, String id, int from) {
-        boolean gone = slots.get(runner).model.takeBack(sim.time.now(), id, from);
+        boolean gone = slots.get(runner).model.cancel(sim.time.now(), id, from);
         schedule(slots.get(runner));
         return gone;
     }
@@ -113,7 +113,7 @@
             return;
         }
         slot.wakeAt = next;
-        sim.time.at(next, () -> {
+        sim.time.scheduleAt(next, () -> {
             if (next.equals(slot.wakeAt)) { // else another wake has taken its place
                 slot.wakeAt = null;
                 slot.model.advance(sim.time.now());
@@ -122,43 +122,43 @@
         });
     }
 
-    void act(Act act, int runner) {
+    void act(Action act, int runner) {
         Slot slot = slots.get(runner);
         Duration now = sim.time.now();
         switch (act) {
-            case CONDITION -> slot.model.condition(now, sim.troubles.condition(runner, now));
+            case CHANGE_CONDITION -> slot.model.setCondition(now, sim.troubles.runnerCondition(runner, now));
             case CRASH -> {
                 slot.model.stop(now);
-                lists(slot, Health.GONE, sim.day.silentNotice);
+                lists(slot, ListedHealth.GONE, sim.day.silentNotice);
             }
             case VANISH -> {
                 slot.silent = true;
-                sim.judge.silent(now, runner);
+                sim.judge.runnerSilent(now, runner);
                 slot.model.stop(now);
-                lists(slot, Health.GONE, sim.day.silentNotice);
+                lists(slot, ListedHealth.GONE, sim.day.silentNotice);
             }
             case DRAIN, HAND_BACK -> {
-                slot.model.drain(now, act == Act.HAND_BACK);
-                lists(slot, Health.DRAINING, sim.day.notice);
+                slot.model.drain(now, act == Action.HAND_BACK);
+                lists(slot, ListedHealth.DRAINING, sim.day.notice);
             }
             case REMOVE -> {
                 slot.model.stop(now);
-                lists(slot, Health.GONE, sim.day.notice);
+                lists(slot, ListedHealth.GONE, sim.day.notice);
             }
             case START -> {
                 slot.silent = false;
                 slot.model.start(now);
-                sim.judge.started(now, runner, slot.model.make);
-                lists(slot, Health.UP, sim.day.notice);
+                sim.judge.runnerStarted(now, runner, slot.model.make);
+                lists(slot, ListedHealth.UP, sim.day.notice);
             }
             default -> {} // on the wire only, which has no bytes here
         }
         schedule(slot);
     }
 
-    private void lists(Slot slot, Health health, Duration notice) {
-        Duration bornAt = slot.model.bornAt();
-        sim.time.after(notice, () -> {
+    private void lists(Slot slot, ListedHealth health, Duration notice) {
+        Duration bornAt = slot.model.startedAt();
+        sim.time.scheduleAfter(notice, () -> {
             boolean older = slot.bornAt != null && bornAt != null && bornAt.compareTo(slot.bornAt) < 0
                     || slot.bornAt != null && bornAt == null;
             if (!older) { // guards against a late word of an earlier life
@@ -170,7 +170,7 @@
     }
 
     /** What a runner tells goes to the dispatch that it is about. */
-    private final class News implements RunnerModel.Told {
+    private final class News implements RunnerModel.JobListener {
         private final int runner;
 
         News(int runner) {
@@ -178,33 +178,33 @@
         }
 
         @Override
-        public void started(Duration at, Work work) {
+        public void started(Duration at, RunnerJob work) {
             if (sim.day.orders.reportsStart) {
-                ((Node.Flight) work.mark).started();
+                ((SimulatedNode.Flight) work.attachment).started();
             }
         }
 
         @Override
-        public void running(Duration at, Work work, double share) {
-            ((Node.Flight) work.mark).running();
+        public void progressed(Duration at, RunnerJob work, double share) {
+            ((SimulatedNode.Flight) work.attachment).running();
         }
 
         @Override
-        public void ended(Duration at, Work work, RunnerModel.End how) {
+        public void ended(Duration at, RunnerJob work, RunnerModel.JobEnd how) {
             String result = work.id + "@" + runner;
             switch (how) {
                 case DONE, SHED -> {
-                    if (work.isRepeat()) {
-                        sim.judge.made(at, work.id, result);
+                    if (work.isDuplicate()) {
+                        sim.judge.duplicateAnswered(at, work.id, result);
                     } else {
-                        sim.judge.effect(at, work.id, runner, result);
+                        sim.judge.effectProduced(at, work.id, runner, result);
                     }
-                    sim.judge.over(at, work.id, runner);
+                    sim.judge.attemptEnded(at, work.id, runner);
                 }
-                case RETURNED -> sim.judge.unstarted(at, work.id, runner);
-                default -> sim.judge.over(at, work.id, runner);
+                case RETURNED -> sim.judge.attemptNotStarted(at, work.id, runner);
+                default -> sim.judge.attemptEnded(at, work.id, runner);
             }
-            ((Node.Flight) work.mark).told(how, result);
+            ((SimulatedNode.Flight) work.attachment).told(how, result);
         }
     }
 }
--- a/rig/src/main/java/saltdale/rig/simulate/Node.java
+++ b/rig/src/main/java/saltdale/rig/simulate/SimulatedNode.java
@@ -19,12 +19,12 @@
 import saltdale.model.Runner;
 import saltdale.model.RunnerListEntry;
 import saltdale.model.Workload;
+import saltdale.rig.fleet.RunnerJob;
 import saltdale.rig.fleet.RunnerModel;
-import saltdale.rig.fleet.Work;
-import saltdale.rig.judge.Witness.Health;
+import saltdale.rig.judge.EventObserver.ListedHealth;
 
 /** One simulated dispatcher: the Door of what decides, with the timeline and the network behind it. */
-final class Node implements DispatcherActions, Sight {
+final class SimulatedNode implements DispatcherActions, RunnerLoadView {
     private final Simulation sim;
     final int number;
     private final SplittableRandom chance;
@@ -52,7 +52,7 @@
         }
     }
 
-    Node(Simulation sim, int number, SplittableRandom chance) {
+    SimulatedNode(Simulation sim, int number, SplittableRandom chance) {
         this.sim = sim;
         this.number = number;
         this.chance = chance;
@@ -69,7 +69,7 @@
 
     // ---- Its life.
 
-    void start(Simulation.Minds minds) {
+    void start(Simulation.DispatcherFactory minds) {
         life++;
         runners.clear();
         numbers.clear();
@@ -78,14 +78,14 @@
             runners.add(runner);
             numbers.put(runner, i);
         }
-        mind = minds.of(orders, this, chance.split());
+        mind = minds.create(orders, this, chance.split());
         sim.front(number, false);
-        mind.began(now());
+        mind.onStart(now());
         listWhole();
     }
 
     void kill() {
-        sim.judge.killed(now(), number);
+        sim.judge.dispatcherKilled(now(), number);
         sim.front(number, true);
         life++;
         mind = null;
@@ -104,12 +104,12 @@
         if (!settling && mind != null) {
             settling = true;
             int mine = life;
-            sim.time.at(
+            sim.time.scheduleAt(
                     now(),
                     () -> { // after all that is due at this moment
                         settling = false;
                         if (mine == life) {
-                            mind.settle(now());
+                            mind.applyActions(now());
                         }
                     });
         }
@@ -117,7 +117,7 @@
 
     private void after(Duration span, Runnable what) {
         int mine = life;
-        sim.time.after(span, () -> {
+        sim.time.scheduleAfter(span, () -> {
             if (mine == life && mind != null) {
                 what.run();
             }
@@ -134,20 +134,20 @@
         for (int i = 0; i < runners.size(); i++) {
             all.add(sighting(i));
         }
-        mind.listed(now(), all, true, false);
+        mind.onRunnerList(now(), all, true, false);
         eventful();
     }
 
     void listChanged(int runner) {
         if (mind != null) {
-            mind.listed(now(), List.of(sighting(runner)), false, false);
+            mind.onRunnerList(now(), List.of(sighting(runner)), false, false);
             eventful();
         }
     }
 
     private RunnerListEntry sighting(int runner) {
-        Health health = sim.health(runner);
-        sim.judge.told(now(), number, runner, health, sim.fleet.bornAt(runner));
+        ListedHealth health = sim.health(runner);
+        sim.judge.listEntryReceived(now(), number, runner, health, sim.fleet.bornAt(runner));
         Runner.Mode mode = switch (health) {
             case UP -> Runner.Mode.READY;
             case DRAINING -> Runner.Mode.DRAINING;
@@ -172,7 +172,7 @@
         held.put(a, taken);
         byId.put(request.id, taken);
         after(request.patience(), () -> outOfTime(taken));
-        mind.arrived(now(), a);
+        mind.onRequest(now(), a);
         eventful();
     }
 
@@ -207,11 +207,11 @@
     }
 
     private void client(Simulation.Try request, Simulation.Outcome how, Duration pause, String result) {
-        sim.time.after(sim.hop(0, 0), () -> {
+        sim.time.scheduleAfter(sim.hop(0, 0), () -> {
             if (how == Simulation.Outcome.UNREACHABLE) {
-                sim.judge.cut(now(), request.id);
+                sim.judge.connectionLost(now(), request.id);
             } else {
-                sim.judge.answered(now(), request.id, how.how, result);
+                sim.judge.answerReceived(now(), request.id, how.how, result);
             }
             request.customer.answered(request, how, pause, result);
         });
@@ -228,7 +228,7 @@
             return;
         }
         boolean served = outcome == Outcome.FULFILLED && !of.assignment.closed;
-        mind.ended(now(), flight.dispatch, outcome, of.assignment.closed || served, report);
+        mind.onAttemptEnd(now(), flight.dispatch, outcome, of.assignment.closed || served, report);
         flight.dispatch.outcome = outcome;
         eventful();
         if (served) {
@@ -269,7 +269,7 @@
             boolean fresh = connected.add(runner);
             Duration hop = sim.hop(sim.zoneOf(number), zone());
             arrivesAt = now().plus(hop.multipliedBy(fresh ? 3 : 1));
-            sim.time.at(arrivesAt, () -> arrive(sentAt, fresh));
+            sim.time.scheduleAt(arrivesAt, () -> arrive(sentAt, fresh));
         }
 
         private void arrive(Duration sentAt, boolean fresh) {
@@ -286,29 +286,29 @@
             }
             String id = of.of.id;
             Workload workload = of.assignment.workload;
-            Work work = new Work(
+            RunnerJob work = new RunnerJob(
                     id,
                     workload.repeatSafety == Workload.RepeatSafety.RECEIPTED ? of.of.receipt() : null,
                     workload,
                     of.of.ask().size(),
                     number);
-            work.mark = this;
-            sim.judge.reached(sentAt, now(), id, runner, number, work.size);
-            RunnerModel.Offer offer = sim.fleet.offer(runner, work);
-            LoadReport report = offer == RunnerModel.Offer.TAKEN || offer == RunnerModel.Offer.FELL
+            work.attachment = this;
+            sim.judge.attemptReceived(sentAt, now(), id, runner, number, work.sizeSeconds);
+            RunnerModel.OfferResult offer = sim.fleet.offer(runner, work);
+            LoadReport report = offer == RunnerModel.OfferResult.ACCEPTED || offer == RunnerModel.OfferResult.CRASHED
                     ? null
                     : sim.fleet.report(runner);
             switch (offer) {
                 case FULL, DRAINING -> {
-                    sim.judge.unstarted(now(), id, runner);
+                    sim.judge.attemptNotStarted(now(), id, runner);
                     word(() -> ended(of, this, Outcome.TURNED_AWAY, report, null));
                 }
                 case ERROR -> {
-                    sim.judge.over(now(), id, runner);
+                    sim.judge.attemptEnded(now(), id, runner);
                     word(() -> ended(of, this, Outcome.ERROR, report, null));
                 }
-                case FELL -> {
-                    sim.judge.over(now(), id, runner);
+                case CRASHED -> {
+                    sim.judge.attemptEnded(now(), id, runner);
                     word(() -> ended(of, this, Outcome.BROKEN, null, null));
                 }
                 default -> {} // its news will tell
@@ -322,7 +322,7 @@
             }
             Duration at = now().plus(sim.hop(zone(), sim.zoneOf(number)));
             lastWord = at.compareTo(lastWord) > 0 ? at : lastWord;
-            sim.time.at(lastWord, () -> {
+            sim.time.scheduleAt(lastWord, () -> {
                 if (mine == life) {
                     what.run();
                 }
@@ -332,7 +332,7 @@
         void started() {
             word(() -> {
                 if (dispatch.outcome == null && dispatch.startedAt == null) {
-                    mind.started(now(), dispatch);
+                    mind.onStarted(now(), dispatch);
                     eventful();
                 }
             });
@@ -341,14 +341,14 @@
         void running() {
             word(() -> {
                 if (dispatch.outcome == null) {
-                    mind.progressed(now(), dispatch);
+                    mind.onProgress(now(), dispatch);
                     eventful();
                 }
             });
         }
 
-        void told(RunnerModel.End how, String result) {
-            LoadReport report = how == RunnerModel.End.LOST ? null : sim.fleet.report(runner);
+        void told(RunnerModel.JobEnd how, String result) {
+            LoadReport report = how == RunnerModel.JobEnd.LOST ? null : sim.fleet.report(runner);
             Outcome outcome = switch (how) {
                 case DONE -> Outcome.FULFILLED;
                 case FAILED -> Outcome.ERROR;
@@ -365,7 +365,7 @@
             }
             calledOff = true;
             Duration at = now().plus(sim.hop(sim.zoneOf(number), zone()));
-            sim.time.at(at.compareTo(arrivesAt) > 0 ? at : arrivesAt, () -> {
+            sim.time.scheduleAt(at.compareTo(arrivesAt) > 0 ? at : arrivesAt, () -> {
                 if (!linked() || !sim.fleet.isUp(runner)) {
                     if (ends) {
                         after(orders.connectTimeout, () -> ended(of, this, Outcome.CANCELLED, null, null));
@@ -373,7 +373,7 @@
                     return;
                 }
                 sim.fleet.takeBack(runner, of.of.id, number);
-                sim.judge.over(now(), of.of.id, runner);
+                sim.judge.attemptEnded(now(), of.of.id, runner);
                 if (ends) {
                     word(() -> ended(of, this, Outcome.CANCELLED, null, null));
                 }
@@ -382,7 +382,7 @@
 
         /** The dispatcher was killed: its connections end, and the jobs that nobody waits for run on. */
         private void abandoned() {
-            sim.judge.over(now(), of.of.id, runner);
+            sim.judge.attemptEnded(now(), of.of.id, runner);
         }
     }
 
@@ -458,7 +458,7 @@
     }
 
     private void probed(Runner runner, boolean answered, Duration sentAt, LoadReport report) {
-        mind.probed(now(), runner, answered, now().minus(sentAt), report);
+        mind.onProbeResult(now(), runner, answered, now().minus(sentAt), report);
         eventful();
     }
 
@@ -467,7 +467,7 @@
         // A wake comes a round later at the soonest: where time stands still in a turn, one at once could go
         // on for ever.
         after(after.compareTo(orders.roundInterval) > 0 ? after : orders.roundInterval, () -> {
-            mind.woken(now(), what);
+            mind.onTimer(now(), what);
             eventful();
         });
     }
--- a/rig/src/main/java/saltdale/rig/simulate/Simulation.java
+++ b/rig/src/main/java/saltdale/rig/simulate/Simulation.java
@@ -10,10 +10,10 @@
 import saltdale.model.DispatcherActions;
 import saltdale.model.DispatcherSettings;
 import saltdale.rig.fleet.TroubleSchedule;
+import saltdale.rig.judge.EventObserver.FinalAnswer;
+import saltdale.rig.judge.EventObserver.ListedHealth;
 import saltdale.rig.judge.Judge;
-import saltdale.rig.judge.Terms;
-import saltdale.rig.judge.Witness.Final;
-import saltdale.rig.judge.Witness.Health;
+import saltdale.rig.judge.JudgeSettings;
 import saltdale.rig.load.Ask;
 import saltdale.rig.load.Persistence;
 import saltdale.rig.load.Spread;
@@ -26,23 +26,23 @@
  */
 public final class Simulation {
     /** Makes what decides for a dispatcher. */
-    public interface Minds {
-        SimulatedDispatcher of(DispatcherSettings orders, DispatcherActions door, SplittableRandom chance);
+    public interface DispatcherFactory {
+        SimulatedDispatcher create(DispatcherSettings orders, DispatcherActions door, SplittableRandom chance);
     }
 
     private static final Duration FRONT_NOTICES = Duration.ofSeconds(1);
     private static final Duration SAMPLE = Duration.ofMillis(250);
 
     final Day day;
-    final Timeline time = new Timeline();
+    final EventQueue time = new EventQueue();
     final Judge judge;
     final TroubleSchedule troubles;
-    final Fleet fleet;
+    final SimulatedFleet fleet;
     private final Tally tally;
-    private final List<Node> nodes = new ArrayList<>();
+    private final List<SimulatedNode> nodes = new ArrayList<>();
     private final Persistence persistence;
     private final SplittableRandom net;
-    private final Minds minds;
+    private final DispatcherFactory minds;
     private final SplittableRandom seeds;
     private final Set<Integer> knownDead = new HashSet<>();
     private int nextNode;
@@ -50,26 +50,26 @@
     private boolean listMute;
     private long open;
     private long heavies;
-    private long probes;
+    private long probeCount;
     private final Spread spread;
 
-    public Simulation(Day day, Minds minds, Iterator<Ask> asks) {
+    public Simulation(Day day, DispatcherFactory minds, Iterator<Ask> asks) {
         this.day = day;
         this.minds = minds;
         seeds = new SplittableRandom(day.seed);
         net = seeds.split();
-        judge = new Judge(Terms.of(day, Duration.ofMillis(1)), Duration.ofSeconds(5));
+        judge = new Judge(JudgeSettings.of(day, Duration.ofMillis(1)), Duration.ofSeconds(5));
         troubles = new TroubleSchedule(day.troubles);
-        fleet = new Fleet(this, seeds.split());
+        fleet = new SimulatedFleet(this, seeds.split());
         tally = new Tally(day.jobs, day.warmUp);
         persistence = new Persistence(day.traffic, seeds.split());
         spread = new Spread(day.dispatchers);
         for (int i = 0; i < day.dispatchers; i++) {
-            Node node = new Node(this, i, seeds.split());
+            SimulatedNode node = new SimulatedNode(this, i, seeds.split());
             nodes.add(node);
-            time.at(Duration.ZERO, () -> node.start(minds));
+            time.scheduleAt(Duration.ZERO, () -> node.start(minds));
         }
-        troubles.turns().forEach(turn -> time.at(turn.at(), () -> act(turn)));
+        troubles.scheduledActions().forEach(turn -> time.scheduleAt(turn.at(), () -> act(turn)));
         sample();
         feed(asks);
     }
@@ -77,7 +77,7 @@
     private void feed(Iterator<Ask> asks) {
         if (asks.hasNext()) {
             Ask ask = asks.next();
-            time.at(ask.at(), () -> {
+            time.scheduleAt(ask.at(), () -> {
                 new Customer(ask).sendTry();
                 feed(asks);
             });
@@ -87,19 +87,19 @@
     private void sample() {
         fleet.sample();
         if (time.now().compareTo(day.length) < 0) {
-            time.after(SAMPLE, this::sample);
+            time.scheduleAfter(SAMPLE, this::sample);
         }
     }
 
     /** Plays the day, and on until all is answered. */
     public Simulation run() {
-        time.run(day.length);
+        time.runUntil(day.length);
         Duration most = day.longestStay().plusSeconds(5);
         for (Duration end = day.length; open > 0 && end.compareTo(day.length.plus(most)) < 0; ) {
             end = end.plusMillis(500);
-            time.run(end);
+            time.runUntil(end);
         }
-        judge.end();
+        judge.finish();
         return this;
     }
 
@@ -112,24 +112,24 @@
     }
 
     /** How many probes were sent. */
-    public long probes() {
-        return probes;
+    public long probeCount() {
+        return probeCount;
     }
 
     void probed() {
-        probes++;
+        probeCount++;
     }
 
     public Judge judge() {
         return judge;
     }
 
-    public Fleet fleet() {
+    public SimulatedFleet fleet() {
         return fleet;
     }
 
-    public long events() {
-        return time.done();
+    public long executedEventCount() {
+        return time.executedCount();
     }
 
     /** How long a message takes between these zones, by their numbers. */
@@ -148,18 +148,20 @@
 
     // ---- What goes wrong.
 
-    private void act(TroubleSchedule.Turn turn) {
-        switch (turn.act()) {
-            case CUT -> cutZone = (int) turn.trouble().size();
-            case HEAL -> cutZone = -1;
-            case MUTE -> listMute = true;
-            case UNMUTE -> {
+    private void act(TroubleSchedule.ScheduledAction turn) {
+        switch (turn.action()) {
+            case CUT_ZONE -> cutZone = (int) turn.trouble().size();
+            case RECONNECT_ZONE -> cutZone = -1;
+            case SILENCE_LIST -> listMute = true;
+            case RESUME_LIST -> {
                 listMute = false;
-                nodes.forEach(Node::listWhole);
+                nodes.forEach(SimulatedNode::listWhole);
             }
-            case KILL -> turn.trouble().runners().forEach(i -> nodes.get(i).kill());
-            case REVIVE -> turn.trouble().runners().forEach(i -> nodes.get(i).start(minds));
-            default -> turn.trouble().runners().forEach(i -> fleet.act(turn.act(), i));
+            case KILL_DISPATCHER ->
+                turn.trouble().runners().forEach(i -> nodes.get(i).kill());
+            case RESTART_DISPATCHER ->
+                turn.trouble().runners().forEach(i -> nodes.get(i).start(minds));
+            default -> turn.trouble().runners().forEach(i -> fleet.act(turn.action(), i));
         }
     }
 
@@ -170,12 +172,12 @@
         }
     }
 
-    Health health(int runner) {
+    ListedHealth health(int runner) {
         return fleet.health(runner);
     }
 
     void front(int node, boolean dead) {
-        time.after(FRONT_NOTICES, () -> {
+        time.scheduleAfter(FRONT_NOTICES, () -> {
             if (nodes.get(node).isUp() != dead) {
                 if (dead) {
                     knownDead.add(node);
@@ -186,7 +188,7 @@
         });
     }
 
-    private Node next() {
+    private SimulatedNode next() {
         if (day.traffic.heavy() > 1
                 && knownDead.isEmpty()
                 && heavies++ % (nodes.size() - 1 + day.traffic.heavy()) >= nodes.size()) {
@@ -222,26 +224,26 @@
             tries++;
             Try next = new Try(this, tries);
             current = next;
-            Node node = next();
+            SimulatedNode node = next();
             Duration hop = hop(0, 0);
             if (tries == 1 && persistence.leaves()) {
-                time.after(next.patience().dividedBy(2), () -> {
+                time.scheduleAfter(next.patience().dividedBy(2), () -> {
                     if (current == next && !finished) {
-                        judge.left(time.now(), next.id);
+                        judge.clientLeft(time.now(), next.id);
                         node.clientGone(next);
                         finish(null, true);
                     }
                 });
             }
-            time.after(hop, () -> {
+            time.scheduleAfter(hop, () -> {
                 if (!node.isUp()) {
                     answered(next, Outcome.UNREACHABLE, null, null);
                     return;
                 }
-                judge.asked(time.now(), next.id, ask.job().workload(), node.number, next.patience());
+                judge.requestSent(time.now(), next.id, ask.job().workload(), node.number, next.patience());
                 node.take(next);
                 next.node = node.number;
-                time.after(
+                time.scheduleAfter(
                         next.patience().plus(day.answerGrace).plusMillis(5),
                         () -> answered(next, Outcome.NOTHING, null, null));
             });
@@ -258,18 +260,18 @@
             Duration wait = persistence.next(
                     ask.job().workload(),
                     tries,
-                    outcome == Outcome.UNREACHABLE ? Final.SHED : outcome.how,
+                    outcome == Outcome.UNREACHABLE ? FinalAnswer.SHED : outcome.how,
                     pause,
                     time.now(),
                     ask.at());
             if (wait == null) {
                 finish(outcome.how, false);
             } else {
-                time.after(wait, this::sendTry);
+                time.scheduleAfter(wait, this::sendTry);
             }
         }
 
-        private void finish(Final how, boolean left) {
+        private void finish(FinalAnswer how, boolean left) {
             finished = true;
             open--;
             tally.over(ask, how, time.now(), tries, left);
@@ -278,15 +280,15 @@
 
     /** How a try ends for its client. */
     enum Outcome {
-        FULFILLED(Final.FULFILLED),
-        SHED(Final.SHED),
-        GIVEN_UP(Final.GIVEN_UP),
+        FULFILLED(FinalAnswer.FULFILLED),
+        SHED(FinalAnswer.SHED),
+        GIVEN_UP(FinalAnswer.GIVEN_UP),
         UNREACHABLE(null),
         NOTHING(null);
 
-        final Final how;
+        final FinalAnswer how;
 
-        Outcome(Final how) {
+        Outcome(FinalAnswer how) {
             this.how = how;
         }
     }
--- a/rig/src/main/java/saltdale/rig/standin/JobReports.java
+++ b/rig/src/main/java/saltdale/rig/standin/JobReports.java
@@ -7,7 +7,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 import saltdale.model.LoadReport;
-import saltdale.rig.fleet.Work;
+import saltdale.rig.fleet.RunnerJob;
 import saltdale.rig.plan.Trouble.Kind;
 
 /** What a runner tells of a job: in order, each until it is answered. */
@@ -19,13 +19,13 @@
 
     private final StandInFleet fleet;
     private final StandInRunner runner;
-    private final Work work;
+    private final RunnerJob work;
     private final Deque<byte[]> waiting = new ArrayDeque<>();
     private byte[] sending; // what is told just now, or to be told again
     private boolean busy;
     private int tries;
 
-    JobReports(StandInRunner runner, Work work) {
+    JobReports(StandInRunner runner, RunnerJob work) {
         this.fleet = runner.fleet;
         this.runner = runner;
         this.work = work;
@@ -52,7 +52,7 @@
         }
         byte[] body = object.toString().getBytes(StandardCharsets.UTF_8);
         byte[] head = ("POST /_jobs/news HTTP/1.1\r\nHost: "
-                        + LoopbackAddresses.text(fleet.places.dispatcher(work.from))
+                        + LoopbackAddresses.text(fleet.places.dispatcher(work.dispatcher))
                         + "\r\nContent-Type: application/json\r\nContent-Length: " + body.length + "\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII);
         byte[] call = new byte[head.length + body.length];
@@ -80,14 +80,14 @@
             waiting.clear();
             return;
         }
-        if (runner.endpoints.get(work.from).isMuted()) {
+        if (runner.endpoints.get(work.dispatcher).isMuted()) {
             fleet.loopThread.loop.schedule(PAUSE, this::next); // the link is cut: until it is back
             return;
         }
         busy = true;
         // Out of the queue: guards against another that passes it meanwhile and would be dropped in its place.
         sending = sending == null ? waiting.poll() : sending;
-        new NewsCall(fleet.loopThread, fleet.callBack(runner.number, work.from), sending, this::told).begin();
+        new NewsCall(fleet.loopThread, fleet.callBack(runner.number, work.dispatcher), sending, this::told).begin();
     }
 
     private void told(boolean heard) {
--- a/rig/src/main/java/saltdale/rig/standin/ListWord.java
+++ b/rig/src/main/java/saltdale/rig/standin/ListWord.java
@@ -1,16 +1,16 @@
 package saltdale.rig.standin;
 
 import java.time.Duration;
-import saltdale.rig.fleet.Passage;
-import saltdale.rig.judge.Witness.Health;
+import saltdale.rig.fleet.LinkCondition;
+import saltdale.rig.judge.EventObserver.ListedHealth;
 
 /** Who comes to know of changes among the runners; called on the loop. */
 public interface ListWord {
     /** {@code bornAt} null: it has run for long. */
-    void changed(int runner, Health health, Duration bornAt);
+    void changed(int runner, ListedHealth health, Duration bornAt);
 
     /** This is how its way to this dispatcher is from now on. */
-    void way(int dispatcher, Passage next);
+    void way(int dispatcher, LinkCondition next);
 
     /** It falls silent, or speaks again. */
     void mute(boolean wanted);
--- a/rig/src/main/java/saltdale/rig/standin/RunnerListServer.java
+++ b/rig/src/main/java/saltdale/rig/standin/RunnerListServer.java
@@ -19,9 +19,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 import saltdale.protocol.Head;
-import saltdale.rig.fleet.Passage;
-import saltdale.rig.judge.Witness;
-import saltdale.rig.judge.Witness.Health;
+import saltdale.rig.fleet.LinkCondition;
+import saltdale.rig.judge.EventObserver;
+import saltdale.rig.judge.EventObserver.ListedHealth;
 import saltdale.rig.plan.Day;
 import saltdale.transport.Connection;
 import saltdale.transport.Listener;
@@ -33,7 +33,7 @@
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private static final class Entry {
-        Health health = Health.UP;
+        ListedHealth health = ListedHealth.UP;
         /** Null: long ago. */
         Duration bornAt;
 
@@ -44,15 +44,16 @@
     private final Day day;
     private final LoopbackAddresses places;
     private final Origin origin;
-    private final Witness witness;
+    private final EventObserver witness;
     private final List<Entry> entries = new ArrayList<>();
     private final List<Watch> watches = new ArrayList<>();
     private final Set<Asked> open = new HashSet<>();
-    private final Map<Integer, Passage> ways = new HashMap<>();
+    private final Map<Integer, LinkCondition> ways = new HashMap<>();
     private long version = 1;
     private boolean mute;
 
-    public RunnerListServer(LoopThread loopThread, Day day, LoopbackAddresses places, Origin origin, Witness witness)
+    public RunnerListServer(
+            LoopThread loopThread, Day day, LoopbackAddresses places, Origin origin, EventObserver witness)
             throws IOException {
         this.loopThread = loopThread;
         this.day = day;
@@ -82,7 +83,7 @@
     }
 
     @Override
-    public void changed(int runner, Health health, Duration bornAt) {
+    public void changed(int runner, ListedHealth health, Duration bornAt) {
         Entry entry = entries.get(runner);
         boolean older = entry.bornAt != null && (bornAt == null || bornAt.compareTo(entry.bornAt) < 0);
         if (older) { // guards against a late word of an earlier life
@@ -101,8 +102,8 @@
     }
 
     @Override
-    public void way(int dispatcher, Passage next) {
-        if (next.equals(Objects.requireNonNullElse(ways.put(dispatcher, next), Passage.FREE))) {
+    public void way(int dispatcher, LinkCondition next) {
+        if (next.equals(Objects.requireNonNullElse(ways.put(dispatcher, next), LinkCondition.CLEAR))) {
             return;
         } else if (next.reset()) {
             List.copyOf(open).stream()
@@ -116,8 +117,8 @@
     }
 
     private boolean speaks(int dispatcher) {
-        Passage way = ways.getOrDefault(dispatcher, Passage.FREE);
-        return !mute && !way.reset() && !way.isSilent();
+        LinkCondition way = ways.getOrDefault(dispatcher, LinkCondition.CLEAR);
+        return !mute && !way.reset() && !way.isUnresponsive();
     }
 
     private void tellAll() {
@@ -131,7 +132,7 @@
         Duration now = origin.now();
         for (int i = 0; i < entries.size(); i++) {
             Entry entry = entries.get(i);
-            if (entry.version <= from || from < 0 && entry.health == Health.GONE) {
+            if (entry.version <= from || from < 0 && entry.health == ListedHealth.GONE) {
                 continue;
             }
             hosts.addObject()
@@ -149,7 +150,7 @@
                             })
                     .put("share", 1.0)
                     .put("born_ms", entry.bornAt == null ? 0 : origin.unixMillis + entry.bornAt.toMillis());
-            witness.told(now, dispatcher, i, entry.health, entry.bornAt);
+            witness.listEntryReceived(now, dispatcher, i, entry.health, entry.bornAt);
         }
         try {
             return JSON.writeValueAsString(list);
@@ -174,7 +175,7 @@
 
         @Override
         protected void requested(Head head, byte[] body, Duration first) {
-            if (ways.getOrDefault(dispatcher, Passage.FREE).reset()) {
+            if (ways.getOrDefault(dispatcher, LinkCondition.CLEAR).reset()) {
                 reset();
                 return;
             } else if (!speaks(dispatcher)) {
--- a/rig/src/main/java/saltdale/rig/standin/Served.java
+++ b/rig/src/main/java/saltdale/rig/standin/Served.java
@@ -6,8 +6,8 @@
 import saltdale.model.LoadReport;
 import saltdale.model.Workload;
 import saltdale.protocol.Head;
+import saltdale.rig.fleet.RunnerJob;
 import saltdale.rig.fleet.RunnerModel;
-import saltdale.rig.fleet.Work;
 import saltdale.rig.plan.Trouble;
 import saltdale.rig.plan.Trouble.Kind;
 import saltdale.transport.Connection;
@@ -17,7 +17,7 @@
     private final StandInFleet fleet;
     private final RunnerEndpoint endpoint;
     private final StandInRunner runner;
-    private Work unanswered;
+    private RunnerJob unanswered;
 
     Served(RunnerEndpoint endpoint, Connection connection) {
         super(connection, endpoint.runner.fleet.origin);
@@ -38,8 +38,8 @@
     public void disconnected(String cause) {
         endpoint.open.remove(this);
         if (unanswered != null) { // closed before the 202: given up
-            runner.model.takeBack(fleet.origin.now(), unanswered.id, endpoint.dispatcher);
-            fleet.witness.over(fleet.origin.now(), unanswered.id, runner.number);
+            runner.model.cancel(fleet.origin.now(), unanswered.id, endpoint.dispatcher);
+            fleet.witness.attemptEnded(fleet.origin.now(), unanswered.id, runner.number);
             runner.schedule();
         }
     }
@@ -52,8 +52,8 @@
             job(head, first);
         } else if (head.method().equals("DELETE") && path.startsWith("/jobs/")) {
             String id = path.substring("/jobs/".length());
-            runner.model.takeBack(fleet.origin.now(), id, endpoint.dispatcher);
-            fleet.witness.over(fleet.origin.now(), id, runner.number);
+            runner.model.cancel(fleet.origin.now(), id, endpoint.dispatcher);
+            fleet.witness.attemptEnded(fleet.origin.now(), id, runner.number);
             runner.schedule();
             say(answer(204, "", ""));
         } else if (path.equals("/alive") && fleet.day.orders.mayProbe) {
@@ -83,21 +83,21 @@
             return;
         }
         Duration now = fleet.origin.now();
-        Work work = new Work(
+        RunnerJob work = new RunnerJob(
                 id,
                 workload.repeatSafety == Workload.RepeatSafety.PURE ? null : head.uniqueHeader("Idempotency-Key"),
                 workload,
                 Long.parseLong(size) / 1e6,
                 endpoint.dispatcher);
-        fleet.witness.reached(first, now, id, runner.number, endpoint.dispatcher, work.size);
+        fleet.witness.attemptReceived(first, now, id, runner.number, endpoint.dispatcher, work.sizeSeconds);
         if (!runner.model.isUp()) {
             drop();
             return;
         }
         unanswered = work;
-        RunnerModel.Offer offer = runner.model.offer(now, work);
+        RunnerModel.OfferResult offer = runner.model.offer(now, work);
         switch (offer) {
-            case TAKEN -> {
+            case ACCEPTED -> {
                 if (runner.has(Kind.EARLY_NEWS)) {
                     fleet.loopThread.loop.schedule(Duration.ofMillis(20), () -> say(answer(202, "", "")));
                 } else {
@@ -105,15 +105,15 @@
                 }
             }
             case FULL, DRAINING -> {
-                fleet.witness.unstarted(now, id, runner.number);
+                fleet.witness.attemptNotStarted(now, id, runner.number);
                 say(answer(503, "Not-Started: 1\r\n" + header(), ""));
             }
             case ERROR -> {
-                fleet.witness.over(now, id, runner.number);
+                fleet.witness.attemptEnded(now, id, runner.number);
                 say(answer(500, header(), ""));
             }
-            case FELL -> {
-                fleet.witness.over(now, id, runner.number);
+            case CRASHED -> {
+                fleet.witness.attemptEnded(now, id, runner.number);
                 runner.endpoints.forEach(RunnerEndpoint::shut);
             }
         }
@@ -138,13 +138,13 @@
         Trouble cut = runner.wire(Kind.CUT_ANSWERS);
         Trouble drip = runner.wire(Kind.DRIP_ANSWERS);
         if (cut != null && cut.size() < answer.length) {
-            Work lost = unanswered;
+            RunnerJob lost = unanswered;
             unanswered = null;
             connection.send(ByteBuffer.wrap(answer, 0, (int) cut.size()));
             connection.closeGracefully();
             endpoint.open.remove(this);
             if (lost != null) {
-                fleet.witness.over(fleet.origin.now(), lost.id, runner.number); // as the dispatcher sees it
+                fleet.witness.attemptEnded(fleet.origin.now(), lost.id, runner.number); // as the dispatcher sees it
             }
         } else if (drip != null) {
             drip(answer, 0, Duration.ofNanos((long) (drip.size() * 1e6)));
--- a/rig/src/main/java/saltdale/rig/standin/StandInFleet.java
+++ b/rig/src/main/java/saltdale/rig/standin/StandInFleet.java
@@ -12,10 +12,10 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import saltdale.model.Workload;
-import saltdale.rig.fleet.Passage;
-import saltdale.rig.fleet.Receipts;
+import saltdale.rig.fleet.LinkCondition;
+import saltdale.rig.fleet.ReceiptStore;
 import saltdale.rig.fleet.TroubleSchedule;
-import saltdale.rig.judge.Witness;
+import saltdale.rig.judge.EventObserver;
 import saltdale.rig.load.Watch;
 import saltdale.rig.plan.Day;
 import saltdale.rig.plan.Job;
@@ -39,7 +39,7 @@
     final Day day;
     final LoopbackAddresses places;
     final Origin origin;
-    final Witness witness;
+    final EventObserver witness;
     final ListWord list;
     final TroubleSchedule troubles;
     final Watch watch;
@@ -59,7 +59,7 @@
             Day day,
             LoopbackAddresses places,
             Origin origin,
-            Witness witness,
+            EventObserver witness,
             ListWord list,
             long seed)
             throws IOException {
@@ -94,7 +94,7 @@
                 }
             }
         }
-        List<Receipts.Shared> receipts = Receipts.of(day);
+        List<ReceiptStore.ByScope> receipts = ReceiptStore.of(day);
         for (int i = 0; i < day.runners; i++) {
             runners.add(new StandInRunner(this, i, receipts.get(i), chance.split()));
         }
@@ -127,7 +127,7 @@
     /** The day began at this time: its troubles come by it. */
     public void begin(Duration at) {
         start = at;
-        for (TroubleSchedule.Turn turn : troubles.turns()) {
+        for (TroubleSchedule.ScheduledAction turn : troubles.scheduledActions()) {
             loopThread.loop.schedule(turn.at().plus(start).minus(origin.now()), () -> act(turn));
         }
         sample();
@@ -150,13 +150,13 @@
     private void sample() {
         for (StandInRunner runner : runners) {
             runner.model.advance(origin.now());
-            watch.sample(origin.now(), runner.number, runner.model.held(), runner.model.isUp() && !runner.silent);
+            watch.sample(origin.now(), runner.number, runner.model.heldCount(), runner.model.isUp() && !runner.silent);
         }
         loopThread.loop.schedule(SAMPLE, this::sample);
     }
 
     private void passes(Pair pair, Links own, Duration at) {
-        Passage next = troubles.way(pair.runner, pair.dispatcher, at);
+        LinkCondition next = troubles.linkCondition(pair.runner, pair.dispatcher, at);
         if (!next.equals(own.there.passage())) {
             own.there.set(next);
             own.back.set(next);
@@ -170,39 +170,44 @@
                 Pair pair = new Pair(runner, dispatcher);
                 Links own = links.get(pair);
                 boolean free = !isCut(runner, dispatcher)
-                        && (own == null || own.there.passage().isFree());
+                        && (own == null || own.there.passage().isClear());
                 if (free ? disturbed.remove(pair) : disturbed.add(pair)) {
-                    witness.way(origin.now(), runner, dispatcher, free);
+                    witness.linkChanged(origin.now(), runner, dispatcher, free);
                 }
             }
         }
     }
 
-    private void act(TroubleSchedule.Turn turn) {
+    private void act(TroubleSchedule.ScheduledAction turn) {
         Trouble trouble = turn.trouble();
-        switch (turn.act()) {
-            case CUT -> {
+        switch (turn.action()) {
+            case CUT_ZONE -> {
                 cutZone = (int) trouble.size();
                 tellDisturbed();
                 runners.forEach(StandInRunner::endpoints);
             }
-            case HEAL -> {
+            case RECONNECT_ZONE -> {
                 cutZone = -1;
                 tellDisturbed();
                 runners.forEach(StandInRunner::endpoints);
             }
-            case MUTE -> list.mute(true);
-            case UNMUTE -> list.mute(false);
+            case SILENCE_LIST -> list.mute(true);
+            case RESUME_LIST -> list.mute(false);
             // the dispatchers' own; what is on the wire is looked up at each answer
-            case KILL, REVIVE, STOP, GO_ON, END, WIRE -> {}
-            case WAY -> {
+            case KILL_DISPATCHER,
+                    RESTART_DISPATCHER,
+                    PAUSE_DISPATCHER,
+                    RESUME_DISPATCHER,
+                    SHUT_DOWN_DISPATCHER,
+                    CHANGE_WIRE -> {}
+            case CHANGE_LINK -> {
                 links.forEach((pair, own) -> passes(pair, own, turn.at()));
                 tellDisturbed();
                 for (int j = 0; j < day.dispatchers; j++) {
-                    list.way(j, troubles.listWay(j, turn.at()));
+                    list.way(j, troubles.listLinkCondition(j, turn.at()));
                 }
             }
-            default -> trouble.runners().forEach(i -> runners.get(i).act(turn.act(), turn.at()));
+            default -> trouble.runners().forEach(i -> runners.get(i).act(turn.action(), turn.at()));
         }
     }
 }
--- a/rig/src/main/java/saltdale/rig/standin/StandInRunner.java
+++ b/rig/src/main/java/saltdale/rig/standin/StandInRunner.java
@@ -8,28 +8,28 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.SplittableRandom;
-import saltdale.rig.fleet.Receipts;
+import saltdale.rig.fleet.ReceiptStore;
+import saltdale.rig.fleet.RunnerJob;
 import saltdale.rig.fleet.RunnerModel;
-import saltdale.rig.fleet.RunnerModel.End;
-import saltdale.rig.fleet.TroubleSchedule.Act;
-import saltdale.rig.fleet.Work;
-import saltdale.rig.judge.Witness.Health;
+import saltdale.rig.fleet.RunnerModel.JobEnd;
+import saltdale.rig.fleet.TroubleSchedule.Action;
+import saltdale.rig.judge.EventObserver.ListedHealth;
 import saltdale.rig.plan.Trouble;
 import saltdale.rig.plan.Trouble.Kind;
 import saltdale.transport.Timer;
 
 /** A runner: its model, and what it tells. */
-final class StandInRunner implements RunnerModel.Told {
+final class StandInRunner implements RunnerModel.JobListener {
     final StandInFleet fleet;
     final int number;
     final RunnerModel model;
     final List<RunnerEndpoint> endpoints = new ArrayList<>();
-    final Map<Work, JobReports> reports = new HashMap<>();
+    final Map<RunnerJob, JobReports> reports = new HashMap<>();
     boolean silent;
     private Timer wake;
     private Duration wakeAt;
 
-    StandInRunner(StandInFleet fleet, int number, Receipts.Shared receipts, SplittableRandom chance)
+    StandInRunner(StandInFleet fleet, int number, ReceiptStore.ByScope receipts, SplittableRandom chance)
             throws IOException {
         this.fleet = fleet;
         this.number = number;
@@ -73,48 +73,48 @@
         return fleet.origin.now().minus(fleet.loopThread.loop.elapsed());
     }
 
-    void act(Act act, Duration at) {
+    void act(Action act, Duration at) {
         Duration now = fleet.origin.now();
         switch (act) {
             // By the hour that it was set for: a timer may come a little before its time, and none would
             // follow.
-            case CONDITION -> model.condition(now, fleet.troubles.condition(number, at));
+            case CHANGE_CONDITION -> model.setCondition(now, fleet.troubles.runnerCondition(number, at));
             case CRASH -> {
                 endpoints.forEach(RunnerEndpoint::shut);
                 model.stop(now);
-                lists(Health.GONE, fleet.day.silentNotice);
+                lists(ListedHealth.GONE, fleet.day.silentNotice);
             }
             case VANISH -> {
                 silent = true;
-                fleet.witness.silent(now, number);
+                fleet.witness.runnerSilent(now, number);
                 endpoints();
                 reports.clear();
                 model.stop(now);
-                lists(Health.GONE, fleet.day.silentNotice);
+                lists(ListedHealth.GONE, fleet.day.silentNotice);
             }
             case DRAIN, HAND_BACK -> {
-                model.drain(now, act == Act.HAND_BACK);
-                lists(Health.DRAINING, fleet.day.notice);
+                model.drain(now, act == Action.HAND_BACK);
+                lists(ListedHealth.DRAINING, fleet.day.notice);
             }
             case REMOVE -> {
                 endpoints.forEach(RunnerEndpoint::shut);
                 model.stop(now);
-                lists(Health.GONE, fleet.day.notice);
+                lists(ListedHealth.GONE, fleet.day.notice);
             }
             case START -> {
                 silent = false;
                 model.start(now);
-                fleet.witness.started(now, number, model.make);
+                fleet.witness.runnerStarted(now, number, model.make);
                 endpoints.forEach(RunnerEndpoint::renew);
-                lists(Health.UP, fleet.day.notice);
+                lists(ListedHealth.UP, fleet.day.notice);
             }
             default -> {}
         }
         schedule();
     }
 
-    private void lists(Health health, Duration notice) {
-        Duration bornAt = model.bornAt();
+    private void lists(ListedHealth health, Duration notice) {
+        Duration bornAt = model.startedAt();
         fleet.loopThread.loop.schedule(notice, () -> fleet.list.changed(number, health, bornAt));
     }
 
@@ -126,7 +126,8 @@
         if (fleet.day.troubles.isEmpty()) {
             return null;
         }
-        for (Trouble each : fleet.troubles.wire(number, fleet.origin.now().minus(fleet.start))) {
+        for (Trouble each :
+                fleet.troubles.wireTroubles(number, fleet.origin.now().minus(fleet.start))) {
             if (each.kind() == kind) {
                 return each;
             }
@@ -137,45 +138,45 @@
     // The model tells.
 
     @Override
-    public void started(Duration at, Work work) {
+    public void started(Duration at, RunnerJob work) {
         if (fleet.day.orders.reportsStart) {
             telling(work).add("started", -1, null);
         }
     }
 
     @Override
-    public void running(Duration at, Work work, double share) {
+    public void progressed(Duration at, RunnerJob work, double share) {
         telling(work).add("running", share, null);
     }
 
     @Override
-    public void ended(Duration at, Work work, End how) {
+    public void ended(Duration at, RunnerJob work, JobEnd how) {
         String result = work.id + "@" + number;
         Duration now = fleet.origin.now();
         switch (how) {
             case DONE, SHED -> {
-                if (work.isRepeat()) {
-                    fleet.witness.made(now, work.id, result);
+                if (work.isDuplicate()) {
+                    fleet.witness.duplicateAnswered(now, work.id, result);
                 } else {
-                    fleet.witness.effect(now, work.id, number, result);
+                    fleet.witness.effectProduced(now, work.id, number, result);
                 }
-                fleet.witness.over(now, work.id, number);
+                fleet.witness.attemptEnded(now, work.id, number);
             }
-            case RETURNED -> fleet.witness.unstarted(now, work.id, number);
-            default -> fleet.witness.over(now, work.id, number);
+            case RETURNED -> fleet.witness.attemptNotStarted(now, work.id, number);
+            default -> fleet.witness.attemptEnded(now, work.id, number);
         }
         if (silent) {
             return; // the machine has vanished with its agent
         }
         telling(work)
                 .add(
-                        (how == End.SHED ? End.RETURNED : how).name().toLowerCase(Locale.ROOT),
+                        (how == JobEnd.SHED ? JobEnd.RETURNED : how).name().toLowerCase(Locale.ROOT),
                         -1,
-                        how == End.DONE ? result : null);
+                        how == JobEnd.DONE ? result : null);
         reports.remove(work);
     }
 
-    private JobReports telling(Work work) {
+    private JobReports telling(RunnerJob work) {
         return reports.computeIfAbsent(work, w -> new JobReports(this, w));
     }
 }
--- a/rig/src/main/java/saltdale/rig/ways/LinkRelay.java
+++ b/rig/src/main/java/saltdale/rig/ways/LinkRelay.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
-import saltdale.rig.fleet.Passage;
+import saltdale.rig.fleet.LinkCondition;
 import saltdale.rig.standin.LoopThread;
 import saltdale.transport.Connection;
 import saltdale.transport.Timer;
@@ -31,7 +31,7 @@
     private final SplittableRandom chance;
     private final SwitchableListener mouth;
     private final Set<RelayedConnection> strands = new LinkedHashSet<>();
-    private Passage passage = Passage.FREE;
+    private LinkCondition passage = LinkCondition.CLEAR;
 
     /** {@code outward}: whether who connects is the dispatcher, so that its bytes go to the runner. */
     public LinkRelay(
@@ -48,19 +48,19 @@
         mouth = new SwitchableListener(loopThread, at, (connection, full) -> new RelayedConnection(connection));
     }
 
-    public Passage passage() {
+    public LinkCondition passage() {
         return passage;
     }
 
     /** From now on this passes. */
-    public void set(Passage next) {
+    public void set(LinkCondition next) {
         passage = next;
         if (next.reset()) {
             mouth.shut();
             List.copyOf(strands).forEach(RelayedConnection::reset);
         } else {
             mouth.open();
-            mouth.silent(next.isSilent());
+            mouth.silent(next.isUnresponsive());
             List.copyOf(strands).forEach(RelayedConnection::renew);
         }
     }
@@ -124,7 +124,7 @@
             }
 
             private boolean isCut() {
-                return toRunner ? passage.cutThere() : passage.cutBack();
+                return toRunner ? passage.blockedToRunner() : passage.blockedFromRunner();
             }
 
             @Override
@@ -136,7 +136,7 @@
             public void received(ByteBuffer bytes) {
                 ByteBuffer copy =
                         ByteBuffer.allocate(bytes.remaining()).put(bytes).flip();
-                double late = passage.late() * (1 + passage.jitter() * chance.nextDouble());
+                double late = passage.delaySeconds() * (1 + passage.jitterShare() * chance.nextDouble());
                 Duration due = loopThread.loop.now().plusNanos((long) (late * 1e9));
                 lastDue = due.compareTo(lastDue) > 0 ? due : lastDue; // in order, as TCP has it
                 parts.add(new Part(lastDue, copy));
@@ -172,7 +172,7 @@
                     if (next.due.compareTo(now) > 0) {
                         timer = loopThread.loop.schedule(next.due.minus(now), this::pump);
                         return;
-                    } else if (passage.pace() > 0) {
+                    } else if (passage.bytesPerSecond() > 0) {
                         trickle(next);
                         return;
                     }
@@ -190,8 +190,8 @@
             }
 
             private void trickle(Part next) {
-                double gap = Math.max(STEP.toNanos() / 1e9, 1 / passage.pace());
-                int many = Math.min(next.bytes.remaining(), Math.max(1, (int) (passage.pace() * gap)));
+                double gap = Math.max(STEP.toNanos() / 1e9, 1 / passage.bytesPerSecond());
+                int many = Math.min(next.bytes.remaining(), Math.max(1, (int) (passage.bytesPerSecond() * gap)));
                 byte[] some = new byte[many];
                 next.bytes.get(some);
                 if (!next.bytes.hasRemaining()) {
--- a/rig/src/test/java/saltdale/rig/fleet/RunnerModelProperties.java
+++ b/rig/src/test/java/saltdale/rig/fleet/RunnerModelProperties.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 import saltdale.model.Workload;
-import saltdale.rig.fleet.RunnerModel.Offer;
+import saltdale.rig.fleet.RunnerModel.OfferResult;
 import saltdale.rig.plan.Make;
 
 class RunnerModelProperties {
@@ -28,24 +28,24 @@
         Duration[] last = {Duration.ZERO};
         RunnerModel runner = new RunnerModel(
                 Make.plain(cores, 3).warming(0.3, Duration.ofSeconds(2)),
-                new Receipts.Shared(new Receipts(), new Receipts(), new Receipts()),
+                new ReceiptStore.ByScope(new ReceiptStore(), new ReceiptStore(), new ReceiptStore()),
                 2,
                 Duration.ofSeconds(1),
                 0.1,
                 new SplittableRandom(1),
-                new RunnerModel.Told() {
+                new RunnerModel.JobListener() {
                     @Override
-                    public void started(Duration at, Work work) {
+                    public void started(Duration at, RunnerJob work) {
                         forward(at);
                     }
 
                     @Override
-                    public void running(Duration at, Work work, double share) {
+                    public void progressed(Duration at, RunnerJob work, double share) {
                         forward(at);
                     }
 
                     @Override
-                    public void ended(Duration at, Work work, RunnerModel.End how) {
+                    public void ended(Duration at, RunnerJob work, RunnerModel.JobEnd how) {
                         forward(at);
                         ends.merge(work.id, 1, Integer::sum);
                     }
@@ -61,13 +61,14 @@
             int deed = Math.floorMod(deeds[i], 16);
             now = now.plusMillis(Math.floorMod(deeds[i] / 16, 400));
             if (deed < 9 && runner.isUp()) {
-                Offer offer = runner.offer(now, new Work("j" + i, null, new Workload(), 0.01 + deed * 0.06, 0));
-                if (offer == Offer.TAKEN) {
+                OfferResult offer =
+                        runner.offer(now, new RunnerJob("j" + i, null, new Workload(), 0.01 + deed * 0.06, 0));
+                if (offer == OfferResult.ACCEPTED) {
                     taken.add("j" + i);
                 }
             } else if (deed == 9 && !taken.isEmpty()) {
                 String id = taken.iterator().next();
-                if (!ends.containsKey(id) && runner.takeBack(now, id, 0) && !ends.containsKey(id)) {
+                if (!ends.containsKey(id) && runner.cancel(now, id, 0) && !ends.containsKey(id)) {
                     back.add(id);
                     taken.remove(id);
                 }
@@ -78,16 +79,18 @@
             } else if (deed == 12) {
                 runner.drain(now, true);
             } else {
-                runner.condition(
+                runner.setCondition(
                         now,
                         deed == 13
-                                ? new Condition(5, false, 0.2, 0, 0.5, 3, 0.5, 0.1, 2)
-                                : deed == 14 ? new Condition(1, true, 0, 0, 0, 1, 0, 0, 1) : Condition.GOOD);
+                                ? new RunnerCondition(5, false, 0.2, 0, 0.5, 3, 0.5, 0.1, 2)
+                                : deed == 14
+                                        ? new RunnerCondition(1, true, 0, 0, 0, 1, 0, 0, 1)
+                                        : RunnerCondition.NORMAL);
             }
         }
-        runner.condition(now, Condition.GOOD);
+        runner.setCondition(now, RunnerCondition.NORMAL);
         runner.advance(now.plusSeconds(600));
-        assertEquals(0, runner.held());
+        assertEquals(0, runner.heldCount());
         taken.forEach(id -> assertEquals(1, ends.getOrDefault(id, 0), id));
         back.forEach(id -> assertEquals(0, ends.getOrDefault(id, 0), id));
     }
--- a/rig/src/test/java/saltdale/rig/fleet/RunnerModelTest.java
+++ b/rig/src/test/java/saltdale/rig/fleet/RunnerModelTest.java
@@ -10,27 +10,27 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import saltdale.model.Workload;
-import saltdale.rig.fleet.RunnerModel.Offer;
+import saltdale.rig.fleet.RunnerModel.OfferResult;
 import saltdale.rig.plan.Make;
 
-class RunnerModelTest implements RunnerModel.Told {
+class RunnerModelTest implements RunnerModel.JobListener {
     private final List<String> told = new ArrayList<>();
     private final Workload workload = new Workload();
-    private final Receipts all = new Receipts();
-    private Receipts.Shared receipts = new Receipts.Shared(all, new Receipts(), new Receipts());
+    private final ReceiptStore all = new ReceiptStore();
+    private ReceiptStore.ByScope receipts = new ReceiptStore.ByScope(all, new ReceiptStore(), new ReceiptStore());
 
     @Override
-    public void started(Duration at, Work work) {
+    public void started(Duration at, RunnerJob work) {
         told.add(work.id + " started " + at.toMillis());
     }
 
     @Override
-    public void running(Duration at, Work work, double share) {
+    public void progressed(Duration at, RunnerJob work, double share) {
         told.add(work.id + " at " + Math.round(share * 100) + "% " + at.toMillis());
     }
 
     @Override
-    public void ended(Duration at, Work work, RunnerModel.End how) {
+    public void ended(Duration at, RunnerJob work, RunnerModel.JobEnd how) {
         told.add(work.id + " " + how + " " + at.toMillis());
     }
 
@@ -38,8 +38,8 @@
         return new RunnerModel(make, receipts, 2, Duration.ofSeconds(1), 0.4, new SplittableRandom(1), this);
     }
 
-    private Work work(String id, double size) {
-        return new Work(id, null, workload, size, 0);
+    private RunnerJob work(String id, double size) {
+        return new RunnerJob(id, null, workload, size, 0);
     }
 
     private static Duration ms(long millis) {
@@ -53,26 +53,32 @@
         double[] sum = {0};
         int[] ended = {0};
         RunnerModel runner = new RunnerModel(
-                Make.plain(cores, 1 << 20), null, 0, Duration.ZERO, 1, new SplittableRandom(1), new RunnerModel.Told() {
+                Make.plain(cores, 1 << 20),
+                null,
+                0,
+                Duration.ZERO,
+                1,
+                new SplittableRandom(1),
+                new RunnerModel.JobListener() {
                     @Override
-                    public void started(Duration at, Work work) {}
+                    public void started(Duration at, RunnerJob work) {}
 
                     @Override
-                    public void running(Duration at, Work work, double share) {}
+                    public void progressed(Duration at, RunnerJob work, double share) {}
 
                     @Override
-                    public void ended(Duration at, Work work, RunnerModel.End how) {
+                    public void ended(Duration at, RunnerJob work, RunnerModel.JobEnd how) {
                         ended[0]++;
-                        sum[0] += at.minus((Duration) work.mark).toNanos() / 1e9;
+                        sum[0] += at.minus((Duration) work.attachment).toNanos() / 1e9;
                     }
                 });
         SplittableRandom chance = new SplittableRandom(7);
         double at = 0;
         for (int i = 0; i < arrivals; i++) {
             at -= Math.log(1 - chance.nextDouble()) / (utilisation * cores);
-            Work work = work("j" + i, -Math.log(1 - chance.nextDouble()));
-            work.mark = Duration.ofNanos((long) (at * 1e9));
-            runner.offer((Duration) work.mark, work);
+            RunnerJob work = work("j" + i, -Math.log(1 - chance.nextDouble()));
+            work.attachment = Duration.ofNanos((long) (at * 1e9));
+            runner.offer((Duration) work.attachment, work);
         }
         runner.advance(Duration.ofSeconds((long) at + 1000));
         assertEquals(arrivals, ended[0]);
@@ -105,7 +111,7 @@
                 this);
         runner.start(ms(0));
         runner.offer(ms(0), work("a", 1));
-        assertEquals(0.625, runner.warmth(ms(2000)), 1e-9);
+        assertEquals(0.625, runner.capacityShare(ms(2000)), 1e-9);
         runner.advance(ms(4000));
         // The integral of 0.25 + 0.75 t/4 is 1 at t = 2.23 s.
         assertTrue(told.get(1).startsWith("a DONE 22"), told.toString());
@@ -117,9 +123,9 @@
         runner.start(ms(0));
         // N = 2 x 0.25 x 1 s / 0.4 s = 1.25, so that 7 are borne; a long one is one, as nobody was told its size
         for (int i = 0; i < 7; i++) {
-            assertEquals(Offer.TAKEN, runner.offer(ms(1), work(i == 0 ? "a" : "b" + i, i == 0 ? 40 : 0.1)));
+            assertEquals(OfferResult.ACCEPTED, runner.offer(ms(1), work(i == 0 ? "a" : "b" + i, i == 0 ? 40 : 0.1)));
         }
-        assertEquals(Offer.FELL, runner.offer(ms(2), work("c", 0.1)));
+        assertEquals(OfferResult.CRASHED, runner.offer(ms(2), work("c", 0.1)));
         assertFalse(runner.isUp());
         assertTrue(told.contains("a LOST 2"), told.toString());
         runner.start(ms(9000));
@@ -129,8 +135,8 @@
     @Test
     void aWarmOneBearsTheSamePush() {
         RunnerModel runner = runner(Make.plain(1, 100));
-        assertEquals(Offer.TAKEN, runner.offer(ms(1), work("a", 4)));
-        assertEquals(Offer.TAKEN, runner.offer(ms(2), work("b", 4)));
+        assertEquals(OfferResult.ACCEPTED, runner.offer(ms(1), work("a", 4)));
+        assertEquals(OfferResult.ACCEPTED, runner.offer(ms(2), work("b", 4)));
     }
 
     @Test
@@ -138,9 +144,9 @@
         RunnerModel runner = runner(Make.plain(1, 1));
         runner.offer(ms(0), work("a", 1));
         runner.offer(ms(0), work("b", 1));
-        assertEquals(Offer.FULL, runner.offer(ms(0), work("c", 1)));
+        assertEquals(OfferResult.FULL, runner.offer(ms(0), work("c", 1)));
         runner.advance(ms(1000));
-        assertEquals(Offer.TAKEN, runner.offer(ms(1000), work("c", 1)));
+        assertEquals(OfferResult.ACCEPTED, runner.offer(ms(1000), work("c", 1)));
     }
 
     @Test
@@ -181,7 +187,7 @@
     void slowedInTheMiddleItEndsLaterByThatMuch() {
         RunnerModel runner = runner(Make.plain(1, 4));
         runner.offer(ms(0), work("a", 1));
-        runner.condition(ms(500), new Condition(4, false, 0, 0, 0, 1, 0, 0, 1));
+        runner.setCondition(ms(500), new RunnerCondition(4, false, 0, 0, 0, 1, 0, 0, 1));
         runner.advance(ms(5000));
         assertEquals("a DONE 2500", told.get(1));
     }
@@ -190,9 +196,9 @@
     void stalledItDoesNothingUntilItIsOver() {
         RunnerModel runner = runner(Make.plain(1, 4));
         runner.offer(ms(0), work("a", 1));
-        runner.condition(ms(500), new Condition(1, true, 0, 0, 0, 1, 0, 0, 1));
+        runner.setCondition(ms(500), new RunnerCondition(1, true, 0, 0, 0, 1, 0, 0, 1));
         runner.offer(ms(600), work("b", 1));
-        runner.condition(ms(3000), Condition.GOOD);
+        runner.setCondition(ms(3000), RunnerCondition.NORMAL);
         runner.advance(ms(9000));
         assertEquals(List.of("a started 0", "a DONE 3500", "b started 3500", "b DONE 4500"), told);
     }
@@ -203,7 +209,7 @@
         runner.offer(ms(0), work("a", 1));
         runner.offer(ms(0), work("b", 1));
         runner.drain(ms(10), true);
-        assertEquals(Offer.DRAINING, runner.offer(ms(11), work("c", 1)));
+        assertEquals(OfferResult.DRAINING, runner.offer(ms(11), work("c", 1)));
         runner.advance(ms(2000));
         assertEquals(List.of("a started 0", "b RETURNED 10", "a DONE 1000"), told);
     }
@@ -212,34 +218,34 @@
     void aReceiptDropsARepeatWithinItsWindowOnly() {
         workload.dedupWindow = Duration.ofSeconds(2);
         RunnerModel runner = runner(Make.plain(1, 4));
-        Work first = new Work("a", "r", workload, 1, 0);
-        Work repeat = new Work("b", "r", workload, 1, 0);
-        Work late = new Work("c", "r", workload, 1, 0);
+        RunnerJob first = new RunnerJob("a", "r", workload, 1, 0);
+        RunnerJob repeat = new RunnerJob("b", "r", workload, 1, 0);
+        RunnerJob late = new RunnerJob("c", "r", workload, 1, 0);
         runner.offer(ms(0), first);
         runner.offer(ms(1500), repeat);
         runner.offer(ms(3000), late);
         runner.advance(ms(9000));
-        assertFalse(first.isRepeat());
-        assertTrue(repeat.isRepeat());
-        assertFalse(late.isRepeat());
+        assertFalse(first.isDuplicate());
+        assertTrue(repeat.isDuplicate());
+        assertFalse(late.isDuplicate());
     }
 
     @Test
     void aReceiptIsKnownWithinItsWorkloadsGroupOnly() {
         workload.dedupWindow = Duration.ofSeconds(2);
         workload.dedupScope = Workload.DedupScope.CELL;
-        Work first = new Work("a", "r", workload, 0.1, 0);
-        Work elsewhere = new Work("a", "r", workload, 0.1, 0);
+        RunnerJob first = new RunnerJob("a", "r", workload, 0.1, 0);
+        RunnerJob elsewhere = new RunnerJob("a", "r", workload, 0.1, 0);
         runner(Make.plain(1, 4)).offer(ms(0), first);
-        receipts = new Receipts.Shared(all, new Receipts(), new Receipts());
+        receipts = new ReceiptStore.ByScope(all, new ReceiptStore(), new ReceiptStore());
         runner(Make.plain(1, 4)).offer(ms(200), elsewhere);
-        assertFalse(elsewhere.isRepeat());
+        assertFalse(elsewhere.isDuplicate());
         workload.dedupScope = Workload.DedupScope.ALL;
-        runner(Make.plain(1, 4)).offer(ms(0), new Work("b", "s", workload, 0.1, 0));
-        receipts = new Receipts.Shared(all, new Receipts(), new Receipts());
-        Work again = new Work("b", "s", workload, 0.1, 0);
+        runner(Make.plain(1, 4)).offer(ms(0), new RunnerJob("b", "s", workload, 0.1, 0));
+        receipts = new ReceiptStore.ByScope(all, new ReceiptStore(), new ReceiptStore());
+        RunnerJob again = new RunnerJob("b", "s", workload, 0.1, 0);
         runner(Make.plain(1, 4)).offer(ms(200), again);
-        assertTrue(again.isRepeat());
+        assertTrue(again.isDuplicate());
     }
 
     @Test
@@ -256,15 +262,15 @@
         List<String> ends = new ArrayList<>();
         RunnerModel[] runner = new RunnerModel[1];
         runner[0] = new RunnerModel(
-                Make.plain(2, 4), null, 0, Duration.ZERO, 1, new SplittableRandom(1), new RunnerModel.Told() {
+                Make.plain(2, 4), null, 0, Duration.ZERO, 1, new SplittableRandom(1), new RunnerModel.JobListener() {
                     @Override
-                    public void started(Duration at, Work work) {}
+                    public void started(Duration at, RunnerJob work) {}
 
                     @Override
-                    public void running(Duration at, Work work, double share) {}
+                    public void progressed(Duration at, RunnerJob work, double share) {}
 
                     @Override
-                    public void ended(Duration at, Work work, RunnerModel.End how) {
+                    public void ended(Duration at, RunnerJob work, RunnerModel.JobEnd how) {
                         runner[0].report(ms(5000));
                         ends.add(work.id);
                     }
@@ -280,7 +286,7 @@
         RunnerModel runner = runner(Make.plain(1, 4));
         runner.offer(ms(0), work("a", 1));
         runner.offer(ms(0), work("b", 1));
-        assertTrue(runner.takeBack(ms(100), "a", 0));
+        assertTrue(runner.cancel(ms(100), "a", 0));
         runner.advance(ms(2000));
         assertEquals(List.of("a started 0", "b started 100", "b DONE 1100"), told);
     }
--- a/rig/src/test/java/saltdale/rig/judge/JudgeTest.java
+++ b/rig/src/test/java/saltdale/rig/judge/JudgeTest.java
@@ -11,7 +11,7 @@
 class JudgeTest {
     private final Workload pure = new Workload();
     private final Judge judge = new Judge(
-            new Terms(
+            new JudgeSettings(
                     ms(0),
                     ms(500),
                     ms(50),
@@ -30,55 +30,55 @@
     }
 
     private void asked(long at, String id) {
-        judge.asked(ms(at), id, pure, 0, ms(1000));
+        judge.requestSent(ms(at), id, pure, 0, ms(1000));
     }
 
     private void reached(long at, String id, int runner) {
-        judge.reached(ms(at), ms(at), id, runner, 0, 1);
+        judge.attemptReceived(ms(at), ms(at), id, runner, 0, 1);
     }
 
-    private void found(Map<Breach.Kind, Long> wanted) {
-        judge.end();
-        assertEquals(wanted, judge.counts());
+    private void found(Map<Violation.Kind, Long> wanted) {
+        judge.finish();
+        assertEquals(wanted, judge.countsByKind());
     }
 
     @Test
     void whatEndedWhileItWasStoppedIsExcusedAndWhatCameLaterIsNot() {
         asked(0, "a");
-        judge.stopped(ms(500), 0);
+        judge.dispatcherPaused(ms(500), 0);
         asked(600, "b");
-        judge.wentOn(ms(3000), 0);
+        judge.dispatcherResumed(ms(3000), 0);
         asked(3000, "c");
-        found(Map.of(Breach.Kind.LOST, 1L));
+        found(Map.of(Violation.Kind.LOST, 1L));
     }
 
     @Test
     void whatAStoppedOneWasToldCountsFromWhenItGoesOn() {
-        judge.stopped(ms(0), 0);
-        judge.told(ms(100), 0, 1, Witness.Health.DRAINING, null);
-        judge.wentOn(ms(3000), 0);
+        judge.dispatcherPaused(ms(0), 0);
+        judge.listEntryReceived(ms(100), 0, 1, EventObserver.ListedHealth.DRAINING, null);
+        judge.dispatcherResumed(ms(3000), 0);
         asked(3100, "a");
         reached(3200, "a", 1);
-        judge.answered(ms(3300), "a", Witness.Final.SHED, null);
+        judge.answerReceived(ms(3300), "a", EventObserver.FinalAnswer.SHED, null);
         asked(3600, "b");
         reached(3700, "b", 1);
-        judge.answered(ms(3800), "b", Witness.Final.SHED, null);
-        found(Map.of(Breach.Kind.SENT_TO_DRAINING, 1L));
+        judge.answerReceived(ms(3800), "b", EventObserver.FinalAnswer.SHED, null);
+        found(Map.of(Violation.Kind.SENT_TO_DRAINING, 1L));
     }
 
     @Test
     void aCopyIsNoFaultOnlyOnADisturbedWay() {
         asked(0, "a");
         reached(10, "a", 0);
-        judge.way(ms(20), 0, 0, false); // it can't be called off there
+        judge.linkChanged(ms(20), 0, 0, false); // it can't be called off there
         reached(30, "a", 1);
-        judge.answered(ms(40), "a", Witness.Final.SHED, null);
-        judge.way(ms(50), 0, 0, true);
+        judge.answerReceived(ms(40), "a", EventObserver.FinalAnswer.SHED, null);
+        judge.linkChanged(ms(50), 0, 0, true);
         asked(3000, "b");
         reached(3010, "b", 0);
         reached(3020, "b", 1);
-        judge.answered(ms(3040), "b", Witness.Final.SHED, null);
-        found(Map.of(Breach.Kind.TWO_OUT, 1L));
+        judge.answerReceived(ms(3040), "b", EventObserver.FinalAnswer.SHED, null);
+        found(Map.of(Violation.Kind.TWO_OUT, 1L));
     }
 
     @Test
@@ -86,17 +86,17 @@
         for (int i = 0; i < 400; i++) {
             asked(i, "a" + i);
             if (i < 2) {
-                judge.turnedOff(ms(i), "a" + i);
+                judge.newConnectionClosed(ms(i), "a" + i);
             } else {
-                judge.answered(ms(i), "a" + i, Witness.Final.SHED, null);
+                judge.answerReceived(ms(i), "a" + i, EventObserver.FinalAnswer.SHED, null);
             }
         }
-        judge.asked(ms(600), "killed", pure, 1, ms(1000));
-        judge.turnedOff(ms(600), "killed");
-        judge.killed(ms(601), 1); // heard after it, as it may be
+        judge.requestSent(ms(600), "killed", pure, 1, ms(1000));
+        judge.newConnectionClosed(ms(600), "killed");
+        judge.dispatcherKilled(ms(601), 1); // heard after it, as it may be
         found(Map.of());
         asked(1000, "b");
-        judge.turnedOff(ms(1000), "b");
-        found(Map.of(Breach.Kind.LOST, 1L));
+        judge.newConnectionClosed(ms(1000), "b");
+        found(Map.of(Violation.Kind.LOST, 1L));
     }
 }
--- a/rig/src/test/java/saltdale/rig/load/GeneratorTest.java
+++ b/rig/src/test/java/saltdale/rig/load/GeneratorTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import saltdale.rig.judge.Witness;
+import saltdale.rig.judge.EventObserver;
 import saltdale.rig.plan.Day;
 import saltdale.rig.plan.Sheet;
 import saltdale.rig.standin.LoopThread;
@@ -31,7 +31,7 @@
                     day,
                     List.of(new LoopbackAddresses(9).dispatcher(0)),
                     origin,
-                    Witness.NOBODY,
+                    EventObserver.NONE,
                     1,
                     "t",
                     origin.now());
--- a/rig/src/test/java/saltdale/rig/load/LoadTest.java
+++ b/rig/src/test/java/saltdale/rig/load/LoadTest.java
@@ -12,7 +12,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 import saltdale.model.Workload;
-import saltdale.rig.judge.Witness.Final;
+import saltdale.rig.judge.EventObserver.FinalAnswer;
 import saltdale.rig.plan.Job;
 import saltdale.rig.plan.Misread;
 import saltdale.rig.plan.Size;
@@ -103,20 +103,20 @@
     @Test
     void clientsTryAgainOnlyWhereItIsHarmlessAndWithinTheirBudget() {
         Persistence persistence = new Persistence(Traffic.steady(1).retrying(2, ms(50), 1), new SplittableRandom(1));
-        assertNull(persistence.next(workload, 1, Final.FULFILLED, null, ms(0), ms(0)));
-        Duration first = persistence.next(workload, 1, Final.GIVEN_UP, null, ms(0), ms(0));
+        assertNull(persistence.next(workload, 1, FinalAnswer.FULFILLED, null, ms(0), ms(0)));
+        Duration first = persistence.next(workload, 1, FinalAnswer.GIVEN_UP, null, ms(0), ms(0));
         Duration second = persistence.next(workload, 2, null, null, ms(0), ms(0));
         assertTrue(first.compareTo(ms(25)) >= 0 && first.compareTo(ms(50)) <= 0, first.toString());
         assertTrue(second.compareTo(ms(50)) >= 0 && second.compareTo(ms(100)) <= 0, second.toString());
-        assertNull(persistence.next(workload, 3, Final.SHED, null, ms(0), ms(0)));
-        assertEquals(ms(700), persistence.next(workload, 1, Final.SHED, ms(700), ms(0), ms(0)));
+        assertNull(persistence.next(workload, 3, FinalAnswer.SHED, null, ms(0), ms(0)));
+        assertEquals(ms(700), persistence.next(workload, 1, FinalAnswer.SHED, ms(700), ms(0), ms(0)));
         workload.repeatSafety = Workload.RepeatSafety.EFFECTFUL;
-        assertNull(persistence.next(workload, 1, Final.GIVEN_UP, null, ms(0), ms(0)));
-        assertNotNull(persistence.next(workload, 1, Final.SHED, null, ms(0), ms(0)));
+        assertNull(persistence.next(workload, 1, FinalAnswer.GIVEN_UP, null, ms(0), ms(0)));
+        assertNotNull(persistence.next(workload, 1, FinalAnswer.SHED, null, ms(0), ms(0)));
         workload.repeatSafety = Workload.RepeatSafety.RECEIPTED;
         workload.dedupWindow = ms(500);
-        assertNotNull(persistence.next(workload, 1, Final.GIVEN_UP, null, ms(400), ms(0)));
-        assertNull(persistence.next(workload, 1, Final.GIVEN_UP, null, ms(600), ms(0)));
+        assertNotNull(persistence.next(workload, 1, FinalAnswer.GIVEN_UP, null, ms(400), ms(0)));
+        assertNull(persistence.next(workload, 1, FinalAnswer.GIVEN_UP, null, ms(600), ms(0)));
     }
 
     @Test
@@ -125,7 +125,7 @@
         int further = 0;
         for (int i = 0; i < 1000; i++) {
             persistence.firstTry();
-            further += persistence.next(workload, 1, Final.SHED, null, ms(0), ms(0)) == null ? 0 : 1;
+            further += persistence.next(workload, 1, FinalAnswer.SHED, null, ms(0), ms(0)) == null ? 0 : 1;
         }
         assertEquals(110, further, 1); // ten free ones, then one in ten
     }
@@ -140,7 +140,7 @@
             boolean stalled = at.compareTo(ms(1000)) >= 0 && at.compareTo(ms(2000)) < 0;
             tally.over(
                     new Ask(i, at, jobs.get(0), 0.001),
-                    Final.FULFILLED,
+                    FinalAnswer.FULFILLED,
                     stalled ? ms(2000) : at.plusMillis(1),
                     1,
                     false);
--- a/rig/src/test/java/saltdale/rig/platform/PlatformTest.java
+++ b/rig/src/test/java/saltdale/rig/platform/PlatformTest.java
@@ -14,13 +14,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import saltdale.rig.platform.Instance.State;
-import saltdale.rig.simulate.Timeline;
+import saltdale.rig.simulate.EventQueue;
 
 /** The platform's rules, in simulated time. */
 class PlatformTest {
     private static final Duration A_START = Duration.ofMillis(1000); // longer than any service's
 
-    private final Timeline time = new Timeline();
+    private final EventQueue time = new EventQueue();
     private final List<String> sockets = new ArrayList<>();
     private final Site site = Site.small(77, 3, 3);
     private final Platform platform = new Platform(
@@ -33,7 +33,7 @@
 
                 @Override
                 public void after(Duration span, Runnable what) {
-                    time.after(span, what);
+                    time.scheduleAfter(span, what);
                 }
             },
             new Platform.Sockets() {
@@ -55,7 +55,7 @@
             1);
 
     private void pass(Duration span) {
-        time.run(time.now().plus(span));
+        time.runUntil(time.now().plus(span));
     }
 
     private Instance begin(String service, String nonce) {
--- a/rig/src/test/java/saltdale/rig/platform/live/LiveTest.java
+++ b/rig/src/test/java/saltdale/rig/platform/live/LiveTest.java
@@ -31,7 +31,7 @@
 import saltdale.rig.platform.Platform;
 import saltdale.rig.platform.Route;
 import saltdale.rig.platform.Site;
-import saltdale.rig.simulate.Timeline;
+import saltdale.rig.simulate.EventQueue;
 import saltdale.rig.standin.Exchange;
 import saltdale.rig.standin.LoopThread;
 import saltdale.rig.standin.Origin;
@@ -46,7 +46,7 @@
     private final Judge judge = new Judge(site.bounds());
     private final Route route = site.routes().get(2); // to press-1
     private final Origin origin = new Origin();
-    private final Timeline starts = new Timeline();
+    private final EventQueue starts = new EventQueue();
     private LoopThread loopThread;
     private Platform platform;
     private String identifier;
@@ -86,7 +86,7 @@
 
                         @Override
                         public void after(Duration span, Runnable what) {
-                            starts.after(span, what);
+                            starts.scheduleAfter(span, what);
                         }
                     },
                     new Runners(loopThread, origin, judge, faults, 1),
@@ -95,7 +95,7 @@
             ObjectNode begun = platform.begin(null, "press-1", "w-north", "n").body();
             identifier = begun.path("identifier").asText();
             address = begun.path("address").asText();
-            starts.run(Duration.ofSeconds(2));
+            starts.runUntil(Duration.ofSeconds(2));
         });
     }
 
--- a/rig/src/test/java/saltdale/rig/simulate/SimulationTest.java
+++ b/rig/src/test/java/saltdale/rig/simulate/SimulationTest.java
@@ -87,9 +87,9 @@
 
     @Test
     void eachWrongDispatcherIsCaughtAndTheRightOnesPass() {
-        List<Proof.Case> cases = Proof.run();
+        List<JudgeProof.Case> cases = JudgeProof.run();
         assertEquals(List.of(), cases.stream().filter(c -> !c.asExpected()).toList());
-        assertEquals(Proof.slips().size() + 2, cases.size());
+        assertEquals(JudgeProof.defects().size() + 2, cases.size());
     }
 
     @Test
@@ -97,7 +97,7 @@
         Simulation one = play(trouble("crash", "part = 0.3"));
         Simulation other = play(trouble("crash", "part = 0.3"));
         assertEquals(one.tally().figures(), other.tally().figures());
-        assertEquals(one.events(), other.events());
+        assertEquals(one.executedEventCount(), other.executedEventCount());
     }
 
     @Test
@@ -125,7 +125,7 @@
                         "part = 0.5\nextra = 0.3")
                 .entrySet()) {
             Simulation sim = play(trouble(each.getKey(), each.getValue()));
-            assertEquals(List.of(), sim.judge().breaches(), each.getKey());
+            assertEquals(List.of(), sim.judge().violations(), each.getKey());
             assertTrue(sim.tally().offered() > 1500, each.getKey());
         }
     }
@@ -139,7 +139,11 @@
         Simulation random = new Simulation(
                         read,
                         (orders, door, chance) -> new BaselineDispatcher(
-                                orders, door, chance, BaselineDispatcher.Choice.RANDOM, BaselineDispatcher.Slip.NONE),
+                                orders,
+                                door,
+                                chance,
+                                BaselineDispatcher.SelectionPolicy.RANDOM,
+                                BaselineDispatcher.Defect.NONE),
                         new Arrivals(read.traffic, read.jobs, read.length, read.seed))
                 .run();
         double module = play(day).tally().service();
--- a/rig/src/test/java/saltdale/rig/standin/StandInFleetTest.java
+++ b/rig/src/test/java/saltdale/rig/standin/StandInFleetTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import saltdale.rig.judge.Witness;
+import saltdale.rig.judge.EventObserver;
 import saltdale.rig.plan.Day;
 import saltdale.rig.plan.Sheet;
 
@@ -60,7 +60,7 @@
         Day day = new Day(Sheet.of("day", text));
         loopThread = new LoopThread("test");
         Origin origin = new Origin();
-        RunnerListServer list = new RunnerListServer(loopThread, day, places, origin, Witness.NOBODY);
+        RunnerListServer list = new RunnerListServer(loopThread, day, places, origin, EventObserver.NONE);
         StandInFleet fleet = new StandInFleet(loopThread, day, places, origin, recordingDisturbances(), list, 1);
         loopThread.start();
         InetSocketAddress at = places.dispatcher(0);
@@ -78,10 +78,10 @@
         }
     }
 
-    private Witness recordingDisturbances() {
-        return new Witness() {
+    private EventObserver recordingDisturbances() {
+        return new EventObserver() {
             @Override
-            public void way(Duration at, int runner, int dispatcher, boolean free) {
+            public void linkChanged(Duration at, int runner, int dispatcher, boolean free) {
                 disturbances.add(runner + " by " + dispatcher + (free ? " free" : " disturbed"));
             }
         };
--- a/rig/src/test/java/saltdale/rig/ways/LinkRelayTest.java
+++ b/rig/src/test/java/saltdale/rig/ways/LinkRelayTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
-import saltdale.rig.fleet.Passage;
+import saltdale.rig.fleet.LinkCondition;
 import saltdale.rig.standin.LoopThread;
 
 /** A way between a socket and an echo: what passes in each state, and what comes after it. */
@@ -56,7 +56,7 @@
     }
 
     private void set(boolean there, boolean back, double late, double pace) {
-        loopThread.inside(() -> way.set(new Passage(false, there, back, late, 0, pace)));
+        loopThread.inside(() -> way.set(new LinkCondition(false, there, back, late, 0, pace)));
     }
 
     private static void passes(Socket from, Socket to, String text) throws IOException {
@@ -102,7 +102,7 @@
 
     @Test
     void resetEndsWhatIsOpenRefusesWhatComesAndIsOverAgain() throws IOException {
-        loopThread.inside(() -> way.set(new Passage(true, true, true, 0, 0, 0)));
+        loopThread.inside(() -> way.set(new LinkCondition(true, true, true, 0, 0, 0)));
         assertThrows(SocketException.class, () -> near.getInputStream().read());
         assertThrows(SocketException.class, () -> new Socket(at.getAddress(), at.getPort()).close());
         set(false, false, 0, 0);
--- a/tools/src/main/java/saltdale/tools/Ceiling.java
+++ b/tools/src/main/java/saltdale/tools/Ceiling.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Command;
 import saltdale.protocol.HttpParser;
 import saltdale.rig.experiment.Run;
-import saltdale.rig.judge.Witness;
+import saltdale.rig.judge.EventObserver;
 import saltdale.rig.load.Generator;
 import saltdale.rig.plan.Day;
 import saltdale.rig.plan.Sheet;
@@ -62,7 +62,7 @@
             clients.start();
             Duration start = origin.now();
             Generator generator = new Generator(
-                    clients, day, List.of(places.dispatcher(0)), origin, Witness.NOBODY, 1, "c" + rate, start);
+                    clients, day, List.of(places.dispatcher(0)), origin, EventObserver.NONE, 1, "c" + rate, start);
             clients.inside(() -> generator.begin(Run.asks(day, Path.of("."), start)));
             Duration last = start.plus(day.length).plusSeconds(4);
             while (!generator.isOver() && origin.now().compareTo(last) < 0) {
--- a/tools/src/main/java/saltdale/tools/Load.java
+++ b/tools/src/main/java/saltdale/tools/Load.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import saltdale.rig.experiment.Run;
-import saltdale.rig.judge.Witness;
+import saltdale.rig.judge.EventObserver;
 import saltdale.rig.load.Generator;
 import saltdale.rig.plan.Day;
 import saltdale.rig.standin.LoopThread;
@@ -43,7 +43,14 @@
             loopThread.start();
             Duration start = origin.now();
             Generator generator = new Generator(
-                    loopThread, day, addresses, origin, Witness.NOBODY, day.seed + 3, "l" + origin.unixMillis, start);
+                    loopThread,
+                    day,
+                    addresses,
+                    origin,
+                    EventObserver.NONE,
+                    day.seed + 3,
+                    "l" + origin.unixMillis,
+                    start);
             loopThread.inside(
                     () -> generator.begin(Run.asks(day, file.toAbsolutePath().getParent(), start)));
             Duration last =
--- a/tools/src/main/java/saltdale/tools/Prove.java
+++ b/tools/src/main/java/saltdale/tools/Prove.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
+import saltdale.rig.simulate.JudgeProof;
 import saltdale.rig.simulate.OverloadProof;
-import saltdale.rig.simulate.Proof;
 
 @Command(
         name = "prove",
@@ -13,8 +13,8 @@
 final class Prove implements Callable<Integer> {
     @Override
     public Integer call() {
-        List<Proof.Case> cases = Proof.run();
-        for (Proof.Case each : cases) {
+        List<JudgeProof.Case> cases = JudgeProof.run();
+        for (JudgeProof.Case each : cases) {
             System.out.printf(
                     "%-6s %-22s %-20s %s%n",
                     each.asExpected() ? "ok" : "WRONG",
@@ -32,7 +32,7 @@
                     each.name(),
                     each.broken().isEmpty() ? "keeps all laws of an overload" : each.broken());
         }
-        return cases.stream().allMatch(Proof.Case::asExpected)
+        return cases.stream().allMatch(JudgeProof.Case::asExpected)
                         && overloads.stream().allMatch(OverloadProof.Case::asExpected)
                 ? 0
                 : 1;
--- a/tools/src/main/java/saltdale/tools/Simulate.java
+++ b/tools/src/main/java/saltdale/tools/Simulate.java
@@ -40,11 +40,11 @@
         }
         Day day = new Day(sheet);
         day.mustBeSimulated(sheet.file());
-        Simulation.Minds minds = null;
+        Simulation.DispatcherFactory minds = null;
         if (baseline != null) {
-            BaselineDispatcher.Choice choice = choice(baseline);
+            BaselineDispatcher.SelectionPolicy choice = choice(baseline);
             minds = (orders, door, chance) ->
-                    new BaselineDispatcher(orders, door, chance, choice, BaselineDispatcher.Slip.NONE);
+                    new BaselineDispatcher(orders, door, chance, choice, BaselineDispatcher.Defect.NONE);
         }
         long began = System.nanoTime();
         Path beside = file.toAbsolutePath().getParent();
@@ -71,8 +71,8 @@
         return text.equals("true") || text.equals("false") ? (Object) Boolean.parseBoolean(text) : text;
     }
 
-    private static BaselineDispatcher.Choice choice(String name) {
-        for (BaselineDispatcher.Choice each : BaselineDispatcher.Choice.values()) {
+    private static BaselineDispatcher.SelectionPolicy choice(String name) {
+        for (BaselineDispatcher.SelectionPolicy each : BaselineDispatcher.SelectionPolicy.values()) {
             if (each.name().toLowerCase(Locale.ROOT).replace('_', '-').equals(name)) {
                 return each;
             }
--- a/tools/src/main/java/saltdale/tools/StandIn.java
+++ b/tools/src/main/java/saltdale/tools/StandIn.java
@@ -9,9 +9,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 import saltdale.rig.experiment.DispatcherProcesses;
-import saltdale.rig.fleet.Passage;
+import saltdale.rig.fleet.LinkCondition;
 import saltdale.rig.fleet.TroubleSchedule;
-import saltdale.rig.judge.Witness;
+import saltdale.rig.judge.EventObserver;
 import saltdale.rig.plan.Day;
 import saltdale.rig.standin.ListWord;
 import saltdale.rig.standin.LoopThread;
@@ -59,7 +59,7 @@
         Duration span = StandInNodes.span("--for", length);
         Origin origin = new Origin();
         LoopbackAddresses places = new LoopbackAddresses(port);
-        Witness nobody = Witness.NOBODY;
+        EventObserver nobody = EventObserver.NONE;
         Files.createDirectories(out);
         try (LoopThread loopThread = new LoopThread("stand-in")) {
             ListWord list = part == Part.runners
@@ -92,23 +92,28 @@
 
     /** Without runners of its own, the list tells what the day's troubles would make it tell. */
     private static void tell(LoopThread loopThread, Day day, Origin origin, ListWord list) {
-        for (TroubleSchedule.Turn turn : new TroubleSchedule(day.troubles).turns()) {
-            boolean silent = turn.act() == TroubleSchedule.Act.CRASH || turn.act() == TroubleSchedule.Act.VANISH;
-            Witness.Health health = switch (turn.act()) {
-                case CRASH, VANISH, REMOVE -> Witness.Health.GONE;
-                case DRAIN, HAND_BACK -> Witness.Health.DRAINING;
-                case START -> Witness.Health.UP;
+        for (TroubleSchedule.ScheduledAction turn : new TroubleSchedule(day.troubles).scheduledActions()) {
+            boolean silent =
+                    turn.action() == TroubleSchedule.Action.CRASH || turn.action() == TroubleSchedule.Action.VANISH;
+            EventObserver.ListedHealth health = switch (turn.action()) {
+                case CRASH, VANISH, REMOVE -> EventObserver.ListedHealth.GONE;
+                case DRAIN, HAND_BACK -> EventObserver.ListedHealth.DRAINING;
+                case START -> EventObserver.ListedHealth.UP;
                 default -> null;
             };
-            if (turn.act() == TroubleSchedule.Act.MUTE || turn.act() == TroubleSchedule.Act.UNMUTE) {
-                loopThread.loop.schedule(turn.at(), () -> list.mute(turn.act() == TroubleSchedule.Act.MUTE));
+            if (turn.action() == TroubleSchedule.Action.SILENCE_LIST
+                    || turn.action() == TroubleSchedule.Action.RESUME_LIST) {
+                loopThread.loop.schedule(
+                        turn.at(), () -> list.mute(turn.action() == TroubleSchedule.Action.SILENCE_LIST));
             } else if (health != null) {
                 loopThread.loop.schedule(
                         turn.at().plus(silent ? day.silentNotice : day.notice),
                         () -> turn.trouble()
                                 .runners()
                                 .forEach(i -> list.changed(
-                                        i, health, health == Witness.Health.UP ? turn.at() : origin.now())));
+                                        i,
+                                        health,
+                                        health == EventObserver.ListedHealth.UP ? turn.at() : origin.now())));
             }
         }
     }
@@ -116,12 +121,12 @@
     /** Nobody wants to know what the list would. */
     private static final class Unheard implements ListWord {
         @Override
-        public void changed(int runner, Witness.Health health, Duration bornAt) {
+        public void changed(int runner, EventObserver.ListedHealth health, Duration bornAt) {
             // The list is kept elsewhere.
         }
 
         @Override
-        public void way(int dispatcher, Passage next) {
+        public void way(int dispatcher, LinkCondition next) {
             // The list is kept elsewhere.
         }
 
--- a/tools/src/test/java/saltdale/tools/FaultsTest.java
+++ b/tools/src/test/java/saltdale/tools/FaultsTest.java
@@ -13,7 +13,7 @@
 import saltdale.rig.experiment.Outcome;
 import saltdale.rig.experiment.Run;
 import saltdale.rig.experiment.Version;
-import saltdale.rig.judge.Breach;
+import saltdale.rig.judge.Violation;
 import saltdale.rig.plan.Day;
 import saltdale.rig.plan.Sheet;
 
@@ -76,7 +76,7 @@
                 folder,
                 null,
                 (share, dispatchers) -> {});
-        assertEquals(List.<Breach>of(), outcome.breaches());
+        assertEquals(List.<Violation>of(), outcome.breaches());
         assertEquals(0, outcome.figures().get("dispatchers_died"));
         return outcome.figures();
     }
--- a/tools/src/test/java/saltdale/tools/OverloadTest.java
+++ b/tools/src/test/java/saltdale/tools/OverloadTest.java
@@ -15,7 +15,7 @@
 import saltdale.rig.experiment.Outcome;
 import saltdale.rig.experiment.Run;
 import saltdale.rig.experiment.Version;
-import saltdale.rig.judge.Breach;
+import saltdale.rig.judge.Violation;
 import saltdale.rig.plan.Day;
 import saltdale.rig.plan.Sheet;
 
@@ -97,7 +97,7 @@
                 folder,
                 null,
                 (share, dispatchers) -> {});
-        assertEquals(List.<Breach>of(), outcome.breaches());
+        assertEquals(List.<Violation>of(), outcome.breaches());
         Map<String, Double> figures = outcome.figures();
         assertEquals(0, figures.get("dispatchers_died"));
         assertTrue(figures.get("fulfilled") > 0);
