--- a/rig/src/main/java/saltdale/rig/fleet/ColdBudget.java
+++ b/rig/src/main/java/saltdale/rig/fleet/ColdBudget.java
@@ -5,53 +5,55 @@
 import java.util.Deque;
 
 /**
- * What has reached a cold runner in the last window, against what it can bear: N + 3·√N + 3 assignments of mean
- * work, N being multiple x capacity x window in such assignments. So the platform's own judge counts it. The
- * true sizes do not count: no dispatcher is told them, and one long assignment alone could break the rule.
+ * Compares the attempts that a cold runner received within the last window with its limit: N + 3·√N + 3 attempts of
+ * mean work, where N is multiple x capacity x window, in such attempts. The platform's own judge uses the same formula.
+ * The actual sizes don't count, since no dispatcher knows them, and a single long job could violate the rule.
  */
 public final class ColdBudget {
-    private record Sent(long at, boolean told) {}
-
-    private final double multiple;
-    private final long window;
-    private final double meanWork;
-    private final Deque<Sent> sent = new ArrayDeque<>();
-    private int byTold;
-
-    /** {@code meanWork}: of an assignment, in seconds of work. */
-    public ColdBudget(double multiple, Duration window, double meanWork) {
-        this.multiple = multiple;
-        this.meanWork = meanWork;
-        this.window = window.toNanos();
+    private record Arrival(long atNanos, boolean informed) {}
+
+    private final double limitMultiple;
+    private final long windowNanos;
+    private final double meanWorkSeconds;
+    private final Deque<Arrival> arrivals = new ArrayDeque<>();
+    private int informedCount;
+
+    /**
+     * @param meanWorkSeconds the mean work of an attempt
+     */
+    public ColdBudget(double limitMultiple, Duration window, double meanWorkSeconds) {
+        this.limitMultiple = limitMultiple;
+        this.meanWorkSeconds = meanWorkSeconds;
+        this.windowNanos = window.toNanos();
     }
 
-    boolean addAndCheckExceeded(long now, double capacity) {
-        return addAndCheckExceeded(now, capacity, true);
+    boolean addAndCheckExceeded(long nowNanos, double capacity) {
+        return addAndCheckExceeded(nowNanos, capacity, true);
     }
 
     /**
-     * Notes an assignment that reaches it, and tells whether that is more than it can bear.
+     * Counts an attempt that the runner received; true if that exceeds the limit.
      *
-     * @param capacity at present, in seconds of work a second
-     * @param told whether the sender had been told of the start
+     * @param capacity the present capacity, in seconds of work per second
+     * @param informed true if the dispatcher had received the list entry about the start of the runner
      */
-    public boolean addAndCheckExceeded(long now, double capacity, boolean told) {
-        sent.addLast(new Sent(now, told));
-        byTold += told ? 1 : 0;
-        while (sent.peekFirst().at <= now - window) {
-            byTold -= sent.removeFirst().told ? 1 : 0;
+    public boolean addAndCheckExceeded(long nowNanos, double capacity, boolean informed) {
+        arrivals.addLast(new Arrival(nowNanos, informed));
+        informedCount += informed ? 1 : 0;
+        while (arrivals.peekFirst().atNanos <= nowNanos - windowNanos) {
+            informedCount -= arrivals.removeFirst().informed ? 1 : 0;
         }
-        double n = multiple * capacity * (window / 1e9) / meanWork;
-        return sent.size() > n + 3 * Math.sqrt(n) + 3;
+        double allowedMean = limitMultiple * capacity * (windowNanos / 1e9) / meanWorkSeconds;
+        return arrivals.size() > allowedMean + 3 * Math.sqrt(allowedMean) + 3;
     }
 
-    /** The share of the last window's assignments that came from senders told of the start. */
+    /** The share of the last window's attempts whose dispatchers were informed of the start. */
     public double informedShare() {
-        return sent.isEmpty() ? 0 : (double) byTold / sent.size();
+        return arrivals.isEmpty() ? 0 : (double) informedCount / arrivals.size();
     }
 
     void clear() {
-        sent.clear();
-        byTold = 0;
+        arrivals.clear();
+        informedCount = 0;
     }
 }
--- a/rig/src/main/java/saltdale/rig/fleet/LinkCondition.java
+++ b/rig/src/main/java/saltdale/rig/fleet/LinkCondition.java
@@ -1,14 +1,14 @@
 package saltdale.rig.fleet;
 
 /**
- * What passes a way between a dispatcher and a runner, or the list.
+ * The condition of a link between a dispatcher and a runner or the runner list.
  *
- * @param reset what is open ends with a reset, and what comes is refused
- * @param cutThere nothing passes to the runner
- * @param cutBack nothing passes from the runner
- * @param late seconds that all takes longer
- * @param jitter so much more than that at the most, as a share
- * @param pace bytes a second, each way; 0 where there is no limit
+ * @param reset open connections are reset, and new ones are refused
+ * @param blockedToRunner nothing passes to the runner
+ * @param blockedFromRunner nothing passes from the runner
+ * @param delaySeconds the additional delay in each direction
+ * @param jitterShare the maximum jitter, as a share of that delay
+ * @param bytesPerSecond the rate limit in each direction; 0 for none
  */
 public record LinkCondition(
         boolean reset,
@@ -17,11 +17,12 @@
         double delaySeconds,
         double jitterShare,
         double bytesPerSecond) {
+    /** No disturbance. */
     public static final LinkCondition CLEAR = new LinkCondition(false, false, false, 0, 0, 0);
 
-    /** Both at once. */
+    /** The condition under the disturbances of both. */
     public LinkCondition combinedWith(LinkCondition other) {
-        double slower = bytesPerSecond == 0
+        double bytesPerSecondLimit = bytesPerSecond == 0
                 ? other.bytesPerSecond
                 : other.bytesPerSecond == 0 ? bytesPerSecond : Math.min(bytesPerSecond, other.bytesPerSecond);
         return new LinkCondition(
@@ -30,14 +31,15 @@
                 blockedFromRunner || other.blockedFromRunner,
                 delaySeconds + other.delaySeconds,
                 Math.max(jitterShare, other.jitterShare),
-                slower);
+                bytesPerSecondLimit);
     }
 
-    /** Whether new connections get no answer at all, as where a handshake is lost either way. */
+    /** True if new connections get no response at all, since the handshake is lost in either direction. */
     public boolean isUnresponsive() {
         return !reset && (blockedToRunner || blockedFromRunner);
     }
 
+    /** True without any disturbance. */
     public boolean isClear() {
         return equals(CLEAR);
     }
--- a/rig/src/main/java/saltdale/rig/fleet/ReceiptStore.java
+++ b/rig/src/main/java/saltdale/rig/fleet/ReceiptStore.java
@@ -9,9 +9,9 @@
 import saltdale.model.Workload;
 import saltdale.rig.plan.Day;
 
-/** The receipts that a group of runners remembers together, each for the window of its workload. */
+/** The receipts shared by a group of runners, each stored for the deduplication window of its workload. */
 public final class ReceiptStore {
-    /** The memories that one runner shares: with all, with those of its zone, with those of its cell. */
+    /** The stores that a runner shares with all runners, with those of its zone and with those of its cell. */
     public record ByScope(ReceiptStore all, ReceiptStore zone, ReceiptStore cell) {
         ReceiptStore of(Workload workload) {
             return switch (workload.dedupScope) {
@@ -22,7 +22,7 @@
         }
     }
 
-    /** The memories of the runners of a day, by their numbers. */
+    /** The stores of the runners of a day, by runner number. */
     public static List<ByScope> of(Day day) {
         ReceiptStore all = new ReceiptStore();
         Map<String, ReceiptStore> zones = new HashMap<>();
@@ -37,17 +37,17 @@
         return shared;
     }
 
-    private record Seen(long at, long window) {}
+    private record StoredReceipt(long storedNanos, long windowNanos) {}
 
-    private final Map<String, Seen> seen = new LinkedHashMap<>();
+    private final Map<String, StoredReceipt> receipts = new LinkedHashMap<>();
 
-    /** Notes this receipt; true where it is new, or so old that it was forgotten. */
-    boolean isNew(String receipt, Duration window, long now) {
-        Seen before = seen.remove(receipt);
-        boolean known = before != null && now - before.at <= before.window;
-        seen.put(receipt, known ? before : new Seen(now, window.toNanos()));
-        if (seen.size() % 1024 == 0) {
-            seen.values().removeIf(each -> now - each.at > each.window);
+    /** Stores a receipt; true if it is new, or if an earlier one has expired. */
+    boolean isNew(String receipt, Duration window, long nowNanos) {
+        StoredReceipt previous = receipts.remove(receipt);
+        boolean known = previous != null && nowNanos - previous.storedNanos <= previous.windowNanos;
+        receipts.put(receipt, known ? previous : new StoredReceipt(nowNanos, window.toNanos()));
+        if (receipts.size() % 1024 == 0) {
+            receipts.values().removeIf(stored -> nowNanos - stored.storedNanos > stored.windowNanos);
         }
         return !known;
     }
--- a/rig/src/main/java/saltdale/rig/fleet/RunnerCondition.java
+++ b/rig/src/main/java/saltdale/rig/fleet/RunnerCondition.java
@@ -1,16 +1,16 @@
 package saltdale.rig.fleet;
 
 /**
- * What disturbs a runner at a time, all troubles taken together.
+ * The combined disturbances of a runner at a time.
  *
- * @param slower so many times slower
- * @param stalled does nothing
- * @param errors share of jobs that fail quickly
- * @param lateSheds share of jobs that run and are told as turned away
- * @param dearShare share of jobs that cost {@code dearer} times the work
- * @param coresTaken share of the cores that another program has
- * @param reportLate seconds by which reports are older
- * @param reportTimes the load is told so many times
+ * @param slowdownFactor how many times slower it is
+ * @param stalled true if it makes no progress
+ * @param errorShare the share of jobs that fail quickly
+ * @param lateShedShare the share of jobs that run but are reported as rejected
+ * @param costlyShare the share of jobs that cost {@code costFactor} times the work
+ * @param coresTakenShare the share of the cores used by another program
+ * @param reportDelaySeconds the additional age of load reports
+ * @param reportedLoadFactor the reported load as a multiple of the actual load
  */
 public record RunnerCondition(
         double slowdownFactor,
@@ -22,9 +22,10 @@
         double coresTakenShare,
         double reportDelaySeconds,
         double reportedLoadFactor) {
+    /** No disturbance. */
     public static final RunnerCondition NORMAL = new RunnerCondition(1, false, 0, 0, 0, 1, 0, 0, 1);
 
-    /** Both at once. */
+    /** The condition under the disturbances of both. */
     public RunnerCondition combinedWith(RunnerCondition other) {
         return new RunnerCondition(
                 slowdownFactor * other.slowdownFactor,
--- a/rig/src/main/java/saltdale/rig/fleet/RunnerJob.java
+++ b/rig/src/main/java/saltdale/rig/fleet/RunnerJob.java
@@ -2,38 +2,38 @@
 
 import saltdale.model.Workload;
 
-/** One dispatch as a runner has it. */
+/** An attempt as a job at its runner. */
 public final class RunnerJob {
-    /** The request's id; the same for each dispatch of an assignment. */
+    /** The id of the request, the same for all its attempts. */
     public final String id;
-    /** The mark that shows a repeat; null where there is none. */
+    /** Identifies duplicates of a job; null if there is none. */
     public final String receipt;
 
     public final Workload workload;
-    /** Seconds on one free core of speed 1, before what disturbs the runner. */
+    /** The run time on an otherwise idle core of speed 1, without disturbances. */
     public final double sizeSeconds;
-    /** Whoever handed it over gets its news; by the dispatcher's number. */
+    /** The number of the dispatcher that sent it and receives its events. */
     public final int dispatcher;
-    /** What the face that holds the runner keeps with it. */
+    /** Data of the owner of the runner model. */
     public Object attachment;
 
-    double left;
-    double whole;
-    long tellAt = Long.MAX_VALUE;
+    double remainingSeconds;
+    double totalSeconds;
+    long nextProgressNanos = Long.MAX_VALUE;
     boolean fails;
-    /** Dropped as a repeat: it ends with the first one's result and has no effect of its own. */
-    boolean repeat;
+    /** True if it was recognised as a duplicate: it ends with the first job's result and has no effect of its own. */
+    boolean duplicate;
 
-    public RunnerJob(String id, String receipt, Workload workload, double size, int from) {
+    public RunnerJob(String id, String receipt, Workload workload, double sizeSeconds, int dispatcher) {
         this.id = id;
         this.receipt = receipt;
         this.workload = workload;
-        this.sizeSeconds = size;
-        this.dispatcher = from;
+        this.sizeSeconds = sizeSeconds;
+        this.dispatcher = dispatcher;
     }
 
-    /** Whether it had an effect once it was done: what a receipt has shown to be a repeat has none. */
+    /** True if its receipt has shown it to be a duplicate: then it has no effect when it is done. */
     public boolean isDuplicate() {
-        return repeat;
+        return duplicate;
     }
 }
--- a/rig/src/main/java/saltdale/rig/fleet/RunnerModel.java
+++ b/rig/src/main/java/saltdale/rig/fleet/RunnerModel.java
@@ -11,14 +11,14 @@
 import saltdale.rig.plan.Make;
 
 /**
- * What a runner does with the work that it gets, without I/O or a clock: it is told the time, and tells its
- * face what has come of each job. Running jobs share the cores; what disturbs it changes their rate from that
- * moment on.
+ * A model of a runner, without I/O or a clock: its owner passes the time and receives the events of the jobs through a
+ * {@link JobListener}. Running jobs share the cores; a disturbance changes their rate from its beginning.
  *
- * Between two changes all rates stand still, so that the next end is known; warming up goes in small steps.
+ * <p>Between two changes all rates are constant, so that the time of the next end is known; the capacity of a cold
+ * runner grows in small steps.
  */
 public final class RunnerModel {
-    /** How a runner meets a job that is handed to it. */
+    /** The response of a runner to a job offered to it. */
     public enum OfferResult {
         ACCEPTED,
         FULL,
@@ -27,7 +27,10 @@
         CRASHED
     }
 
-    /** How a job that was taken ends, unless it is taken back; shed: done, and told as returned. */
+    /**
+     * How an accepted job ended, unless it was cancelled. A shed job has run but is reported like a returned one, which
+     * has not.
+     */
     public enum JobEnd {
         DONE,
         SHED,
@@ -36,340 +39,353 @@
         LOST
     }
 
-    /** Whom it tells what has come of the jobs that it took. */
+    /** Receives the events of the accepted jobs. */
     public interface JobListener {
-        void started(Duration at, RunnerJob work);
+        void started(Duration at, RunnerJob job);
 
-        void progressed(Duration at, RunnerJob work, double share);
+        /** The job has done this share of its work. */
+        void progressed(Duration at, RunnerJob job, double share);
 
-        void ended(Duration at, RunnerJob work, JobEnd how);
+        void ended(Duration at, RunnerJob job, JobEnd end);
     }
 
     private static final long NEVER = Long.MAX_VALUE;
-    private static final int WARM_STEPS = 64;
-    private static final long QUICK_ERROR = 1_000_000; // ns until a quick error
+    private static final int WARM_UP_STEPS = 64;
+    private static final long DUPLICATE_WORK_NANOS = 1_000_000; // time to answer a duplicate
 
-    private record Figures(long at, int waiting, int running) {}
+    private record LoadSample(long atNanos, int waiting, int running) {}
 
     public final Make make;
-    private final JobListener told;
-    private final SplittableRandom chance;
+    private final JobListener listener;
+    private final SplittableRandom random;
     private final ReceiptStore.ByScope receipts;
-    private final ColdBudget cold;
+    private final ColdBudget coldBudget;
     private final List<RunnerJob> running = new ArrayList<>();
     private final List<RunnerJob> waiting = new ArrayList<>();
-    private final Deque<Figures> past = new ArrayDeque<>();
+    private final Deque<LoadSample> loadHistory = new ArrayDeque<>();
     private RunnerCondition condition = RunnerCondition.NORMAL;
-    private long now;
+    private long nowNanos;
     private long startedNanos = Long.MIN_VALUE;
-    private long warmStepAt = NEVER;
+    private long nextWarmUpStepNanos = NEVER;
     private boolean up = true;
     private boolean draining;
-    private boolean fallen;
-    private boolean telling;
-    private double rate; // of each running job, seconds of work a second
+    private boolean crashed;
+    private boolean advancing;
+    private double jobRate; // seconds of work per second, for each running job
 
     /**
-     * @param receipts null where it remembers none
-     * @param tipMultiple what it is sent over {@code fall}, beyond this multiple of what it can do in that
-     *     time, pushes it over while it is cold; 0 where nothing does
-     * @param meanWork of an assignment, by which that is counted
+     * @param receipts null if the runner stores none
+     * @param coldLimitMultiple a cold runner crashes if the jobs offered within {@code coldLimitWindow} exceed this
+     *     multiple of its capacity; 0 for no limit
+     * @param meanWorkSeconds the mean work of a job, with which that is calculated
      */
     public RunnerModel(
             Make make,
             ReceiptStore.ByScope receipts,
-            double tipMultiple,
-            Duration fall,
-            double meanWork,
-            SplittableRandom chance,
-            JobListener told) {
+            double coldLimitMultiple,
+            Duration coldLimitWindow,
+            double meanWorkSeconds,
+            SplittableRandom random,
+            JobListener listener) {
         this.make = make;
         this.receipts = receipts;
-        this.chance = chance;
-        this.told = told;
-        this.cold = tipMultiple == 0 ? null : new ColdBudget(tipMultiple, fall, meanWork);
+        this.random = random;
+        this.listener = listener;
+        this.coldBudget =
+                coldLimitMultiple == 0 ? null : new ColdBudget(coldLimitMultiple, coldLimitWindow, meanWorkSeconds);
     }
 
+    /** True unless its process was stopped or has crashed. */
     public boolean isUp() {
-        return up && !fallen;
+        return up && !crashed;
     }
 
+    /** True if it accepts no new jobs. */
     public boolean isDraining() {
         return draining;
     }
 
-    /** Pushed over while it was cold: it stays down until it is started anew. */
+    /** True if it crashed by overload while it was cold; it stays down until the next start. */
     public boolean hasCrashed() {
-        return fallen;
+        return crashed;
     }
 
+    /** The number of jobs that run or wait. */
     public int heldCount() {
         return running.size() + waiting.size();
     }
 
+    /** The number of jobs that wait. */
     public int waitingCount() {
         return waiting.size();
     }
 
-    /** When it last started; null for long ago. */
+    /** The time of the last start; null if that was long ago. */
     public Duration startedAt() {
         return startedNanos == Long.MIN_VALUE ? null : Duration.ofNanos(startedNanos);
     }
 
-    /** The share of its full capacity that it has by now. */
+    /** The share of its full capacity that it has at this time: below 1 while it is cold. */
     public double capacityShare(Duration at) {
         return capacityShare(at.toNanos());
     }
 
     private double capacityShare(long at) {
-        double within = make.warmWithin().toNanos();
-        return startedNanos == Long.MIN_VALUE || at - startedNanos >= within
+        double warmUpNanos = make.warmWithin().toNanos();
+        return startedNanos == Long.MIN_VALUE || at - startedNanos >= warmUpNanos
                 ? 1
-                : make.coldFrom() + (1 - make.coldFrom()) * Math.max(0, (at - startedNanos) / within);
+                : make.coldFrom() + (1 - make.coldFrom()) * Math.max(0, (at - startedNanos) / warmUpNanos);
     }
 
-    /** When it has something to tell or to change by itself; null for never. */
-    public Duration nextAt() {
-        long next = nextNanos();
-        return next == NEVER ? null : Duration.ofNanos(next);
+    /** The time of the next event or change of state without a call; null for never. */
+    public Duration nextEventAt() {
+        long nextNanos = nextEventNanos();
+        return nextNanos == NEVER ? null : Duration.ofNanos(nextNanos);
     }
 
-    private long nextNanos() {
-        long next = running.isEmpty() ? NEVER : warmStepAt;
-        for (RunnerJob each : running) {
-            long end = rate <= 0 ? NEVER : now + Math.max(0, (long) Math.ceil(each.left / rate * 1e9));
-            next = Math.min(next, Math.min(end, rate <= 0 ? NEVER : each.tellAt));
+    private long nextEventNanos() {
+        long nextNanos = running.isEmpty() ? NEVER : nextWarmUpStepNanos;
+        for (RunnerJob job : running) {
+            long endNanos = jobRate <= 0
+                    ? NEVER
+                    : nowNanos + Math.max(0, (long) Math.ceil(job.remainingSeconds / jobRate * 1e9));
+            nextNanos = Math.min(nextNanos, Math.min(endNanos, jobRate <= 0 ? NEVER : job.nextProgressNanos));
         }
-        return next;
+        return nextNanos;
     }
 
-    /** Lives until this time; what happens by then is told in its order. */
+    /** Advances the model to this time; reports the events until then in order. */
     public void advance(Duration to) {
-        if (telling) {
-            return; // guards against a face that asks for a report while it is told: each end is told once
+        if (advancing) {
+            return; // a listener has requested a report; without this guard an end could be reported twice
         }
-        long until = to.toNanos();
-        telling = true;
+        long untilNanos = to.toNanos();
+        advancing = true;
         try {
-            for (long next = nextNanos(); next <= until && next != NEVER; next = nextNanos()) {
-                pass(next);
-                step();
+            for (long nextNanos = nextEventNanos();
+                    nextNanos <= untilNanos && nextNanos != NEVER;
+                    nextNanos = nextEventNanos()) {
+                progressTo(nextNanos);
+                processDueEvents();
             }
-            pass(until);
+            progressTo(untilNanos);
         } finally {
-            telling = false;
+            advancing = false;
         }
     }
 
-    private void pass(long to) {
-        double done = rate * (to - now) / 1e9;
-        if (done > 0) {
-            for (RunnerJob each : running) {
-                each.left -= done;
+    private void progressTo(long toNanos) {
+        double doneSeconds = jobRate * (toNanos - nowNanos) / 1e9;
+        if (doneSeconds > 0) {
+            for (RunnerJob job : running) {
+                job.remainingSeconds -= doneSeconds;
             }
         }
-        now = Math.max(now, to);
+        nowNanos = Math.max(nowNanos, toNanos);
     }
 
-    private void step() {
-        if (warmStepAt <= now) {
-            long stride = make.warmWithin().toNanos() / WARM_STEPS;
-            warmStepAt = capacityShare(now) >= 1 ? NEVER : now + stride;
+    private void processDueEvents() {
+        if (nextWarmUpStepNanos <= nowNanos) {
+            long stepNanos = make.warmWithin().toNanos() / WARM_UP_STEPS;
+            nextWarmUpStepNanos = capacityShare(nowNanos) >= 1 ? NEVER : nowNanos + stepNanos;
         }
-        for (RunnerJob each : List.copyOf(running)) {
-            if (each.left <= 1e-9) {
-                running.remove(each);
-                boolean shed = condition.lateShedShare() > 0 && chance.nextDouble() < condition.lateShedShare();
-                told.ended(time(), each, each.fails ? JobEnd.FAILED : shed ? JobEnd.SHED : JobEnd.DONE);
-            } else if (each.tellAt <= now) {
-                each.tellAt = now + make.progressEvery().toNanos();
-                told.progressed(time(), each, Math.min(1, 1 - each.left / each.whole));
+        for (RunnerJob job : List.copyOf(running)) {
+            if (job.remainingSeconds <= 1e-9) {
+                running.remove(job);
+                boolean shed = condition.lateShedShare() > 0 && random.nextDouble() < condition.lateShedShare();
+                listener.ended(now(), job, job.fails ? JobEnd.FAILED : shed ? JobEnd.SHED : JobEnd.DONE);
+            } else if (job.nextProgressNanos <= nowNanos) {
+                job.nextProgressNanos = nowNanos + make.progressEvery().toNanos();
+                listener.progressed(now(), job, Math.min(1, 1 - job.remainingSeconds / job.totalSeconds));
             }
         }
-        begin();
-        changed();
+        startWaitingJobs();
+        updateRate();
     }
 
-    /** Hands it a job. What it turns away has cost it nothing but, while it is cold, part of its budget. */
-    public OfferResult offer(Duration at, RunnerJob work) {
+    /** Offers a job. A rejection costs no work, but while the runner is cold, the offer counts towards its limit. */
+    public OfferResult offer(Duration at, RunnerJob job) {
         advance(at);
         if (!isUp()) {
-            throw new IllegalStateException("a runner that is down takes no calls");
+            throw new IllegalStateException("a job was offered to a runner that is down");
         }
-        if (cold != null
-                && capacityShare(now) < 1
-                && cold.addAndCheckExceeded(now, capacityShare(now) * make.capacity())) {
-            fall();
+        if (coldBudget != null
+                && capacityShare(nowNanos) < 1
+                && coldBudget.addAndCheckExceeded(nowNanos, capacityShare(nowNanos) * make.capacity())) {
+            crash();
             return OfferResult.CRASHED;
         } else if (draining) {
             return OfferResult.DRAINING;
-        } else if (chance.nextDouble() < condition.errorShare()) {
+        } else if (random.nextDouble() < condition.errorShare()) {
             return OfferResult.ERROR;
         } else if (running.size() >= make.slots() && waiting.size() >= make.queue()) {
             return OfferResult.FULL;
         }
-        work.whole = work.sizeSeconds * (chance.nextDouble() < condition.costlyShare() ? condition.costFactor() : 1);
-        work.left = work.whole;
-        waiting.add(work);
-        begin();
-        changed();
+        job.totalSeconds =
+                job.sizeSeconds * (random.nextDouble() < condition.costlyShare() ? condition.costFactor() : 1);
+        job.remainingSeconds = job.totalSeconds;
+        waiting.add(job);
+        startWaitingJobs();
+        updateRate();
         return OfferResult.ACCEPTED;
     }
 
-    private void begin() {
+    private void startWaitingJobs() {
         while (running.size() < make.slots() && !waiting.isEmpty() && !condition.stalled()) {
-            RunnerJob next = next();
-            waiting.remove(next);
-            next.tellAt = make.progressEvery().isZero()
+            RunnerJob job = selectNextJob();
+            waiting.remove(job);
+            job.nextProgressNanos = make.progressEvery().isZero()
                     ? NEVER
-                    : now + make.progressEvery().toNanos();
-            if (next.receipt != null
+                    : nowNanos + make.progressEvery().toNanos();
+            if (job.receipt != null
                     && receipts != null
-                    && !receipts.of(next.workload).isNew(next.receipt, next.workload.dedupWindow, now)) {
-                next.repeat = true;
-                next.left = Math.min(next.left, QUICK_ERROR / 1e9);
+                    && !receipts.of(job.workload).isNew(job.receipt, job.workload.dedupWindow, nowNanos)) {
+                job.duplicate = true;
+                job.remainingSeconds = Math.min(job.remainingSeconds, DUPLICATE_WORK_NANOS / 1e9);
             }
-            running.add(next);
-            told.started(time(), next);
+            running.add(job);
+            listener.started(now(), job);
         }
     }
 
-    private RunnerJob next() {
+    private RunnerJob selectNextJob() {
         return switch (make.order()) {
             case FIFO -> waiting.get(0);
             case LIFO -> waiting.get(waiting.size() - 1);
             case SHORTEST ->
-                waiting.stream().min(Comparator.comparingDouble(w -> w.left)).orElseThrow();
+                waiting.stream()
+                        .min(Comparator.comparingDouble(job -> job.remainingSeconds))
+                        .orElseThrow();
             case PRIORITY ->
                 waiting.stream()
-                        .min(Comparator.comparingDouble(w -> -w.workload.importance))
-                        .orElseThrow(); // min keeps the first of equals
+                        .min(Comparator.comparingDouble(job -> -job.workload.importance))
+                        .orElseThrow(); // min() returns the first of equals
         };
     }
 
-    /** Takes a job back; true where it is there no more: it was waiting, has ended, or stops. */
-    public boolean cancel(Duration at, String id, int from) {
+    /** Cancels a job; true if the runner no longer has it: it was waiting, had ended, or was stopped. */
+    public boolean cancel(Duration at, String id, int dispatcher) {
         advance(at);
-        boolean gone = waiting.removeIf(w -> w.id.equals(id) && w.dispatcher == from);
-        boolean runs = running.stream().anyMatch(w -> w.id.equals(id) && w.dispatcher == from);
-        if (runs && make.cancelStops()) {
-            running.removeIf(w -> w.id.equals(id) && w.dispatcher == from);
-            begin();
+        boolean wasWaiting = waiting.removeIf(job -> job.id.equals(id) && job.dispatcher == dispatcher);
+        boolean isRunning = running.stream().anyMatch(job -> job.id.equals(id) && job.dispatcher == dispatcher);
+        if (isRunning && make.cancelStops()) {
+            running.removeIf(job -> job.id.equals(id) && job.dispatcher == dispatcher);
+            startWaitingJobs();
         }
-        changed();
-        return gone || !runs || make.cancelStops();
+        updateRate();
+        return wasWaiting || !isRunning || make.cancelStops();
     }
 
-    /** What disturbs it from now on. */
+    /** Sets the disturbances from now on. */
     public void setCondition(Duration at, RunnerCondition next) {
         advance(at);
         condition = next;
-        begin();
-        changed();
+        startWaitingJobs();
+        updateRate();
     }
 
-    /** It wants nothing new; where it hands back, what has not begun ends as returned. */
+    /** Rejects new jobs from now on; with {@code handBack}, waiting jobs end as returned. */
     public void drain(Duration at, boolean handBack) {
         advance(at);
         draining = true;
         if (handBack) {
-            for (RunnerJob each : List.copyOf(waiting)) {
-                waiting.remove(each);
-                told.ended(time(), each, JobEnd.RETURNED);
+            for (RunnerJob job : List.copyOf(waiting)) {
+                waiting.remove(job);
+                listener.ended(now(), job, JobEnd.RETURNED);
             }
         }
-        changed();
+        updateRate();
     }
 
-    /** The process dies; all that it held is lost. */
+    /** Ends the process; all its jobs are lost. */
     public void stop(Duration at) {
         advance(at);
         up = false;
-        loseAll();
+        loseAllJobs();
     }
 
-    /** It starts anew, cold. */
+    /** Starts the process again, cold. */
     public void start(Duration at) {
         advance(at);
-        loseAll();
+        loseAllJobs();
         up = true;
         draining = false;
-        fallen = false;
-        startedNanos = now;
-        warmStepAt = now;
-        past.clear();
-        if (cold != null) {
-            cold.clear();
+        crashed = false;
+        startedNanos = nowNanos;
+        nextWarmUpStepNanos = nowNanos;
+        loadHistory.clear();
+        if (coldBudget != null) {
+            coldBudget.clear();
         }
-        changed();
+        updateRate();
     }
 
-    private void fall() {
-        fallen = true;
-        loseAll();
+    private void crash() {
+        crashed = true;
+        loseAllJobs();
     }
 
-    private void loseAll() {
-        List<RunnerJob> all = new ArrayList<>(running);
-        all.addAll(waiting);
+    private void loseAllJobs() {
+        List<RunnerJob> lost = new ArrayList<>(running);
+        lost.addAll(waiting);
         running.clear();
         waiting.clear();
-        changed();
-        all.forEach(each -> told.ended(time(), each, JobEnd.LOST));
+        updateRate();
+        lost.forEach(job -> listener.ended(now(), job, JobEnd.LOST));
     }
 
-    private void changed() {
-        int n = running.size();
+    private void updateRate() {
+        int runningCount = running.size();
         double cores = make.cores() * (1 - condition.coresTakenShare());
-        double crowd = Math.max(0, (n + waiting.size()) / (double) make.cores() - make.thrashAt());
-        rate = n == 0 || condition.stalled()
+        double excessLoad = Math.max(0, (runningCount + waiting.size()) / (double) make.cores() - make.thrashAt());
+        jobRate = runningCount == 0 || condition.stalled()
                 ? 0
-                : Math.min(1, cores / n)
+                : Math.min(1, cores / runningCount)
                         * make.speed()
-                        * capacityShare(now)
+                        * capacityShare(nowNanos)
                         / condition.slowdownFactor()
-                        / (1 + make.thrash() * crowd);
-        past.addLast(new Figures(now, waiting.size(), n));
-        long old = now
+                        / (1 + make.thrash() * excessLoad);
+        loadHistory.addLast(new LoadSample(nowNanos, waiting.size(), runningCount));
+        long oldestNeededNanos = nowNanos
                 - 2
                         * (make.reportEvery().toNanos()
                                 + make.reportDelay().toNanos()
                                 + (long) (condition.reportDelaySeconds() * 1e9));
-        while (past.size() > 1 && second(past).at <= old) {
-            past.removeFirst();
+        while (loadHistory.size() > 1 && second(loadHistory).atNanos <= oldestNeededNanos) {
+            loadHistory.removeFirst();
         }
     }
 
-    private static Figures second(Deque<Figures> all) {
-        var each = all.iterator();
-        each.next();
-        return each.next();
+    private static LoadSample second(Deque<LoadSample> samples) {
+        var iterator = samples.iterator();
+        iterator.next();
+        return iterator.next();
     }
 
-    /** The load report as it is at this time: made anew now and then, and late. */
+    /** The load report at this time, as old as its interval and delay make it. */
     public LoadReport report(Duration at) {
         advance(at);
-        long seen = now - make.reportDelay().toNanos() - (long) (condition.reportDelaySeconds() * 1e9);
-        long every = make.reportEvery().toNanos();
-        seen = every == 0 ? seen : seen / every * every;
-        Figures figures = new Figures(0, 0, 0);
-        for (Figures each : past) {
-            if (each.at > seen) {
+        long sampleNanos = nowNanos - make.reportDelay().toNanos() - (long) (condition.reportDelaySeconds() * 1e9);
+        long intervalNanos = make.reportEvery().toNanos();
+        sampleNanos = intervalNanos == 0 ? sampleNanos : sampleNanos / intervalNanos * intervalNanos;
+        LoadSample sample = new LoadSample(0, 0, 0);
+        for (LoadSample candidate : loadHistory) {
+            if (candidate.atNanos > sampleNanos) {
                 break;
             }
-            figures = each;
+            sample = candidate;
         }
-        double queue = figures.waiting * condition.reportedLoadFactor();
-        double inWork = figures.running * condition.reportedLoadFactor();
+        double queue = sample.waiting * condition.reportedLoadFactor();
+        double inProgress = sample.running * condition.reportedLoadFactor();
         return new LoadReport(
                 queue,
-                inWork + queue,
-                Math.max(0, make.slots() - inWork),
-                Math.min(1, inWork / make.cores()),
+                inProgress + queue,
+                Math.max(0, make.slots() - inProgress),
+                Math.min(1, inProgress / make.cores()),
                 Double.NaN);
     }
 
-    private Duration time() {
-        return Duration.ofNanos(now);
+    private Duration now() {
+        return Duration.ofNanos(nowNanos);
     }
 }
--- a/rig/src/main/java/saltdale/rig/fleet/TroubleSchedule.java
+++ b/rig/src/main/java/saltdale/rig/fleet/TroubleSchedule.java
@@ -9,11 +9,12 @@
 import saltdale.rig.plan.Trouble;
 import saltdale.rig.plan.Trouble.Kind;
 
-/**
- * The troubles of a day over time: what is to be done at which moment, and what disturbs a runner by then.
- */
+/** The troubles of a day over time: the actions to take at each time, and the disturbances in effect at a time. */
 public final class TroubleSchedule {
-    /** One thing that happens to runners, dispatchers or links. */
+    /**
+     * An action on runners, dispatchers, links or the list. The actions named CHANGE apply the conditions in effect at
+     * their time.
+     */
     public enum Action {
         CHANGE_CONDITION,
         CRASH,
@@ -35,7 +36,7 @@
         CHANGE_LINK
     }
 
-    /** It happens to each of the trouble's runners (or dispatchers) then. */
+    /** An action to take at a time on each of the trouble's runners or dispatchers. */
     public record ScheduledAction(Duration at, Action action, Trouble trouble) {}
 
     private final List<Trouble> troubles;
@@ -44,140 +45,159 @@
         this.troubles = troubles;
     }
 
-    /** All that happens, in order. */
+    /** All actions in time order. */
     public List<ScheduledAction> scheduledActions() {
-        List<ScheduledAction> turns = new ArrayList<>();
-        for (Trouble t : troubles) {
-            switch (t.kind()) {
-                case CRASH -> both(turns, t, Action.CRASH, Action.START);
-                case VANISH -> both(turns, t, Action.VANISH, Action.START);
-                case ZONE_CUT -> both(turns, t, Action.CUT_ZONE, Action.RECONNECT_ZONE);
-                case DISPATCHER_KILL -> both(turns, t, Action.KILL_DISPATCHER, Action.RESTART_DISPATCHER);
-                case LIST_SILENT -> both(turns, t, Action.SILENCE_LIST, Action.RESUME_LIST);
+        List<ScheduledAction> actions = new ArrayList<>();
+        for (Trouble trouble : troubles) {
+            switch (trouble.kind()) {
+                case CRASH -> addStartAndEnd(actions, trouble, Action.CRASH, Action.START);
+                case VANISH -> addStartAndEnd(actions, trouble, Action.VANISH, Action.START);
+                case ZONE_CUT -> addStartAndEnd(actions, trouble, Action.CUT_ZONE, Action.RECONNECT_ZONE);
+                case DISPATCHER_KILL ->
+                    addStartAndEnd(actions, trouble, Action.KILL_DISPATCHER, Action.RESTART_DISPATCHER);
+                case LIST_SILENT -> addStartAndEnd(actions, trouble, Action.SILENCE_LIST, Action.RESUME_LIST);
                 case DRAIN, HAND_BACK -> {
-                    both(turns, t, t.kind() == Kind.DRAIN ? Action.DRAIN : Action.HAND_BACK, Action.REMOVE);
-                    if (t.size() > 0) {
-                        turns.add(new ScheduledAction(t.end().plus(t.length()), Action.START, t));
+                    addStartAndEnd(
+                            actions,
+                            trouble,
+                            trouble.kind() == Kind.DRAIN ? Action.DRAIN : Action.HAND_BACK,
+                            Action.REMOVE);
+                    if (trouble.size() > 0) {
+                        actions.add(new ScheduledAction(trouble.end().plus(trouble.length()), Action.START, trouble));
                     }
                 }
-                case DISPATCHER_STOP -> both(turns, t, Action.PAUSE_DISPATCHER, Action.RESUME_DISPATCHER);
-                case DISPATCHER_RESTART -> both(turns, t, Action.SHUT_DOWN_DISPATCHER, Action.RESTART_DISPATCHER);
+                case DISPATCHER_STOP ->
+                    addStartAndEnd(actions, trouble, Action.PAUSE_DISPATCHER, Action.RESUME_DISPATCHER);
+                case DISPATCHER_RESTART ->
+                    addStartAndEnd(actions, trouble, Action.SHUT_DOWN_DISPATCHER, Action.RESTART_DISPATCHER);
                 case DISPATCHER_SLOW ->
-                    inTurns(t, (from, to) -> {
-                        turns.add(new ScheduledAction(from, Action.PAUSE_DISPATCHER, t));
-                        turns.add(new ScheduledAction(to, Action.RESUME_DISPATCHER, t));
+                    forEachCycle(trouble, (from, to) -> {
+                        actions.add(new ScheduledAction(from, Action.PAUSE_DISPATCHER, trouble));
+                        actions.add(new ScheduledAction(to, Action.RESUME_DISPATCHER, trouble));
                     });
                 case WAY_FLAPS ->
-                    inTurns(t, (from, to) -> {
-                        turns.add(new ScheduledAction(from, Action.CHANGE_LINK, t));
-                        turns.add(new ScheduledAction(to, Action.CHANGE_LINK, t));
+                    forEachCycle(trouble, (from, to) -> {
+                        actions.add(new ScheduledAction(from, Action.CHANGE_LINK, trouble));
+                        actions.add(new ScheduledAction(to, Action.CHANGE_LINK, trouble));
                     });
                 case WAY_RESET, WAY_SILENT, WAY_ONE_SIDED, WAY_LATE, WAY_SLOW ->
-                    both(turns, t, Action.CHANGE_LINK, Action.CHANGE_LINK);
+                    addStartAndEnd(actions, trouble, Action.CHANGE_LINK, Action.CHANGE_LINK);
                 case NEIGHBOUR -> {
-                    both(turns, t, Action.CHANGE_CONDITION, Action.CHANGE_CONDITION);
-                    Duration half = Duration.ofNanos((long) (t.extra() * 1e9));
-                    for (Duration at = t.at(); !half.isZero() && at.compareTo(t.end()) < 0; at = at.plus(half)) {
-                        turns.add(new ScheduledAction(at, Action.CHANGE_CONDITION, t));
+                    addStartAndEnd(actions, trouble, Action.CHANGE_CONDITION, Action.CHANGE_CONDITION);
+                    Duration halfCycle = Duration.ofNanos((long) (trouble.extra() * 1e9));
+                    for (Duration at = trouble.at();
+                            !halfCycle.isZero() && at.compareTo(trouble.end()) < 0;
+                            at = at.plus(halfCycle)) {
+                        actions.add(new ScheduledAction(at, Action.CHANGE_CONDITION, trouble));
                     }
                 }
                 default ->
-                    both(
-                            turns,
-                            t,
-                            t.onWire() ? Action.CHANGE_WIRE : Action.CHANGE_CONDITION,
-                            t.onWire() ? Action.CHANGE_WIRE : Action.CHANGE_CONDITION);
+                    addStartAndEnd(
+                            actions,
+                            trouble,
+                            trouble.onWire() ? Action.CHANGE_WIRE : Action.CHANGE_CONDITION,
+                            trouble.onWire() ? Action.CHANGE_WIRE : Action.CHANGE_CONDITION);
             }
         }
-        turns.sort(Comparator.comparing(ScheduledAction::at));
-        return turns;
+        actions.sort(Comparator.comparing(ScheduledAction::at));
+        return actions;
     }
 
-    private static void both(List<ScheduledAction> turns, Trouble t, Action first, Action last) {
-        turns.add(new ScheduledAction(t.at(), first, t));
-        turns.add(new ScheduledAction(t.end(), last, t));
+    private static void addStartAndEnd(List<ScheduledAction> actions, Trouble trouble, Action first, Action last) {
+        actions.add(new ScheduledAction(trouble.at(), first, trouble));
+        actions.add(new ScheduledAction(trouble.end(), last, trouble));
     }
 
-    private static void inTurns(Trouble t, BiConsumer<Duration, Duration> each) {
-        Duration turn = Duration.ofNanos((long) (t.extra() * 1e9));
-        Duration bad = Duration.ofNanos((long) (t.extra() * 1e9 * t.size()));
-        for (Duration at = t.at(); at.compareTo(t.end()) < 0; at = at.plus(turn)) {
-            each.accept(at, at.plus(bad));
+    private static void forEachCycle(Trouble trouble, BiConsumer<Duration, Duration> action) {
+        Duration cycle = Duration.ofNanos((long) (trouble.extra() * 1e9));
+        Duration disturbed = Duration.ofNanos((long) (trouble.extra() * 1e9 * trouble.size()));
+        for (Duration at = trouble.at(); at.compareTo(trouble.end()) < 0; at = at.plus(cycle)) {
+            action.accept(at, at.plus(disturbed));
         }
     }
 
-    /** How the way between these two is at this time. */
+    /** The condition of the link between these two at this time. */
     public LinkCondition linkCondition(int runner, int dispatcher, Duration at) {
-        return passage(at, t -> t.befalls(runner, dispatcher));
+        return linkConditionOf(at, trouble -> trouble.befalls(runner, dispatcher));
     }
 
-    /** How the way from this dispatcher to the list is at this time. */
+    /** The condition of the link from this dispatcher to the runner list at this time. */
     public LinkCondition listLinkCondition(int dispatcher, Duration at) {
-        return passage(at, t -> t.list() && t.dispatchers().contains(dispatcher));
+        return linkConditionOf(
+                at, trouble -> trouble.list() && trouble.dispatchers().contains(dispatcher));
     }
 
-    private LinkCondition passage(Duration at, Predicate<Trouble> which) {
-        LinkCondition all = LinkCondition.CLEAR;
-        for (Trouble t : troubles) {
-            if (t.onWay() && at.compareTo(t.at()) >= 0 && at.compareTo(t.end()) < 0 && which.test(t)) {
-                all = all.combinedWith(passage(t, at));
+    private LinkCondition linkConditionOf(Duration at, Predicate<Trouble> filter) {
+        LinkCondition combined = LinkCondition.CLEAR;
+        for (Trouble trouble : troubles) {
+            if (trouble.onWay()
+                    && at.compareTo(trouble.at()) >= 0
+                    && at.compareTo(trouble.end()) < 0
+                    && filter.test(trouble)) {
+                combined = combined.combinedWith(linkConditionOf(trouble, at));
             }
         }
-        return all;
+        return combined;
     }
 
-    private static LinkCondition passage(Trouble t, Duration at) {
-        return switch (t.kind()) {
+    private static LinkCondition linkConditionOf(Trouble trouble, Duration at) {
+        return switch (trouble.kind()) {
             case WAY_RESET -> new LinkCondition(true, true, true, 0, 0, 0);
             case WAY_SILENT -> new LinkCondition(false, true, true, 0, 0, 0);
-            case WAY_ONE_SIDED -> new LinkCondition(false, t.size() < 0.5, t.size() >= 0.5, 0, 0, 0);
-            case WAY_LATE -> new LinkCondition(false, false, false, t.size() / 1e3, t.extra(), 0);
-            case WAY_SLOW -> new LinkCondition(false, false, false, 0, 0, t.size());
+            case WAY_ONE_SIDED -> new LinkCondition(false, trouble.size() < 0.5, trouble.size() >= 0.5, 0, 0, 0);
+            case WAY_LATE -> new LinkCondition(false, false, false, trouble.size() / 1e3, trouble.extra(), 0);
+            case WAY_SLOW -> new LinkCondition(false, false, false, 0, 0, trouble.size());
             case WAY_FLAPS -> {
-                double into = at.minus(t.at()).toNanos() / 1e9 % t.extra();
-                boolean cut = into < t.size() * t.extra() - 1e-6; // by the hour that a turn was set for
+                double cyclePosition = at.minus(trouble.at()).toNanos() / 1e9 % trouble.extra();
+                boolean cut = cyclePosition
+                        < trouble.size() * trouble.extra() - 1e-6; // 1e-6 s: tolerance at the scheduled end of a cut
                 yield new LinkCondition(false, cut, cut, 0, 0, 0);
             }
             default -> LinkCondition.CLEAR;
         };
     }
 
-    /** What disturbs this runner at this time. */
+    /** The condition of this runner at this time. */
     public RunnerCondition runnerCondition(int runner, Duration at) {
-        RunnerCondition all = RunnerCondition.NORMAL;
-        for (Trouble t : troubles) {
-            if (on(t, runner, at)) {
-                all = all.combinedWith(alone(t, at));
+        RunnerCondition combined = RunnerCondition.NORMAL;
+        for (Trouble trouble : troubles) {
+            if (isActive(trouble, runner, at)) {
+                combined = combined.combinedWith(conditionOf(trouble, at));
             }
         }
-        return all;
+        return combined;
     }
 
-    /** The troubles on the wire to this runner at this time. */
+    /** The troubles that alter bytes on the connections of this runner at this time. */
     public List<Trouble> wireTroubles(int runner, Duration at) {
-        return troubles.stream().filter(t -> t.onWire() && on(t, runner, at)).toList();
+        return troubles.stream()
+                .filter(trouble -> trouble.onWire() && isActive(trouble, runner, at))
+                .toList();
     }
 
-    private static boolean on(Trouble t, int runner, Duration at) {
-        return t.runners().contains(runner) && at.compareTo(t.at()) >= 0 && at.compareTo(t.end()) < 0;
+    private static boolean isActive(Trouble trouble, int runner, Duration now) {
+        return trouble.runners().contains(runner)
+                && now.compareTo(trouble.at()) >= 0
+                && now.compareTo(trouble.end()) < 0;
     }
 
-    private static RunnerCondition alone(Trouble t, Duration at) {
-        RunnerCondition good = RunnerCondition.NORMAL;
-        double size = t.size();
-        return switch (t.kind()) {
+    private static RunnerCondition conditionOf(Trouble trouble, Duration at) {
+        RunnerCondition normal = RunnerCondition.NORMAL;
+        double size = trouble.size();
+        return switch (trouble.kind()) {
             case SLOW -> new RunnerCondition(size, false, 0, 0, 0, 1, 0, 0, 1);
             case STALL -> new RunnerCondition(1, true, 0, 0, 0, 1, 0, 0, 1);
             case ERRORS -> new RunnerCondition(1, false, size, 0, 0, 1, 0, 0, 1);
             case LATE_SHED -> new RunnerCondition(1, false, 0, size, 0, 1, 0, 0, 1);
-            case DEARER -> new RunnerCondition(1, false, 0, 0, t.extra(), size, 0, 0, 1);
+            case DEARER -> new RunnerCondition(1, false, 0, 0, trouble.extra(), size, 0, 0, 1);
             case LATE_REPORTS -> new RunnerCondition(1, false, 0, 0, 0, 1, 0, size, 1);
             case WRONG_REPORTS -> new RunnerCondition(1, false, 0, 0, 0, 1, 0, 0, size);
             case NEIGHBOUR -> {
-                boolean taken = t.extra() == 0 || (long) (at.minus(t.at()).toNanos() / (t.extra() * 1e9)) % 2 == 0;
-                yield taken ? new RunnerCondition(1, false, 0, 0, 0, 1, Math.min(0.99, size), 0, 1) : good;
+                boolean taken = trouble.extra() == 0
+                        || (long) (at.minus(trouble.at()).toNanos() / (trouble.extra() * 1e9)) % 2 == 0;
+                yield taken ? new RunnerCondition(1, false, 0, 0, 0, 1, Math.min(0.99, size), 0, 1) : normal;
             }
-            default -> good;
+            default -> normal;
         };
     }
 }
--- a/rig/src/main/java/saltdale/rig/judge/EventObserver.java
+++ b/rig/src/main/java/saltdale/rig/judge/EventObserver.java
@@ -5,73 +5,74 @@
 import saltdale.rig.plan.Make;
 
 /**
- * What clients, runners and the list have seen, in the order of time. None of it is a dispatcher's word.
- * Dispatchers and runners go by their numbers, requests by their ids. What a witness does not care for it
- * need not hear.
+ * Receives the events observed by clients, runners and the runner list, in time order. No event relies on the statement
+ * of a dispatcher. Dispatchers and runners are given by number, requests by id. The default methods ignore an event.
  */
 public interface EventObserver {
-    /** Hears nothing. */
+    /** Ignores all events. */
     EventObserver NONE = new EventObserver() {};
 
-    /** A client has written the last byte of a request to this dispatcher. */
-    default void requestSent(Duration at, String id, Workload workload, int dispatcher, Duration patience) {}
+    /** A client has sent the last byte of a request to this dispatcher. */
+    default void requestSent(Duration at, String id, Workload workload, int dispatcher, Duration clientTimeout) {}
 
-    /** A whole answer has come; {@code result} is its body where it says fulfilled. */
-    default void answerReceived(Duration at, String id, FinalAnswer how, String result) {}
+    /** A complete answer has arrived; {@code result} is its body if it is fulfilled. */
+    default void answerReceived(Duration at, String id, FinalAnswer answer, String result) {}
 
-    /** The connection ended with no whole answer. */
+    /** The connection of a client ended without a complete answer. */
     default void connectionLost(Duration at, String id) {}
 
-    /** The same of a new connection: nothing shows that the dispatcher ever had the request. */
+    /** A new connection ended without an answer: nothing shows that the dispatcher received the request. */
     default void newConnectionClosed(Duration at, String id) {}
 
-    /** The client went away by itself. */
+    /** The client left before an answer. */
     default void clientLeft(Duration at, String id) {}
 
-    /** This dispatcher was killed: what it held is its clients' to try again. */
+    /** This dispatcher was killed: retrying the requests that it held is up to the clients. */
     default void dispatcherKilled(Duration at, int dispatcher) {}
 
-    /** This dispatcher's process was stopped: until it goes on it can do and be told nothing. */
+    /** The process of this dispatcher was paused: until it resumes, it can't act or receive anything. */
     default void dispatcherPaused(Duration at, int dispatcher) {}
 
-    /** It goes on. */
+    /** The paused dispatcher runs again. */
     default void dispatcherResumed(Duration at, int dispatcher) {}
 
-    /** Something befell the way between these two, or it is free again. */
-    default void linkChanged(Duration at, int runner, int dispatcher, boolean free) {}
+    /** A disturbance of the link between these two has begun, or ended if {@code clear}. */
+    default void linkChanged(Duration at, int runner, int dispatcher, boolean clear) {}
 
-    /** A runner has the whole of a dispatch, whose first byte came then. */
-    default void attemptReceived(Duration firstByte, Duration at, String id, int runner, int dispatcher, double work) {}
+    /** A runner has received an attempt completely, its first byte at {@code firstByteAt}. */
+    default void attemptReceived(
+            Duration firstByteAt, Duration at, String id, int runner, int dispatcher, double workSeconds) {}
 
-    /** A runner has said that a dispatch has not run and will not. */
+    /** A runner has reported that it won't run an attempt and hasn't started it. */
     default void attemptNotStarted(Duration at, String id, int runner) {}
 
-    /** A runner has said how a dispatch ended, or has taken it back, or its connection was closed on it. */
+    /** A runner has reported the end of an attempt or has cancelled it, or the connection of the attempt was closed. */
     default void attemptEnded(Duration at, String id, int runner) {}
 
-    /** A dispatch's work has had its effect. */
+    /** The work of an attempt was done, with its effect. */
     default void effectProduced(Duration at, String id, int runner, String result) {}
 
-    /** A repeat's result, known by its receipt: made, but with no effect of its own. */
+    /** A runner recognised a duplicate by its receipt and answered it without a second effect. */
     default void duplicateAnswered(Duration at, String id, String result) {}
 
-    /** This runner is silent from now on: what is called off there can't be seen. */
+    /** This runner has stopped responding: cancellations can't be observed there from now on. */
     default void runnerSilent(Duration at, int runner) {}
 
-    /** This runner has started, cold. */
+    /** This runner has started and is cold. */
     default void runnerStarted(Duration at, int runner, Make make) {}
 
-    /** This dispatcher was told of a runner; {@code bornAt} null: long ago. */
-    default void listEntryReceived(Duration at, int dispatcher, int runner, ListedHealth health, Duration bornAt) {}
+    /** This dispatcher was sent a list entry; {@code runnerStartedAt} is null for a start long ago. */
+    default void listEntryReceived(
+            Duration at, int dispatcher, int runner, ListedHealth health, Duration runnerStartedAt) {}
 
-    /** The final answers. */
+    /** The kinds of final answers to a client. */
     enum FinalAnswer {
         FULFILLED,
         SHED,
         GIVEN_UP
     }
 
-    /** What a list says of a runner. */
+    /** The state of a runner in the list. */
     enum ListedHealth {
         UP,
         DRAINING,
--- a/rig/src/main/java/saltdale/rig/judge/EventRecorder.java
+++ b/rig/src/main/java/saltdale/rig/judge/EventRecorder.java
@@ -10,110 +10,107 @@
 import saltdale.model.Workload;
 import saltdale.rig.plan.Make;
 
-/**
- * Writes down what several threads see, each with its time, to be told to a judge in order once all is over.
- */
+/** Records events of several threads, to replay them to a judge in time order after the run. Thread-safe. */
 public final class EventRecorder implements EventObserver {
-    private record Note(Duration at, Consumer<EventObserver> what) {}
+    private record RecordedEvent(Duration at, Consumer<EventObserver> delivery) {}
 
-    private final Queue<Note> notes = new ConcurrentLinkedQueue<>();
+    private final Queue<RecordedEvent> events = new ConcurrentLinkedQueue<>();
 
-    private void note(Duration at, Consumer<EventObserver> what) {
-        notes.add(new Note(at, what));
+    private void record(Duration at, Consumer<EventObserver> delivery) {
+        events.add(new RecordedEvent(at, delivery));
     }
 
-    /**
-     * Tells all of it, in the order of time; what bears one time keeps the order in which it was written
-     * down.
-     */
-    public void replayTo(EventObserver to) {
-        List<Note> all = new ArrayList<>(notes);
-        all.sort(Comparator.comparing(Note::at));
-        all.forEach(each -> each.what.accept(to));
+    /** Delivers all events in time order; events of the same time keep the order in which they were recorded. */
+    public void replayTo(EventObserver observer) {
+        List<RecordedEvent> inOrder = new ArrayList<>(events);
+        inOrder.sort(Comparator.comparing(RecordedEvent::at));
+        inOrder.forEach(event -> event.delivery.accept(observer));
     }
 
     @Override
-    public void requestSent(Duration at, String id, Workload workload, int dispatcher, Duration patience) {
-        note(at, w -> w.requestSent(at, id, workload, dispatcher, patience));
+    public void requestSent(Duration at, String id, Workload workload, int dispatcher, Duration clientTimeout) {
+        record(at, observer -> observer.requestSent(at, id, workload, dispatcher, clientTimeout));
     }
 
     @Override
-    public void answerReceived(Duration at, String id, FinalAnswer how, String result) {
-        note(at, w -> w.answerReceived(at, id, how, result));
+    public void answerReceived(Duration at, String id, FinalAnswer answer, String result) {
+        record(at, observer -> observer.answerReceived(at, id, answer, result));
     }
 
     @Override
     public void connectionLost(Duration at, String id) {
-        note(at, w -> w.connectionLost(at, id));
+        record(at, observer -> observer.connectionLost(at, id));
     }
 
     @Override
     public void newConnectionClosed(Duration at, String id) {
-        note(at, w -> w.newConnectionClosed(at, id));
+        record(at, observer -> observer.newConnectionClosed(at, id));
     }
 
     @Override
     public void clientLeft(Duration at, String id) {
-        note(at, w -> w.clientLeft(at, id));
+        record(at, observer -> observer.clientLeft(at, id));
     }
 
     @Override
     public void dispatcherKilled(Duration at, int dispatcher) {
-        note(at, w -> w.dispatcherKilled(at, dispatcher));
+        record(at, observer -> observer.dispatcherKilled(at, dispatcher));
     }
 
     @Override
     public void dispatcherPaused(Duration at, int dispatcher) {
-        note(at, w -> w.dispatcherPaused(at, dispatcher));
+        record(at, observer -> observer.dispatcherPaused(at, dispatcher));
     }
 
     @Override
     public void dispatcherResumed(Duration at, int dispatcher) {
-        note(at, w -> w.dispatcherResumed(at, dispatcher));
+        record(at, observer -> observer.dispatcherResumed(at, dispatcher));
     }
 
     @Override
-    public void linkChanged(Duration at, int runner, int dispatcher, boolean free) {
-        note(at, w -> w.linkChanged(at, runner, dispatcher, free));
+    public void linkChanged(Duration at, int runner, int dispatcher, boolean clear) {
+        record(at, observer -> observer.linkChanged(at, runner, dispatcher, clear));
     }
 
     @Override
-    public void attemptReceived(Duration firstByte, Duration at, String id, int runner, int dispatcher, double work) {
-        note(at, w -> w.attemptReceived(firstByte, at, id, runner, dispatcher, work));
+    public void attemptReceived(
+            Duration firstByteAt, Duration at, String id, int runner, int dispatcher, double workSeconds) {
+        record(at, observer -> observer.attemptReceived(firstByteAt, at, id, runner, dispatcher, workSeconds));
     }
 
     @Override
     public void attemptNotStarted(Duration at, String id, int runner) {
-        note(at, w -> w.attemptNotStarted(at, id, runner));
+        record(at, observer -> observer.attemptNotStarted(at, id, runner));
     }
 
     @Override
     public void attemptEnded(Duration at, String id, int runner) {
-        note(at, w -> w.attemptEnded(at, id, runner));
+        record(at, observer -> observer.attemptEnded(at, id, runner));
     }
 
     @Override
     public void effectProduced(Duration at, String id, int runner, String result) {
-        note(at, w -> w.effectProduced(at, id, runner, result));
+        record(at, observer -> observer.effectProduced(at, id, runner, result));
     }
 
     @Override
     public void duplicateAnswered(Duration at, String id, String result) {
-        note(at, w -> w.duplicateAnswered(at, id, result));
+        record(at, observer -> observer.duplicateAnswered(at, id, result));
     }
 
     @Override
     public void runnerSilent(Duration at, int runner) {
-        note(at, w -> w.runnerSilent(at, runner));
+        record(at, observer -> observer.runnerSilent(at, runner));
     }
 
     @Override
     public void runnerStarted(Duration at, int runner, Make make) {
-        note(at, w -> w.runnerStarted(at, runner, make));
+        record(at, observer -> observer.runnerStarted(at, runner, make));
     }
 
     @Override
-    public void listEntryReceived(Duration at, int dispatcher, int runner, ListedHealth health, Duration bornAt) {
-        note(at, w -> w.listEntryReceived(at, dispatcher, runner, health, bornAt));
+    public void listEntryReceived(
+            Duration at, int dispatcher, int runner, ListedHealth health, Duration runnerStartedAt) {
+        record(at, observer -> observer.listEntryReceived(at, dispatcher, runner, health, runnerStartedAt));
     }
 }
--- a/rig/src/main/java/saltdale/rig/judge/Judge.java
+++ b/rig/src/main/java/saltdale/rig/judge/Judge.java
@@ -16,529 +16,587 @@
 import saltdale.rig.plan.Make;
 
 /**
- * Judges the four rules by what was seen from outside. It is told in the order of time; a request is
- * forgotten once nothing about it can matter any more.
+ * Checks the four dispatching rules against events observed outside the dispatchers. Events must arrive in time
+ * order. A request is discarded once no later event can affect its verdict.
  */
 public final class Judge implements EventObserver {
-    private static final Duration CATCH_UP = Duration.ofMillis(250); // for all that came while it stood still
-    private static final Duration SETTLES = Duration.ofSeconds(2); // until what a way held back has come
-    private static final int MOST_TURNED_OFF = 200; // one request in so many, as the platform's judge has it
-    private static final int KEPT = 200; // breaches told one by one; beyond that they are counted
+    /** The longest time that a resumed dispatcher may take to process what arrived during its pause. */
+    private static final Duration MAX_CATCH_UP = Duration.ofMillis(250);
 
-    /** A dispatch as its runner saw it. */
-    private static final class Seen {
+    /** How long after a disturbance of a link delayed messages may still arrive. */
+    private static final Duration LINK_SETTLE_TIME = Duration.ofSeconds(2);
+
+    /** One new connection per this many requests may be closed without an answer, as the platform's judge allows. */
+    private static final int REQUESTS_PER_ALLOWED_CLOSED_CONNECTION = 200;
+
+    /** Violations beyond this number, or beyond a tenth of it of one kind, are only counted. */
+    private static final int MAX_LISTED_VIOLATIONS = 200;
+
+    /** An attempt as its runner received it. */
+    private static final class ReceivedAttempt {
         final int runner;
-        final Duration at;
-        boolean unstarted;
-        boolean unseen; // on a disturbed way: when it was over can't be seen
-        Duration overAt;
+        final Duration receivedAt;
+        boolean notStarted;
+        boolean endUnknown; // true on a disturbed link, where the end can't be observed
+        Duration endedAt;
 
-        Seen(int runner, Duration at) {
+        ReceivedAttempt(int runner, Duration receivedAt) {
             this.runner = runner;
-            this.at = at;
+            this.receivedAt = receivedAt;
         }
     }
 
-    private static final class Case {
+    /** A request and the events observed about it. */
+    private static final class JudgedRequest {
         final String id;
         final Workload workload;
         final int dispatcher;
         final Duration deadline;
-        final List<Seen> seen = new ArrayList<>(2);
+        final List<ReceivedAttempt> attempts = new ArrayList<>(2);
         final Set<String> results = new HashSet<>(2);
         Duration endedAt;
         boolean answered;
         boolean excused;
-        boolean cut;
-        boolean turnedOff;
-        int effects;
+        boolean connectionLost;
+        boolean newConnectionClosed;
+        int effectCount;
 
-        Case(String id, Workload workload, int dispatcher, Duration deadline) {
+        JudgedRequest(String id, Workload workload, int dispatcher, Duration deadline) {
             this.id = id;
             this.workload = workload;
             this.dispatcher = dispatcher;
             this.deadline = deadline;
         }
 
-        Seen at(int runner) {
-            for (int i = seen.size() - 1; i >= 0; i--) {
-                if (seen.get(i).runner == runner) {
-                    return seen.get(i);
+        ReceivedAttempt lastAttemptAt(int runner) {
+            for (int i = attempts.size() - 1; i >= 0; i--) {
+                if (attempts.get(i).runner == runner) {
+                    return attempts.get(i);
                 }
             }
             return null;
         }
 
         boolean mayHaveRun() {
-            return seen.stream().anyMatch(s -> !s.unstarted);
+            return attempts.stream().anyMatch(attempt -> !attempt.notStarted);
         }
     }
 
-    private record Word(Duration at, ListedHealth health, Duration bornAt) {}
+    /** The last list entry that a dispatcher received about a runner. */
+    private record ListEntry(Duration receivedAt, ListedHealth health, Duration runnerStartedAt) {}
 
-    private static final class Life {
+    /** The time after the start of a runner in which it has less than its full capacity. */
+    private static final class ColdPhase {
         Make make;
         Duration startedAt;
         ColdBudget budget;
-        boolean told;
+        boolean reported;
     }
 
-    private final JudgeSettings terms;
-    private final Duration memory;
-    private final Map<String, Case> cases = new HashMap<>();
-    private final Deque<Case> inOrder = new ArrayDeque<>();
-    private final Map<Long, Word> words = new HashMap<>();
-    private final Map<Integer, Life> lives = new HashMap<>();
+    private final JudgeSettings settings;
+    private final Duration retention;
+    private final Map<String, JudgedRequest> requests = new HashMap<>();
+    private final Deque<JudgedRequest> requestsInOrder = new ArrayDeque<>();
+    private final Map<Long, ListEntry> listEntries = new HashMap<>();
+    private final Map<Integer, ColdPhase> coldPhases = new HashMap<>();
     private final List<Violation> violations = new ArrayList<>();
     private final Map<Violation.Kind, Long> countsByKind = new EnumMap<>(Violation.Kind.class);
-    private final Map<Integer, Duration> stopped = new HashMap<>(); // dispatchers, since when
-    private final Map<Integer, List<Runnable>> untold = new HashMap<>(); // what such a one was told meanwhile
-    private final Map<Long, Duration> disturbed = new HashMap<>(); // ways, until when: the last is not yet over
+    private final Map<Integer, Duration> pausedSince = new HashMap<>(); // by dispatcher
+    /** List entries sent to paused dispatchers, by dispatcher; they count as received when it resumes. */
+    private final Map<Integer, List<Runnable>> deferredListEntries = new HashMap<>();
+
+    /** By link; the maximum duration while the disturbance lasts. */
+    private final Map<Long, Duration> disturbedUntil = new HashMap<>();
+
     private long requestCount;
     private long answeredCount;
     private long attemptCount;
-    private long turnedOff;
-    private final Map<String, Integer> turnedOffBy = new TreeMap<>(); // dispatcher and tenth of a second
-    private Duration wentOn = Duration.ZERO; // the last of those that were stopped
+    private long closedConnectionCount;
+    /** By dispatcher and tenth of a second. */
+    private final Map<String, Integer> closedConnectionsBySource = new TreeMap<>();
 
-    /** {@code memory}: how long after its deadline something about a request may still come. */
-    public Judge(JudgeSettings terms, Duration memory) {
-        this.terms = terms;
-        this.memory = memory;
+    private Duration lastResumedAt = Duration.ZERO; // when the last paused dispatcher resumed
+
+    /**
+     * @param retention how long after the deadline of a request events about it may still arrive
+     */
+    public Judge(JudgeSettings settings, Duration retention) {
+        this.settings = settings;
+        this.retention = retention;
     }
 
+    /** The recorded violations; the rest is only counted, see {@link #countsByKind}. */
     public List<Violation> violations() {
         return violations;
     }
 
+    /** The number of violations of each kind that occurred. */
     public Map<Violation.Kind, Long> countsByKind() {
         return countsByKind;
     }
 
+    /** The number of all violations. */
     public long violationCount() {
         return countsByKind.values().stream().mapToLong(Long::longValue).sum();
     }
 
+    /** The number of requests sent by clients; each try of a client counts. */
     public long requestCount() {
         return requestCount;
     }
 
-    /** How many requests got a whole final answer. */
+    /** The number of requests that received a complete final answer. */
     public long answeredCount() {
         return answeredCount;
     }
 
+    /** The number of attempts received by runners. */
     public long attemptCount() {
         return attemptCount;
     }
 
-    private void breach(Violation.Kind kind, Duration at, String about, String why) {
-        if (countsByKind.merge(kind, 1L, Long::sum) <= KEPT / 10 && violations.size() < KEPT) {
-            violations.add(new Violation(kind, at, about, why));
+    private void report(Violation.Kind kind, Duration at, String subject, String detail) {
+        if (countsByKind.merge(kind, 1L, Long::sum) <= MAX_LISTED_VIOLATIONS / 10
+                && violations.size() < MAX_LISTED_VIOLATIONS) {
+            violations.add(new Violation(kind, at, subject, detail));
         }
     }
 
-    // ---- Clients.
+    // ---- Events at clients.
 
     @Override
-    public void requestSent(Duration at, String id, Workload workload, int dispatcher, Duration patience) {
+    public void requestSent(Duration at, String id, Workload workload, int dispatcher, Duration clientTimeout) {
         requestCount++;
-        Case made = new Case(id, workload, dispatcher, at.plus(patience));
-        cases.put(id, made);
-        inOrder.add(made);
-        forget(at);
+        JudgedRequest request = new JudgedRequest(id, workload, dispatcher, at.plus(clientTimeout));
+        requests.put(id, request);
+        requestsInOrder.add(request);
+        closeExpiredRequests(at);
     }
 
     @Override
-    public void answerReceived(Duration at, String id, FinalAnswer how, String result) {
-        Case about = cases.get(id);
-        if (about == null) {
+    public void answerReceived(Duration at, String id, FinalAnswer answer, String result) {
+        JudgedRequest request = requests.get(id);
+        if (request == null) {
             return;
         }
-        if (about.answered) {
-            breach(Violation.Kind.ANSWERED_TWICE, at, id, "another final answer, " + how);
+        if (request.answered) {
+            report(Violation.Kind.ANSWERED_TWICE, at, id, "another final answer, " + answer);
             return;
         }
         answeredCount++;
-        about.answered = true;
-        Duration last = about.deadline.plus(terms.answerGrace()).plus(terms.timingTolerance());
-        if (at.compareTo(last) > 0 && !about.excused) {
-            breach(Violation.Kind.ANSWERED_LATE, at, id, ms(at.minus(about.deadline)) + " after patience ended");
+        request.answered = true;
+        Duration latestAllowedAt = request.deadline.plus(settings.answerGrace()).plus(settings.timingTolerance());
+        if (at.compareTo(latestAllowedAt) > 0 && !request.excused) {
+            report(
+                    Violation.Kind.ANSWERED_LATE,
+                    at,
+                    id,
+                    millisText(at.minus(request.deadline)) + " after the client timeout");
         }
-        about.endedAt = at;
-        if (how == FinalAnswer.FULFILLED && !about.results.contains(result)) {
-            breach(Violation.Kind.ANSWER_NOBODY_MADE, at, id, "no runner made this result for it");
-        } else if (how == FinalAnswer.SHED && !mayShed(about)) {
-            breach(Violation.Kind.SHED_AFTER_RUN, at, id, about.workload.repeatSafety + " and may have run");
-        } else if (how == FinalAnswer.GIVEN_UP) {
-            heldBack(at, about);
+        request.endedAt = at;
+        if (answer == FinalAnswer.FULFILLED && !request.results.contains(result)) {
+            report(Violation.Kind.ANSWER_NOBODY_MADE, at, id, "no runner produced this result for it");
+        } else if (answer == FinalAnswer.SHED && !mayShed(request)) {
+            report(Violation.Kind.SHED_AFTER_RUN, at, id, request.workload.repeatSafety + " and may have run");
+        } else if (answer == FinalAnswer.GIVEN_UP) {
+            checkDelayedGiveUp(at, request);
         }
     }
 
-    /** Rule 2: a shed reply says that trying again is harmless. */
-    private static boolean mayShed(Case about) {
-        Workload w = about.workload;
-        return w.repeatSafety == Workload.RepeatSafety.PURE
-                || !about.mayHaveRun()
-                || w.repeatSafety == Workload.RepeatSafety.RECEIPTED && w.dedupScope == Workload.DedupScope.ALL;
+    /** Rule 2: a shed response states that a retry is harmless. */
+    private static boolean mayShed(JudgedRequest request) {
+        Workload workload = request.workload;
+        return workload.repeatSafety == Workload.RepeatSafety.PURE
+                || !request.mayHaveRun()
+                || workload.repeatSafety == Workload.RepeatSafety.RECEIPTED
+                        && workload.dedupScope == Workload.DedupScope.ALL;
     }
 
     /**
-     * What has been given up is answered at once: here nothing more could follow since its dispatch ended.
+     * Reports an effectful request that was given up late: once its attempts have ended, no further attempt is
+     * possible, and the answer is due at once.
      */
-    private void heldBack(Duration at, Case about) {
-        if (about.workload.repeatSafety != Workload.RepeatSafety.EFFECTFUL || !about.mayHaveRun()) {
+    private void checkDelayedGiveUp(Duration at, JudgedRequest request) {
+        if (request.workload.repeatSafety != Workload.RepeatSafety.EFFECTFUL || !request.mayHaveRun()) {
             return;
         }
-        Duration over = Duration.ZERO;
-        for (Seen seen : about.seen) {
-            if (seen.overAt == null || seen.unseen) {
+        Duration lastEndedAt = Duration.ZERO;
+        for (ReceivedAttempt attempt : request.attempts) {
+            if (attempt.endedAt == null || attempt.endUnknown) {
                 return;
             }
-            over = seen.overAt.compareTo(over) > 0 ? seen.overAt : over;
+            lastEndedAt = attempt.endedAt.compareTo(lastEndedAt) > 0 ? attempt.endedAt : lastEndedAt;
         }
-        Duration most = terms.timingTolerance().plus(Duration.ofMillis(250));
-        if (at.minus(over).compareTo(most) > 0 && at.compareTo(about.deadline) <= 0) {
-            breach(
+        Duration maxDelay = settings.timingTolerance().plus(Duration.ofMillis(250));
+        if (at.minus(lastEndedAt).compareTo(maxDelay) > 0 && at.compareTo(request.deadline) <= 0) {
+            report(
                     Violation.Kind.HELD_BACK,
                     at,
-                    about.id,
-                    "given up " + ms(at.minus(over)) + " after nothing could follow");
+                    request.id,
+                    "given up " + millisText(at.minus(lastEndedAt)) + " after its last possible attempt had ended");
         }
     }
 
     @Override
     public void connectionLost(Duration at, String id) {
-        Case about = cases.get(id);
-        if (about != null && about.endedAt == null) {
-            about.endedAt = at;
-            about.cut = true; // told at the end, since that its dispatcher was killed may be heard later
+        JudgedRequest request = requests.get(id);
+        if (request != null && request.endedAt == null) {
+            request.endedAt = at;
+            request.connectionLost = true; // judged at the end: a kill of the dispatcher may be reported later
         }
     }
 
     @Override
     public void newConnectionClosed(Duration at, String id) {
-        Case about = cases.get(id);
-        if (about != null && about.endedAt == null) {
-            about.turnedOff = true; // counted at the end, since that its dispatcher was killed may be heard later
-            about.endedAt = at;
+        JudgedRequest request = requests.get(id);
+        if (request != null && request.endedAt == null) {
+            request.newConnectionClosed = true; // judged at the end: a kill of the dispatcher may be reported later
+            request.endedAt = at;
         }
     }
 
     @Override
     public void clientLeft(Duration at, String id) {
-        Case about = cases.get(id);
-        if (about != null && about.endedAt == null) {
-            about.excused = true;
-            about.endedAt = at;
+        JudgedRequest request = requests.get(id);
+        if (request != null && request.endedAt == null) {
+            request.excused = true;
+            request.endedAt = at;
         }
     }
 
     @Override
     public void dispatcherKilled(Duration at, int dispatcher) {
-        for (Case each : cases.values()) {
-            if (each.dispatcher == dispatcher && !each.answered) {
-                each.excused = true;
+        for (JudgedRequest request : requests.values()) {
+            if (request.dispatcher == dispatcher && !request.answered) {
+                request.excused = true;
             }
         }
-        words.keySet().removeIf(key -> (int) (key >> 32) == dispatcher); // what it was told went with it
+        listEntries.keySet().removeIf(key -> (int) (key >> 32) == dispatcher); // lost with the process
     }
 
     @Override
     public void dispatcherPaused(Duration at, int dispatcher) {
-        stopped.putIfAbsent(dispatcher, at);
-        untold.putIfAbsent(dispatcher, new ArrayList<>());
+        pausedSince.putIfAbsent(dispatcher, at);
+        deferredListEntries.putIfAbsent(dispatcher, new ArrayList<>());
     }
 
     /**
-     * What should have had its answer while it stood still, or so soon after that it could hardly be read first, is not
-     * its fault; nor is what it was told meanwhile, which counts from now.
+     * Excuses requests whose deadline passed during the pause, or so soon after it that the dispatcher could hardly
+     * read them in time. List entries sent during the pause count as received now.
      */
     @Override
     public void dispatcherResumed(Duration at, int dispatcher) {
-        Duration since = stopped.remove(dispatcher);
-        if (since == null) {
+        Duration pausedAt = pausedSince.remove(dispatcher);
+        if (pausedAt == null) {
             return;
         }
-        Duration stood = at.minus(since);
-        Duration until = at.plus(stood.compareTo(CATCH_UP) < 0 ? stood : CATCH_UP);
-        for (Case each : cases.values()) {
-            if (each.dispatcher == dispatcher && !each.answered && each.deadline.compareTo(until) <= 0) {
-                each.excused = true;
+        Duration pauseLength = at.minus(pausedAt);
+        Duration until = at.plus(pauseLength.compareTo(MAX_CATCH_UP) < 0 ? pauseLength : MAX_CATCH_UP);
+        for (JudgedRequest request : requests.values()) {
+            if (request.dispatcher == dispatcher && !request.answered && request.deadline.compareTo(until) <= 0) {
+                request.excused = true;
             }
         }
-        wentOn = at;
-        untold.remove(dispatcher).forEach(Runnable::run);
+        lastResumedAt = at;
+        deferredListEntries.remove(dispatcher).forEach(Runnable::run);
     }
 
     @Override
-    public void linkChanged(Duration at, int runner, int dispatcher, boolean free) {
-        disturbed.put(key(dispatcher, runner), free ? at.plus(SETTLES) : Duration.ofSeconds(Long.MAX_VALUE));
-        if (!free) { // what is called off there can't be seen from now on
-            for (Case each : cases.values()) {
-                Seen seen = each.dispatcher == dispatcher ? each.at(runner) : null;
-                if (seen != null && seen.overAt == null) {
-                    seen.overAt = at;
-                    seen.unseen = true;
+    public void linkChanged(Duration at, int runner, int dispatcher, boolean clear) {
+        disturbedUntil.put(
+                linkKey(dispatcher, runner), clear ? at.plus(LINK_SETTLE_TIME) : Duration.ofSeconds(Long.MAX_VALUE));
+        if (!clear) { // cancellations over this link can't be observed from now on
+            for (JudgedRequest request : requests.values()) {
+                ReceivedAttempt attempt = request.dispatcher == dispatcher ? request.lastAttemptAt(runner) : null;
+                if (attempt != null && attempt.endedAt == null) {
+                    attempt.endedAt = at;
+                    attempt.endUnknown = true;
                 }
             }
         }
     }
 
     /**
-     * Whether what comes at a runner by this way may be late, or can't be called off, without a fault of the
-     * sender.
+     * True if messages over this link may arrive late, or cancellations may be lost, without a fault of the
+     * dispatcher.
      */
     private boolean isDisturbed(Duration at, int runner, int dispatcher) {
-        Duration until = disturbed.get(key(dispatcher, runner));
+        Duration until = disturbedUntil.get(linkKey(dispatcher, runner));
         return until != null && at.compareTo(until) < 0;
     }
 
-    // ---- Runners.
+    // ---- Events at runners and of the runner list.
 
     @Override
-    public void attemptReceived(Duration firstByte, Duration at, String id, int runner, int dispatcher, double work) {
+    public void attemptReceived(
+            Duration firstByteAt, Duration at, String id, int runner, int dispatcher, double workSeconds) {
         attemptCount++;
-        reachedCold(at, runner, dispatcher);
-        boolean late = isDisturbed(at, runner, dispatcher);
-        if (!late) {
-            drained(firstByte, id, runner, dispatcher);
-        }
-        Case about = cases.get(id);
-        if (about == null) {
-            return; // asked at a moment that a client's clock gives later, or long over
-        }
-        Workload w = about.workload;
-        if (!w.zones.isEmpty() && !w.zones.contains(terms.zones()[runner])
-                || !w.machineTypes.isEmpty() && !w.machineTypes.contains(terms.machineTypes()[runner])) {
-            breach(
+        checkColdLimit(at, runner, dispatcher);
+        boolean disturbed = isDisturbed(at, runner, dispatcher);
+        if (!disturbed) {
+            checkListedHealth(firstByteAt, id, runner, dispatcher);
+        }
+        JudgedRequest request = requests.get(id);
+        if (request == null) {
+            return; // the client recorded a later time for the request, or the request was discarded long ago
+        }
+        Workload workload = request.workload;
+        if (!workload.zones.isEmpty() && !workload.zones.contains(settings.zones()[runner])
+                || !workload.machineTypes.isEmpty()
+                        && !workload.machineTypes.contains(settings.machineTypes()[runner])) {
+            report(
                     Violation.Kind.MISPLACED,
                     at,
                     id,
-                    "dispatched to runner " + runner + " of zone " + terms.zones()[runner] + " and kind "
-                            + terms.machineTypes()[runner] + ", where " + w.name + " may not run");
-        }
-        Duration over = about.endedAt == null ? null : about.endedAt.plus(terms.timingTolerance());
-        Duration last = about.deadline.plus(terms.answerGrace()).plus(terms.timingTolerance());
-        if (!late && (over != null && firstByte.compareTo(over) > 0 || firstByte.compareTo(last) > 0)) {
-            breach(
+                    "dispatched to runner " + runner + " of zone " + settings.zones()[runner] + " and machine type "
+                            + settings.machineTypes()[runner] + ", where workload " + workload.name + " may not run");
+        }
+        Duration latestAfterEnd = request.endedAt == null ? null : request.endedAt.plus(settings.timingTolerance());
+        Duration latestAllowedAt = request.deadline.plus(settings.answerGrace()).plus(settings.timingTolerance());
+        if (!disturbed
+                && (latestAfterEnd != null && firstByteAt.compareTo(latestAfterEnd) > 0
+                        || firstByteAt.compareTo(latestAllowedAt) > 0)) {
+            report(
                     Violation.Kind.SENT_AFTER_END,
                     at,
                     id,
                     "dispatched to runner " + runner + " by dispatcher " + dispatcher
-                            + ", " + ms(firstByte.minus(about.endedAt == null ? about.deadline : about.endedAt))
-                            + " after " + (about.endedAt == null ? "patience ended" : "its end"));
-        }
-        repeated(at, about, runner, late);
-        Seen seen = new Seen(runner, at);
-        seen.overAt = late ? at : null;
-        seen.unseen = late;
-        about.seen.add(seen);
-    }
-
-    private void repeated(Duration at, Case about, int runner, boolean late) {
-        Workload w = about.workload;
-        for (Seen earlier : about.seen) {
-            if (earlier.overAt == null && !earlier.unstarted && !terms.parallelAttempts() && !late) {
-                breach(
+                            + ", "
+                            + millisText(
+                                    firstByteAt.minus(request.endedAt == null ? request.deadline : request.endedAt))
+                            + " after " + (request.endedAt == null ? "the client timeout" : "its end"));
+        }
+        checkRepeat(at, request, runner, disturbed);
+        ReceivedAttempt attempt = new ReceivedAttempt(runner, at);
+        attempt.endedAt = disturbed ? at : null;
+        attempt.endUnknown = disturbed;
+        request.attempts.add(attempt);
+    }
+
+    private void checkRepeat(Duration at, JudgedRequest request, int runner, boolean disturbed) {
+        Workload workload = request.workload;
+        for (ReceivedAttempt earlier : request.attempts) {
+            if (earlier.endedAt == null && !earlier.notStarted && !settings.parallelAttempts() && !disturbed) {
+                report(
                         Violation.Kind.TWO_OUT,
                         at,
-                        about.id,
-                        "dispatched to runner " + runner + " while one is out at " + earlier.runner);
+                        request.id,
+                        "dispatched to runner " + runner + " while an attempt is pending at runner " + earlier.runner);
             }
-            if (earlier.unstarted || w.repeatSafety == Workload.RepeatSafety.PURE) {
+            if (earlier.notStarted || workload.repeatSafety == Workload.RepeatSafety.PURE) {
                 continue;
             }
-            if (w.repeatSafety == Workload.RepeatSafety.EFFECTFUL) {
-                breach(Violation.Kind.REPEATED_EFFECTFUL, at, about.id, "it may have run at runner " + earlier.runner);
-            } else if (!sameGroup(w, earlier.runner, runner)) {
-                breach(
+            if (workload.repeatSafety == Workload.RepeatSafety.EFFECTFUL) {
+                report(
+                        Violation.Kind.REPEATED_EFFECTFUL,
+                        at,
+                        request.id,
+                        "dispatched again although it may have run at runner " + earlier.runner);
+            } else if (!inSameDedupScope(workload, earlier.runner, runner)) {
+                report(
                         Violation.Kind.OUTSIDE_GROUP,
                         at,
-                        about.id,
+                        request.id,
                         "it may have run at runner " + earlier.runner + ", whose receipts runner " + runner
                                 + " does not know");
-            } else if (!late && at.compareTo(earlier.at.plus(w.dedupWindow).plus(terms.timingTolerance())) > 0) {
-                breach(Violation.Kind.AFTER_WINDOW, at, about.id, "its receipt was forgotten by then");
+            } else if (!disturbed
+                    && at.compareTo(earlier.receivedAt
+                                    .plus(workload.dedupWindow)
+                                    .plus(settings.timingTolerance()))
+                            > 0) {
+                report(Violation.Kind.AFTER_WINDOW, at, request.id, "dispatched again after its receipt had expired");
             }
         }
     }
 
-    private boolean sameGroup(Workload w, int one, int other) {
-        return switch (w.dedupScope) {
+    private boolean inSameDedupScope(Workload workload, int runner, int otherRunner) {
+        return switch (workload.dedupScope) {
             case ALL -> true;
-            case ZONE -> terms.zones()[one].equals(terms.zones()[other]);
-            case CELL -> terms.cells()[one] == terms.cells()[other];
+            case ZONE -> settings.zones()[runner].equals(settings.zones()[otherRunner]);
+            case CELL -> settings.cells()[runner] == settings.cells()[otherRunner];
         };
     }
 
-    private void drained(Duration firstByte, String id, int runner, int dispatcher) {
-        Word word = words.get(key(dispatcher, runner));
-        if (word == null
-                || word.health == ListedHealth.UP
-                || firstByte.compareTo(word.at.plus(terms.drainGrace()).plus(terms.timingTolerance())) <= 0) {
+    private void checkListedHealth(Duration firstByteAt, String id, int runner, int dispatcher) {
+        ListEntry entry = listEntries.get(linkKey(dispatcher, runner));
+        if (entry == null
+                || entry.health == ListedHealth.UP
+                || firstByteAt.compareTo(
+                                entry.receivedAt.plus(settings.drainGrace()).plus(settings.timingTolerance()))
+                        <= 0) {
             return;
         }
-        breach(
-                word.health == ListedHealth.GONE ? Violation.Kind.SENT_TO_GONE : Violation.Kind.SENT_TO_DRAINING,
-                firstByte,
+        report(
+                entry.health == ListedHealth.GONE ? Violation.Kind.SENT_TO_GONE : Violation.Kind.SENT_TO_DRAINING,
+                firstByteAt,
                 id,
-                "dispatcher " + dispatcher + " was told of runner " + runner + " "
-                        + ms(firstByte.minus(word.at))
+                "dispatcher " + dispatcher + " had received the list entry of runner " + runner + " "
+                        + millisText(firstByteAt.minus(entry.receivedAt))
                         + " before");
     }
 
-    private void reachedCold(Duration at, int runner, int dispatcher) {
-        Life life = lives.get(runner);
-        if (life == null || life.budget == null) {
+    private void checkColdLimit(Duration at, int runner, int dispatcher) {
+        ColdPhase coldPhase = coldPhases.get(runner);
+        if (coldPhase == null || coldPhase.budget == null) {
             return;
         }
-        Duration age = at.minus(life.startedAt);
-        Duration within = life.make.warmWithin();
-        if (age.compareTo(within) >= 0) {
-            life.budget = null;
+        Duration age = at.minus(coldPhase.startedAt);
+        Duration warmUpTime = coldPhase.make.warmWithin();
+        if (age.compareTo(warmUpTime) >= 0) {
+            coldPhase.budget = null;
             return;
         }
-        double share = life.make.coldFrom() + (1 - life.make.coldFrom()) * age.toNanos() / within.toNanos();
-        Word word = words.get(key(dispatcher, runner));
-        boolean told = word != null && word.bornAt != null && word.bornAt.compareTo(life.startedAt) >= 0;
-        boolean over = life.budget.addAndCheckExceeded(at.toNanos(), share * life.make.capacity(), told);
-        if (over && life.budget.informedShare() >= 2.0 / 3 && !life.told) {
-            life.told = true;
-            breach(
+        double share =
+                coldPhase.make.coldFrom() + (1 - coldPhase.make.coldFrom()) * age.toNanos() / warmUpTime.toNanos();
+        ListEntry entry = listEntries.get(linkKey(dispatcher, runner));
+        boolean informed = entry != null
+                && entry.runnerStartedAt != null
+                && entry.runnerStartedAt.compareTo(coldPhase.startedAt) >= 0;
+        boolean exceeded =
+                coldPhase.budget.addAndCheckExceeded(at.toNanos(), share * coldPhase.make.capacity(), informed);
+        if (exceeded && coldPhase.budget.informedShare() >= 2.0 / 3 && !coldPhase.reported) {
+            coldPhase.reported = true;
+            report(
                     Violation.Kind.COLD_PUSHED_OVER,
                     at,
                     "runner " + runner,
-                    "sent more than " + terms.coldLimitMultiple() + " times what it can do, " + ms(age)
+                    "received more than " + settings.coldLimitMultiple() + " times its capacity, " + millisText(age)
                             + " after its start");
         }
     }
 
     @Override
     public void attemptNotStarted(Duration at, String id, int runner) {
-        Seen seen = seen(id, runner);
-        if (seen != null) {
-            seen.unstarted = !terms.lateRejections();
-            seen.overAt = at;
+        ReceivedAttempt attempt = findAttempt(id, runner);
+        if (attempt != null) {
+            attempt.notStarted = !settings.lateRejections();
+            attempt.endedAt = at;
         }
     }
 
     @Override
     public void attemptEnded(Duration at, String id, int runner) {
-        Seen seen = seen(id, runner);
-        if (seen != null && seen.overAt == null) {
-            seen.overAt = at;
+        ReceivedAttempt attempt = findAttempt(id, runner);
+        if (attempt != null && attempt.endedAt == null) {
+            attempt.endedAt = at;
         }
     }
 
-    private Seen seen(String id, int runner) {
-        Case about = cases.get(id);
-        return about == null ? null : about.at(runner);
+    private ReceivedAttempt findAttempt(String id, int runner) {
+        JudgedRequest request = requests.get(id);
+        return request == null ? null : request.lastAttemptAt(runner);
     }
 
     @Override
     public void effectProduced(Duration at, String id, int runner, String result) {
-        Case about = cases.get(id);
-        if (about == null) {
+        JudgedRequest request = requests.get(id);
+        if (request == null) {
             return;
         }
-        about.results.add(result);
-        if (++about.effects > 1 && about.workload.repeatSafety != Workload.RepeatSafety.PURE) {
-            breach(Violation.Kind.EFFECT_TWICE, at, id, "runner " + runner + " ran it, and another had");
+        request.results.add(result);
+        if (++request.effectCount > 1 && request.workload.repeatSafety != Workload.RepeatSafety.PURE) {
+            report(Violation.Kind.EFFECT_TWICE, at, id, "runner " + runner + " ran it after another run");
         }
     }
 
     @Override
     public void duplicateAnswered(Duration at, String id, String result) {
-        Case about = cases.get(id);
-        if (about != null) {
-            about.results.add(result);
+        JudgedRequest request = requests.get(id);
+        if (request != null) {
+            request.results.add(result);
         }
     }
 
     @Override
     public void runnerSilent(Duration at, int runner) {
-        for (Case each : cases.values()) {
-            Seen seen = each.at(runner);
-            if (seen != null && seen.overAt == null) {
-                seen.overAt = at;
+        for (JudgedRequest request : requests.values()) {
+            ReceivedAttempt attempt = request.lastAttemptAt(runner);
+            if (attempt != null && attempt.endedAt == null) {
+                attempt.endedAt = at;
             }
         }
     }
 
     @Override
     public void runnerStarted(Duration at, int runner, Make make) {
-        Life life = new Life();
-        life.make = make;
-        life.startedAt = at;
-        life.budget = new ColdBudget(terms.coldLimitMultiple(), terms.coldLimitWindow(), terms.meanWorkSeconds());
-        lives.put(runner, life);
+        ColdPhase coldPhase = new ColdPhase();
+        coldPhase.make = make;
+        coldPhase.startedAt = at;
+        coldPhase.budget =
+                new ColdBudget(settings.coldLimitMultiple(), settings.coldLimitWindow(), settings.meanWorkSeconds());
+        coldPhases.put(runner, coldPhase);
     }
 
     @Override
-    public void listEntryReceived(Duration at, int dispatcher, int runner, ListedHealth health, Duration bornAt) {
-        if (stopped.containsKey(dispatcher)) {
-            untold.get(dispatcher).add(() -> listEntryReceived(wentOn, dispatcher, runner, health, bornAt));
+    public void listEntryReceived(
+            Duration at, int dispatcher, int runner, ListedHealth health, Duration runnerStartedAt) {
+        if (pausedSince.containsKey(dispatcher)) {
+            deferredListEntries
+                    .get(dispatcher)
+                    .add(() -> listEntryReceived(lastResumedAt, dispatcher, runner, health, runnerStartedAt));
             return;
         }
-        // The first word that it is to be left alone counts; a later one of the same kind gives no new grace.
-        words.merge(
-                key(dispatcher, runner),
-                new Word(at, health, bornAt),
-                (old, next) -> old.health != ListedHealth.UP && next.health != ListedHealth.UP
-                        ? new Word(old.at, next.health, next.bornAt)
+        // The grace period starts with the first entry that isn't UP; later such entries don't extend it.
+        listEntries.merge(
+                linkKey(dispatcher, runner),
+                new ListEntry(at, health, runnerStartedAt),
+                (previous, next) -> previous.health != ListedHealth.UP && next.health != ListedHealth.UP
+                        ? new ListEntry(previous.receivedAt, next.health, next.runnerStartedAt)
                         : next);
     }
 
-    private static long key(int dispatcher, int runner) {
+    private static long linkKey(int dispatcher, int runner) {
         return (long) dispatcher << 32 | runner;
     }
 
-    // ---- The end.
+    // ---- Verdicts.
 
-    private void forget(Duration now) {
-        while (!inOrder.isEmpty() && now.compareTo(inOrder.peek().deadline.plus(memory)) > 0) {
-            closeRequest(inOrder.poll());
+    private void closeExpiredRequests(Duration now) {
+        while (!requestsInOrder.isEmpty()
+                && now.compareTo(requestsInOrder.peek().deadline.plus(retention)) > 0) {
+            closeRequest(requestsInOrder.poll());
         }
     }
 
-    /** All has been told: what has no answer by now has none. */
+    /** Ends the observation: requests without an answer count as lost. */
     public void finish() {
-        while (!inOrder.isEmpty()) {
-            closeRequest(inOrder.poll());
+        while (!requestsInOrder.isEmpty()) {
+            closeRequest(requestsInOrder.poll());
         }
-        if (turnedOff * MOST_TURNED_OFF > requestCount) {
-            breach(
+        if (closedConnectionCount * REQUESTS_PER_ALLOWED_CLOSED_CONNECTION > requestCount) {
+            report(
                     Violation.Kind.LOST,
-                    wentOn,
-                    turnedOff + " requests",
-                    "their new connections were closed with no answer: dispatcher " + turnedOffBy);
+                    lastResumedAt,
+                    closedConnectionCount + " requests",
+                    "their new connections were closed without an answer: dispatcher " + closedConnectionsBySource);
         }
     }
 
-    private void closeRequest(Case each) {
-        if (each.turnedOff) {
-            if (!each.excused) {
-                turnedOff++;
-                turnedOffBy.merge(
-                        each.dispatcher + " at " + each.endedAt.toMillis() / 100 / 10.0 + " s", 1, Integer::sum);
+    private void closeRequest(JudgedRequest request) {
+        if (request.newConnectionClosed) {
+            if (!request.excused) {
+                closedConnectionCount++;
+                closedConnectionsBySource.merge(
+                        request.dispatcher + " at " + request.endedAt.toMillis() / 100 / 10.0 + " s", 1, Integer::sum);
             }
-        } else if (!each.answered
-                && !each.excused
-                && !stopped.containsKey(each.dispatcher)
-                && (each.cut || each.endedAt == null)) {
-            breach(
+        } else if (!request.answered
+                && !request.excused
+                && !pausedSince.containsKey(request.dispatcher)
+                && (request.connectionLost || request.endedAt == null)) {
+            report(
                     Violation.Kind.LOST,
-                    each.cut ? each.endedAt : each.deadline,
-                    each.id,
+                    request.connectionLost ? request.endedAt : request.deadline,
+                    request.id,
                     "dispatcher "
-                            + each.dispatcher
-                            + (each.cut ? " ended its connection with no whole answer" : " gave no final answer"));
+                            + request.dispatcher
+                            + (request.connectionLost
+                                    ? " closed its connection without a complete answer"
+                                    : " sent no final answer"));
         }
-        cases.remove(each.id, each);
+        requests.remove(request.id, request);
     }
 
-    private static String ms(Duration span) {
-        return span.toMillis() + " ms";
+    private static String millisText(Duration duration) {
+        return duration.toMillis() + " ms";
     }
 }
--- a/rig/src/main/java/saltdale/rig/judge/JudgeSettings.java
+++ b/rig/src/main/java/saltdale/rig/judge/JudgeSettings.java
@@ -4,12 +4,19 @@
 import saltdale.rig.plan.Day;
 
 /**
- * The four rules in figures.
+ * The parameters of the dispatching rules.
  *
- * @param slack by which each limit is longer where sockets and clocks come between
- * @param fullProvesNothing a runner may have begun what it turns away
- * @param meanWork of an assignment, seconds
- * @param zones of each runner, for what decides by group or place; likewise kinds and cells
+ * @param answerGrace how long after the client timeout an answer may still arrive
+ * @param drainGrace how long after a list entry attempts may still reach a draining or removed runner
+ * @param timingTolerance added to each time limit, for the delays of sockets and clocks
+ * @param parallelAttempts true if a request may have several pending attempts
+ * @param lateRejections true if a runner may have started the attempts that it rejects
+ * @param coldLimitMultiple a cold runner may receive this multiple of its capacity
+ * @param coldLimitWindow the time over which that limit is checked
+ * @param meanWorkSeconds the mean work of a request
+ * @param zones the zone of each runner, for deduplication scopes and placement
+ * @param machineTypes the machine type of each runner, for placement
+ * @param cells the cell of each runner, for deduplication scopes
  */
 public record JudgeSettings(
         Duration answerGrace,
@@ -23,26 +30,27 @@
         String[] zones,
         String[] machineTypes,
         int[] cells) {
-    public static JudgeSettings of(Day day, Duration slack) {
+    /** The settings for a day. */
+    public static JudgeSettings of(Day day, Duration timingTolerance) {
         String[] zones = new String[day.runners];
-        String[] kinds = new String[day.runners];
+        String[] machineTypes = new String[day.runners];
         int[] cells = new int[day.runners];
         for (int i = 0; i < day.runners; i++) {
             zones[i] = day.zone(i);
-            kinds[i] = day.make(i).name();
+            machineTypes[i] = day.make(i).name();
             cells[i] = day.cell(i);
         }
         return new JudgeSettings(
                 day.answerGrace,
                 day.drainGrace,
-                slack,
+                timingTolerance,
                 day.orders.parallelAttempts,
                 day.orders.lateRejections,
                 day.orders.coldLimitMultiple,
                 day.orders.coldLimitWindow,
                 day.meanSize(),
                 zones,
-                kinds,
+                machineTypes,
                 cells);
     }
 }
--- a/rig/src/main/java/saltdale/rig/judge/Violation.java
+++ b/rig/src/main/java/saltdale/rig/judge/Violation.java
@@ -3,12 +3,13 @@
 import java.time.Duration;
 
 /**
- * A rule that was broken.
+ * A violation of a dispatching rule.
  *
- * @param about the request's id, or the runner
+ * @param subject the id of the request, or the runner
+ * @param detail what happened, for the report
  */
 public record Violation(Kind kind, Duration at, String subject, String detail) {
-    /** The ways to break a rule; the figure is the rule's, 5 that on placement. */
+    /** The kinds of violations; each belongs to one of the four rules, or to 5, the rule on placement. */
     public enum Kind {
         LOST(1),
         ANSWERED_TWICE(1),
@@ -27,6 +28,7 @@
         COLD_PUSHED_OVER(4),
         MISPLACED(5);
 
+        /** The number of the violated rule. */
         public final int ruleNumber;
 
         Kind(int rule) {
--- a/rig/src/main/java/saltdale/rig/simulate/BaselineDispatcher.java
+++ b/rig/src/main/java/saltdale/rig/simulate/BaselineDispatcher.java
@@ -19,22 +19,22 @@
 import saltdale.model.Workload;
 
 /**
- * A simple dispatcher that keeps the rules: a baseline to measure against. With a slip it breaks one of them
- * on purpose, in one way: so the judge is proven. Nothing of this decides in a real dispatcher.
+ * A simple dispatcher that follows the rules, as a baseline for comparisons. With a {@link Defect} it violates one rule
+ * on purpose, to verify that the judge detects it. No real dispatcher uses this code.
  */
 public final class BaselineDispatcher implements SimulatedDispatcher {
-    /** How the next runner is chosen. */
+    /** How the runner of an attempt is selected. */
     public enum SelectionPolicy {
         RANDOM,
         ROUND_ROBIN,
         LEAST_OUT,
-        /** Least outstanding, and each dispatcher sheds beyond a fixed number of its own. */
+        /** Least outstanding attempts; each dispatcher sheds beyond a fixed number of its own. */
         FIXED_LIMIT,
-        /** The least held of all runners, of which it sees the true state, late. */
+        /** The fewest held jobs by the true state of all runners, which it sees with a delay. */
         SEES_LATE
     }
 
-    /** One rule broken in one way. */
+    /** A deliberate violation of one rule. */
     public enum Defect {
         NONE,
         FORGETS,
@@ -54,262 +54,270 @@
         TRUSTS_FULL
     }
 
-    private static final int HELD = 4; // for each runner, over all dispatchers: the fixed limit
+    private static final int FIXED_LIMIT_PER_RUNNER = 4; // attempts in flight, over all dispatchers
 
-    private final DispatcherSettings orders;
-    private final DispatcherActions door;
-    private final SplittableRandom chance;
-    private final SelectionPolicy choice;
-    private final Defect slip;
+    private final DispatcherSettings settings;
+    private final DispatcherActions actions;
+    private final SplittableRandom random;
+    private final SelectionPolicy policy;
+    private final Defect defect;
     private final Set<Runner> runners = new LinkedHashSet<>();
     private final Map<Runner, Duration> coldUntil = new HashMap<>();
-    private final Map<Runner, Duration> lastCold = new HashMap<>();
-    private final List<Runnable> wishes = new ArrayList<>();
-    private int turn;
+    private final Map<Runner, Duration> lastColdDispatchAt = new HashMap<>();
+    private final List<Runnable> pendingActions = new ArrayList<>();
+    private int nextRoundRobinIndex;
 
     public BaselineDispatcher(
-            DispatcherSettings orders,
-            DispatcherActions door,
-            SplittableRandom chance,
-            SelectionPolicy choice,
-            Defect slip) {
-        this.orders = orders;
-        this.door = door;
-        this.chance = chance;
-        this.choice = choice;
-        this.slip = slip;
+            DispatcherSettings settings,
+            DispatcherActions actions,
+            SplittableRandom random,
+            SelectionPolicy policy,
+            Defect defect) {
+        this.settings = settings;
+        this.actions = actions;
+        this.random = random;
+        this.policy = policy;
+        this.defect = defect;
     }
 
     @Override
     public void onStart(Duration now) {
-        // It is told the list.
+        // The list arrives without a subscription.
     }
 
     @Override
-    public void onRunnerList(Duration now, List<RunnerListEntry> sightings, boolean whole, boolean cached) {
-        for (RunnerListEntry s : sightings) {
-            s.runner().update(s, s.runner().typeStats);
-            boolean stays = s.mode() == Runner.Mode.READY
-                    || s.mode() == Runner.Mode.DRAINING && slip == Defect.IGNORES_DRAIN
-                    || s.mode() == Runner.Mode.GONE && slip == Defect.IGNORES_GONE;
-            if (stays) {
-                runners.add(s.runner());
+    public void onRunnerList(Duration now, List<RunnerListEntry> entries, boolean complete, boolean cached) {
+        for (RunnerListEntry entry : entries) {
+            entry.runner().update(entry, entry.runner().typeStats);
+            boolean usable = entry.mode() == Runner.Mode.READY
+                    || entry.mode() == Runner.Mode.DRAINING && defect == Defect.IGNORES_DRAIN
+                    || entry.mode() == Runner.Mode.GONE && defect == Defect.IGNORES_GONE;
+            if (usable) {
+                runners.add(entry.runner());
             } else {
-                runners.remove(s.runner());
+                runners.remove(entry.runner());
             }
-            if (s.startedAt() != null) {
-                coldUntil.put(s.runner(), s.startedAt().plus(orders.warmUpTime));
+            if (entry.startedAt() != null) {
+                coldUntil.put(entry.runner(), entry.startedAt().plus(settings.warmUpTime));
             }
         }
     }
 
     @Override
-    public void onRequest(Duration now, Request a) {
-        wishes.add(() -> door.setTimer(a.deadline.minus(now).minusMillis(slip == Defect.ANSWERS_LATE ? -400 : 5), a));
-        if (slip == Defect.FORGETS && chance.nextInt(20) == 0) {
+    public void onRequest(Duration now, Request request) {
+        pendingActions.add(() -> actions.setTimer(
+                request.deadline.minus(now).minusMillis(defect == Defect.ANSWERS_LATE ? -400 : 5), request));
+        if (defect == Defect.FORGETS && random.nextInt(20) == 0) {
             return;
         }
-        go(now, a);
-        // given up while it is out, then sent again
-        if (slip == Defect.SENDS_AFTER_END && !a.attempts.isEmpty()) {
-            wishes.add(() -> door.setTimer(Duration.ofMillis(5), a.lastAttempt()));
+        dispatchOrRespond(now, request);
+        // Gives up while the attempt is pending, then sends it again.
+        if (defect == Defect.SENDS_AFTER_END && !request.attempts.isEmpty()) {
+            pendingActions.add(() -> actions.setTimer(Duration.ofMillis(5), request.lastAttempt()));
         }
     }
 
-    private void go(Duration now, Request a) {
-        boolean over = choice == SelectionPolicy.FIXED_LIMIT
-                && a.attempts.isEmpty()
-                && runners.stream().mapToInt(r -> r.inFlight.size()).sum() * orders.dispatcherCount
-                        >= HELD * runners.size();
-        Runner runner = over ? null : choose(now, a);
+    private void dispatchOrRespond(Duration now, Request request) {
+        boolean overLimit = policy == SelectionPolicy.FIXED_LIMIT
+                && request.attempts.isEmpty()
+                && runners.stream().mapToInt(r -> r.inFlight.size()).sum() * settings.dispatcherCount
+                        >= FIXED_LIMIT_PER_RUNNER * runners.size();
+        Runner runner = overLimit ? null : selectRunner(now, request);
         if (runner == null) {
-            answer(a);
+            respondLocally(request);
         } else {
-            send(now, a, runner);
-            if (slip == Defect.COPIES) {
-                Runner other = choose(now, a);
+            addAttempt(now, request, runner);
+            if (defect == Defect.COPIES) {
+                Runner other = selectRunner(now, request);
                 if (other != null) {
-                    send(now, a, other);
+                    addAttempt(now, request, other);
                 }
             }
         }
     }
 
-    private void send(Duration now, Request a, Runner runner) {
-        Attempt d = new Attempt(a, runner, now, 1, runner.inFlight.size());
-        a.attempts.add(d);
-        runner.inFlight.add(d);
-        wishes.add(() -> door.dispatch(d, null));
+    private void addAttempt(Duration now, Request request, Runner runner) {
+        Attempt attempt = new Attempt(request, runner, now, 1, runner.inFlight.size());
+        request.attempts.add(attempt);
+        runner.inFlight.add(attempt);
+        pendingActions.add(() -> actions.dispatch(attempt, null));
     }
 
-    private Runner choose(Duration now, Request a) {
-        List<Runner> fit = new ArrayList<>();
-        for (Runner r : runners) {
-            if (mayGo(a, r) && !cold(now, r) && !a.wasSentTo(r)) {
-                fit.add(r);
+    private Runner selectRunner(Duration now, Request request) {
+        List<Runner> eligible = new ArrayList<>();
+        for (Runner candidate : runners) {
+            if (mayDispatch(request, candidate) && !isColdLimited(now, candidate) && !request.wasSentTo(candidate)) {
+                eligible.add(candidate);
             }
         }
-        if (slip == Defect.FLOODS_COLD) {
-            for (Runner r : runners) {
-                if (now.compareTo(coldUntil.getOrDefault(r, Duration.ZERO)) < 0 && mayGo(a, r)) {
-                    return r;
+        if (defect == Defect.FLOODS_COLD) {
+            for (Runner candidate : runners) {
+                if (now.compareTo(coldUntil.getOrDefault(candidate, Duration.ZERO)) < 0
+                        && mayDispatch(request, candidate)) {
+                    return candidate;
                 }
             }
         }
-        if (fit.isEmpty()) {
+        if (eligible.isEmpty()) {
             return null;
         }
-        return switch (choice) {
-            case RANDOM -> fit.get(chance.nextInt(fit.size()));
-            case ROUND_ROBIN -> fit.get(turn++ % fit.size());
+        return switch (policy) {
+            case RANDOM -> eligible.get(random.nextInt(eligible.size()));
+            case ROUND_ROBIN -> eligible.get(nextRoundRobinIndex++ % eligible.size());
             case LEAST_OUT, FIXED_LIMIT, SEES_LATE -> {
                 Runner best = null;
                 int ties = 0;
-                for (Runner r : fit) {
-                    int gap = best == null ? -1 : Double.compare(load(r), load(best));
-                    ties = gap < 0 ? 1 : gap == 0 ? ties + 1 : ties;
-                    best = gap < 0 || gap == 0 && chance.nextInt(ties) == 0 ? r : best;
+                for (Runner candidate : eligible) {
+                    int comparison = best == null ? -1 : Double.compare(load(candidate), load(best));
+                    ties = comparison < 0 ? 1 : comparison == 0 ? ties + 1 : ties;
+                    best = comparison < 0 || comparison == 0 && random.nextInt(ties) == 0 ? candidate : best;
                 }
                 yield best;
             }
         };
     }
 
-    private double load(Runner r) {
-        return choice == SelectionPolicy.SEES_LATE
-                ? Math.max(((RunnerLoadView) door).held(r), r.inFlight.size())
-                : r.inFlight.size();
+    private double load(Runner runner) {
+        return policy == SelectionPolicy.SEES_LATE
+                ? Math.max(((RunnerLoadView) actions).heldJobs(runner), runner.inFlight.size())
+                : runner.inFlight.size();
     }
 
-    /** Sends to a cold runner are spread so thin that all dispatchers together stay far under its budget. */
-    private boolean cold(Duration now, Runner r) {
-        if (now.compareTo(coldUntil.getOrDefault(r, Duration.ZERO)) >= 0) {
+    /**
+     * Limits the rate of attempts to a cold runner, so that all dispatchers together stay far below its limit. Counts
+     * an attempt if it returns false.
+     */
+    private boolean isColdLimited(Duration now, Runner runner) {
+        if (now.compareTo(coldUntil.getOrDefault(runner, Duration.ZERO)) >= 0) {
             return false;
         }
-        Duration gap = orders.coldLimitWindow.multipliedBy(orders.dispatcherCount);
-        Duration last = lastCold.get(r);
-        if (last != null && now.compareTo(last.plus(gap)) < 0) {
+        Duration interval = settings.coldLimitWindow.multipliedBy(settings.dispatcherCount);
+        Duration last = lastColdDispatchAt.get(runner);
+        if (last != null && now.compareTo(last.plus(interval)) < 0) {
             return true;
         }
-        lastCold.put(r, now);
+        lastColdDispatchAt.put(runner, now);
         return false;
     }
 
-    private boolean mayGo(Request a, Runner r) {
-        Workload w = a.workload;
-        if (slip != Defect.MISPLACES && !w.mayRunOn(r)) {
+    private boolean mayDispatch(Request request, Runner runner) {
+        Workload workload = request.workload;
+        if (defect != Defect.MISPLACES && !workload.mayRunOn(runner)) {
             return false;
-        } else if (w.repeatSafety == Workload.RepeatSafety.PURE || !a.mayHaveRun()) {
+        } else if (workload.repeatSafety == Workload.RepeatSafety.PURE || !request.mayHaveRun()) {
             return true;
-        } else if (w.repeatSafety == Workload.RepeatSafety.EFFECTFUL) {
-            return slip == Defect.REPEATS_EFFECTFUL;
+        } else if (workload.repeatSafety == Workload.RepeatSafety.EFFECTFUL) {
+            return defect == Defect.REPEATS_EFFECTFUL;
         }
-        return slip == Defect.LEAVES_GROUP
-                || slip == Defect.OUTLASTS_WINDOW
-                || a.attempts.stream().allMatch(d -> w.sharesDedupScope(d.runner, r));
+        return defect == Defect.LEAVES_GROUP
+                || defect == Defect.OUTLASTS_WINDOW
+                || request.attempts.stream().allMatch(attempt -> workload.sharesDedupScope(attempt.runner, runner));
     }
 
-    private boolean mayShed(Request a) {
-        Workload w = a.workload;
-        return slip == Defect.SHEDS_WHAT_RAN
-                || w.repeatSafety == Workload.RepeatSafety.PURE
-                || !a.mayHaveRun()
-                || w.repeatSafety == Workload.RepeatSafety.RECEIPTED && w.dedupScope == Workload.DedupScope.ALL;
+    private boolean mayShed(Request request) {
+        Workload workload = request.workload;
+        return defect == Defect.SHEDS_WHAT_RAN
+                || workload.repeatSafety == Workload.RepeatSafety.PURE
+                || !request.mayHaveRun()
+                || workload.repeatSafety == Workload.RepeatSafety.RECEIPTED
+                        && workload.dedupScope == Workload.DedupScope.ALL;
     }
 
-    private void answer(Request a) {
-        if (a.closed) {
+    private void respondLocally(Request request) {
+        if (request.closed) {
             return;
         }
-        a.closed = true;
-        boolean shed = mayShed(a);
-        Runnable say = shed ? () -> door.shed(a, null) : () -> door.giveUp(a);
-        wishes.add(say);
-        if (slip == Defect.ANSWERS_TWICE) {
-            wishes.add(say);
+        request.closed = true;
+        boolean shed = mayShed(request);
+        Runnable response = shed ? () -> actions.shed(request, null) : () -> actions.giveUp(request);
+        pendingActions.add(response);
+        if (defect == Defect.ANSWERS_TWICE) {
+            pendingActions.add(response);
         }
     }
 
     @Override
-    public void onStarted(Duration now, Attempt d) {
-        d.startedAt = now;
+    public void onStarted(Duration now, Attempt attempt) {
+        attempt.startedAt = now;
     }
 
     @Override
-    public void onProgress(Duration now, Attempt d) {
-        d.lastProgressAt = now;
+    public void onProgress(Duration now, Attempt attempt) {
+        attempt.lastProgressAt = now;
     }
 
     @Override
-    public void onAttemptEnd(Duration now, Attempt d, Outcome outcome, boolean over, LoadReport report) {
-        Request a = d.request;
-        d.outcome = outcome;
-        d.ambiguousRejection = outcome == Outcome.TURNED_AWAY && orders.lateRejections && slip != Defect.TRUSTS_FULL;
-        d.runner.inFlight.remove(d);
-        if (over) {
-            a.closed = true;
-        } else if (slip == Defect.ANSWERS_LATE && now.compareTo(a.deadline) >= 0) {
+    public void onAttemptEnd(Duration now, Attempt attempt, Outcome outcome, boolean done, LoadReport report) {
+        Request request = attempt.request;
+        attempt.outcome = outcome;
+        attempt.ambiguousRejection =
+                outcome == Outcome.TURNED_AWAY && settings.lateRejections && defect != Defect.TRUSTS_FULL;
+        attempt.runner.inFlight.remove(attempt);
+        if (done) {
+            request.closed = true;
+        } else if (defect == Defect.ANSWERS_LATE && now.compareTo(request.deadline) >= 0) {
             return;
-        } else if (!a.closed && a.pendingAttempt() == null) {
-            boolean again = a.attempts.size() < orders.maxAttempts;
-            boolean canFollow = again && runners.stream().anyMatch(r -> mayGo(a, r) && !a.wasSentTo(r));
-            if (slip == Defect.HOLDS_BACK && !canFollow) {
-                return; // until its patience is nearly over
-            } else if (slip == Defect.OUTLASTS_WINDOW && a.mayHaveRun()) {
-                wishes.add(() -> door.setTimer(a.workload.dedupWindow.plusMillis(100), d));
-            } else if (canFollow) {
-                go(now, a);
+        } else if (!request.closed && request.pendingAttempt() == null) {
+            boolean attemptsLeft = request.attempts.size() < settings.maxAttempts;
+            boolean canRetry =
+                    attemptsLeft && runners.stream().anyMatch(r -> mayDispatch(request, r) && !request.wasSentTo(r));
+            if (defect == Defect.HOLDS_BACK && !canRetry) {
+                return; // answers only shortly before the client timeout
+            } else if (defect == Defect.OUTLASTS_WINDOW && request.mayHaveRun()) {
+                pendingActions.add(() -> actions.setTimer(request.workload.dedupWindow.plusMillis(100), attempt));
+            } else if (canRetry) {
+                dispatchOrRespond(now, request);
             } else {
-                answer(a);
+                respondLocally(request);
             }
         }
     }
 
     @Override
-    public void onProbeResult(Duration now, Runner r, boolean answered, Duration took, LoadReport report) {
-        // It never asks.
+    public void onProbeResult(Duration now, Runner runner, boolean answered, Duration rtt, LoadReport report) {
+        // It sends no probes.
     }
 
     @Override
-    public void close(Request a) {
-        a.closed = true;
-        callOff(a);
+    public void close(Request request) {
+        request.closed = true;
+        cancelPendingAttempts(request);
     }
 
-    private void callOff(Request a) {
-        for (Attempt d : a.attempts) {
-            if (d.outcome == null) {
-                wishes.add(() -> door.cancel(d));
+    private void cancelPendingAttempts(Request request) {
+        for (Attempt attempt : request.attempts) {
+            if (attempt.outcome == null) {
+                pendingActions.add(() -> actions.cancel(attempt));
             }
         }
     }
 
     @Override
-    public void onTimer(Duration now, Object what) {
-        if (what instanceof Request a && !a.closed) {
-            if (slip == Defect.FORGETS && a.attempts.isEmpty()) {
+    public void onTimer(Duration now, Object timerTarget) {
+        if (timerTarget instanceof Request request && !request.closed) {
+            if (defect == Defect.FORGETS && request.attempts.isEmpty()) {
                 return;
             }
-            callOff(a);
-            answer(a);
-        } else if (what instanceof Attempt d && slip == Defect.SENDS_AFTER_END) {
-            if (d.outcome == null && !d.request.closed) {
-                answer(d.request);
-                wishes.add(() -> door.setTimer(Duration.ofMillis(20), d));
-            } else if (d.outcome == null) {
-                go(now, d.request);
+            cancelPendingAttempts(request);
+            respondLocally(request);
+        } else if (timerTarget instanceof Attempt attempt && defect == Defect.SENDS_AFTER_END) {
+            if (attempt.outcome == null && !attempt.request.closed) {
+                respondLocally(attempt.request);
+                pendingActions.add(() -> actions.setTimer(Duration.ofMillis(20), attempt));
+            } else if (attempt.outcome == null) {
+                dispatchOrRespond(now, attempt.request);
             }
-        } else if (what instanceof Attempt d && !d.request.closed) {
-            go(now, d.request);
+        } else if (timerTarget instanceof Attempt attempt && !attempt.request.closed) {
+            dispatchOrRespond(now, attempt.request);
         }
     }
 
     @Override
     public void applyActions(Duration now) {
-        List<Runnable> all = List.copyOf(wishes);
-        wishes.clear();
-        all.forEach(Runnable::run);
-        if (!wishes.isEmpty()) {
+        List<Runnable> due = List.copyOf(pendingActions);
+        pendingActions.clear();
+        due.forEach(Runnable::run);
+        if (!pendingActions.isEmpty()) {
             applyActions(now);
         }
     }
--- a/rig/src/main/java/saltdale/rig/simulate/EventQueue.java
+++ b/rig/src/main/java/saltdale/rig/simulate/EventQueue.java
@@ -3,48 +3,51 @@
 import java.time.Duration;
 import java.util.PriorityQueue;
 
-/**
- * What happens when, in simulated time; what is due at one moment happens in the order in which it was set.
- */
+/** A queue of events in simulated time; events due at the same time run in the order in which they were scheduled. */
 public final class EventQueue {
-    private record Due(long at, long number, Runnable what) implements Comparable<Due> {
+    private record ScheduledEvent(long atNanos, long sequence, Runnable task) implements Comparable<ScheduledEvent> {
         @Override
-        public int compareTo(Due other) {
-            return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
+        public int compareTo(ScheduledEvent other) {
+            return atNanos != other.atNanos
+                    ? Long.compare(atNanos, other.atNanos)
+                    : Long.compare(sequence, other.sequence);
         }
     }
 
-    private final PriorityQueue<Due> waiting = new PriorityQueue<>();
-    private long now;
-    private long next;
+    private final PriorityQueue<ScheduledEvent> pending = new PriorityQueue<>();
+    private long nowNanos;
+    private long nextSequence;
     private long executedCount;
 
+    /** The current simulated time. */
     public Duration now() {
-        return Duration.ofNanos(now);
+        return Duration.ofNanos(nowNanos);
     }
 
-    /** How many things have happened. */
+    /** The number of events executed so far. */
     public long executedCount() {
         return executedCount;
     }
 
-    public void scheduleAt(Duration at, Runnable what) {
-        waiting.add(new Due(Math.max(now, at.toNanos()), next++, what));
+    /** Schedules a task for this time, or for now if that is in the past. */
+    public void scheduleAt(Duration at, Runnable task) {
+        pending.add(new ScheduledEvent(Math.max(nowNanos, at.toNanos()), nextSequence++, task));
     }
 
-    public void scheduleAfter(Duration span, Runnable what) {
-        scheduleAt(Duration.ofNanos(now).plus(span), what);
+    /** Schedules a task after a delay. */
+    public void scheduleAfter(Duration delay, Runnable task) {
+        scheduleAt(Duration.ofNanos(nowNanos).plus(delay), task);
     }
 
-    /** Lets all happen that is due by then. */
+    /** Runs all events due up to this time, and advances the time to it. */
     public void runUntil(Duration until) {
-        long end = until.toNanos();
-        while (!waiting.isEmpty() && waiting.peek().at <= end) {
-            Due due = waiting.poll();
-            now = due.at;
+        long untilNanos = until.toNanos();
+        while (!pending.isEmpty() && pending.peek().atNanos <= untilNanos) {
+            ScheduledEvent event = pending.poll();
+            nowNanos = event.atNanos;
             executedCount++;
-            due.what.run();
+            event.task.run();
         }
-        now = Math.max(now, end);
+        nowNanos = Math.max(nowNanos, untilNanos);
     }
 }
--- a/rig/src/main/java/saltdale/rig/simulate/JudgeProof.java
+++ b/rig/src/main/java/saltdale/rig/simulate/JudgeProof.java
@@ -13,8 +13,8 @@
 import saltdale.rig.simulate.BaselineDispatcher.SelectionPolicy;
 
 /**
- * Proves the judge: small dispatchers, each wrong in one way, on a day that brings out all of them, and a
- * right one.
+ * Verifies the judge: dispatchers with one defect each, on a day that triggers all defects, and two correct
+ * dispatchers.
  */
 public final class JudgeProof {
     private static final String DAY = """
@@ -89,8 +89,8 @@
             size = 0.2
             """;
 
-    /** What each wrong one is to be caught at; one kind of breach may bring others along. */
-    private static final Map<Defect, Violation.Kind> CAUGHT = new EnumMap<>(Map.ofEntries(
+    /** The violation to be detected for each defect; it may cause others as well. */
+    private static final Map<Defect, Violation.Kind> EXPECTED_VIOLATIONS = new EnumMap<>(Map.ofEntries(
             Map.entry(Defect.FORGETS, Violation.Kind.LOST),
             Map.entry(Defect.ANSWERS_TWICE, Violation.Kind.ANSWERED_TWICE),
             Map.entry(Defect.ANSWERS_LATE, Violation.Kind.ANSWERED_LATE),
@@ -107,42 +107,45 @@
             Map.entry(Defect.TRUSTS_FULL, Violation.Kind.REPEATED_EFFECTFUL),
             Map.entry(Defect.FLOODS_COLD, Violation.Kind.COLD_PUSHED_OVER)));
 
-    /** What the judge said of one dispatcher: {@code expected} null for the right ones. */
-    public record Case(String name, Violation.Kind expected, Map<Violation.Kind, Long> found, String first) {
+    /** The judge's result for one dispatcher; {@code expected} is null for the correct ones. */
+    public record Case(
+            String name, Violation.Kind expected, Map<Violation.Kind, Long> violationCounts, String firstViolation) {
+        /** True if the expected violation, and for a correct dispatcher none, was detected. */
         public boolean asExpected() {
-            return expected == null ? found.isEmpty() : found.containsKey(expected);
+            return expected == null ? violationCounts.isEmpty() : violationCounts.containsKey(expected);
         }
     }
 
     private JudgeProof() {}
 
+    /** Simulates the day with each dispatcher. */
     public static List<Case> run() {
         List<Case> cases = new ArrayList<>();
-        for (Defect slip : Defect.values()) {
-            cases.add(play(
-                    slip.name().toLowerCase().replace('_', ' '),
-                    CAUGHT.get(slip),
-                    (orders, door, chance) ->
-                            new BaselineDispatcher(orders, door, chance, SelectionPolicy.LEAST_OUT, slip)));
+        for (Defect defect : Defect.values()) {
+            cases.add(runDay(
+                    defect.name().toLowerCase().replace('_', ' '),
+                    EXPECTED_VIOLATIONS.get(defect),
+                    (settings, actions, random) ->
+                            new BaselineDispatcher(settings, actions, random, SelectionPolicy.LEAST_OUT, defect)));
         }
-        cases.add(play("the decision module", null, ModuleDispatcher::new));
+        cases.add(runDay("the decision module", null, ModuleDispatcher::new));
         return cases;
     }
 
-    /** The wrong ones that a day brings out; all but the right one. */
+    /** The defects that the day triggers: all but {@link Defect#NONE}. */
     public static Set<Defect> defects() {
-        return CAUGHT.keySet();
+        return EXPECTED_VIOLATIONS.keySet();
     }
 
-    private static Case play(String name, Violation.Kind expected, Simulation.DispatcherFactory minds) {
+    private static Case runDay(String name, Violation.Kind expected, Simulation.DispatcherFactory factory) {
         Day day = new Day(Sheet.of("proof", DAY));
-        Simulation sim = new Simulation(day, minds, new Arrivals(day.traffic, day.jobs, day.length, day.seed)).run();
+        Simulation sim = new Simulation(day, factory, new Arrivals(day.traffic, day.jobs, day.length, day.seed)).run();
         return new Case(
                 name,
                 expected,
                 sim.judge().countsByKind(),
                 sim.judge().violations().stream()
-                        .filter(b -> expected == null || b.kind() == expected)
+                        .filter(violation -> expected == null || violation.kind() == expected)
                         .findFirst()
                         .map(Violation::toString)
                         .orElse(""));
--- a/rig/src/main/java/saltdale/rig/simulate/ModuleDispatcher.java
+++ b/rig/src/main/java/saltdale/rig/simulate/ModuleDispatcher.java
@@ -13,12 +13,12 @@
 import saltdale.model.Runner;
 import saltdale.model.RunnerListEntry;
 
-/** The decision module itself. */
+/** Adapts the decision module, {@link Dispatcher}, to the simulation. */
 public class ModuleDispatcher implements SimulatedDispatcher {
     private final Dispatcher module;
 
-    public ModuleDispatcher(DispatcherSettings orders, DispatcherActions door, SplittableRandom chance) {
-        module = new Dispatcher(orders, door, chance);
+    public ModuleDispatcher(DispatcherSettings settings, DispatcherActions actions, SplittableRandom random) {
+        module = new Dispatcher(settings, actions, random);
     }
 
     Dispatcher module() {
@@ -31,43 +31,43 @@
     }
 
     @Override
-    public void onRunnerList(Duration now, List<RunnerListEntry> sightings, boolean whole, boolean cached) {
-        module.onRunnerList(now, sightings, whole, cached);
+    public void onRunnerList(Duration now, List<RunnerListEntry> entries, boolean complete, boolean cached) {
+        module.onRunnerList(now, entries, complete, cached);
     }
 
     @Override
-    public void onRequest(Duration now, Request a) {
-        module.onRequest(now, a);
+    public void onRequest(Duration now, Request request) {
+        module.onRequest(now, request);
     }
 
     @Override
-    public void onStarted(Duration now, Attempt d) {
-        module.onStarted(now, d);
+    public void onStarted(Duration now, Attempt attempt) {
+        module.onStarted(now, attempt);
     }
 
     @Override
-    public void onProgress(Duration now, Attempt d) {
-        module.onProgress(now, d);
+    public void onProgress(Duration now, Attempt attempt) {
+        module.onProgress(now, attempt);
     }
 
     @Override
-    public void onAttemptEnd(Duration now, Attempt d, Outcome outcome, boolean over, LoadReport report) {
-        module.onAttemptEnd(now, d, outcome, over, report);
+    public void onAttemptEnd(Duration now, Attempt attempt, Outcome outcome, boolean done, LoadReport report) {
+        module.onAttemptEnd(now, attempt, outcome, done, report);
     }
 
     @Override
-    public void onProbeResult(Duration now, Runner r, boolean answered, Duration took, LoadReport report) {
-        module.onProbeResult(now, r, answered, took, report);
+    public void onProbeResult(Duration now, Runner runner, boolean answered, Duration rtt, LoadReport report) {
+        module.onProbeResult(now, runner, answered, rtt, report);
     }
 
     @Override
-    public void close(Request a) {
-        module.close(a);
+    public void close(Request request) {
+        module.close(request);
     }
 
     @Override
-    public void onTimer(Duration now, Object what) {
-        module.onTimer(now, what);
+    public void onTimer(Duration now, Object timerTarget) {
+        module.onTimer(now, timerTarget);
     }
 
     @Override
--- a/rig/src/main/java/saltdale/rig/simulate/OverloadProof.java
+++ b/rig/src/main/java/saltdale/rig/simulate/OverloadProof.java
@@ -21,9 +21,8 @@
 import saltdale.rig.plan.Sheet;
 
 /**
- * Proves that the laws of an overload can be seen from outside: dispatchers that are wrong in one way each break
- * the law
- * of that way, the right one keeps all.
+ * Verifies that the required properties under overload are observable from outside: each defective dispatcher violates
+ * the property of its defect, and the correct one violates none.
  */
 public final class OverloadProof {
     private static final String DAY = """
@@ -64,25 +63,25 @@
             size = 0.9
             part = 0.5
             """;
-    private static final long MOST_CHANGES = 10; // within a second: the usual step is 100 ms
+    private static final long MAX_LEVEL_CHANGES_PER_SECOND = 10; // the usual interval is 100 ms
 
-    /** What must hold of each dispatcher, or of all together. */
+    /** A property required of each dispatcher, or of all together. */
     public enum Property {
-        /** The dear work is served before the cheap. */
+        /** More valuable work is served before less valuable work. */
         DEAREST_FIRST,
-        /** The level changes no oftener than is stated. */
+        /** The admission level changes no more often than specified. */
         FEW_CHANGES,
-        /** Pauses are spread, so that those who heed them do not come back as one. */
+        /** Retry-After delays are spread, so that the clients that follow them don't return at the same time. */
         SPREAD_PAUSES,
-        /** Of all dispatches at most a tenth more than first ones, while most fail. */
+        /** Attempts exceed first attempts by at most a tenth, even while most attempts fail. */
         BOUNDED_REPEATS,
-        /** No rule broken: nothing is shed that may have run. */
+        /** No dispatching rule is violated: no request that may have run is shed. */
         RULES,
-        /** Most of what is fulfilled is in time: what can't be does not go first. */
+        /** Most fulfilled requests are in time: those that can't be in time aren't served first. */
         NOT_THE_HOPELESS
     }
 
-    /** The ways of being wrong. */
+    /** The deliberate defects, each with the property that it violates. */
     private enum Defect {
         NONE(null),
         SHEDS_THE_DEAREST_FIRST(Property.DEAREST_FIRST),
@@ -92,70 +91,73 @@
         SHEDS_WHAT_MAY_HAVE_RUN(Property.RULES),
         SERVES_THE_HOPELESS_FIRST(Property.NOT_THE_HOPELESS);
 
-        final Property broken;
+        final Property violatedProperty;
 
-        Defect(Property broken) {
-            this.broken = broken;
+        Defect(Property violatedProperty) {
+            this.violatedProperty = violatedProperty;
         }
     }
 
-    /** What was seen of one dispatcher: {@code expected} null for the right one. */
-    public record Case(String name, Property expected, Map<Property, String> broken) {
+    /** The result for one dispatcher; {@code expected} is null for the correct one. */
+    public record Case(String name, Property expected, Map<Property, String> violations) {
+        /** True if the expected property, and for the correct dispatcher none, is violated. */
         public boolean asExpected() {
-            return expected == null ? broken.isEmpty() : broken.containsKey(expected);
+            return expected == null ? violations.isEmpty() : violations.containsKey(expected);
         }
     }
 
     private OverloadProof() {}
 
+    /** Simulates the day with each dispatcher. */
     public static List<Case> run() {
         List<Case> cases = new ArrayList<>();
-        for (Defect slip : Defect.values()) {
-            cases.add(new Case(slip.name().toLowerCase().replace('_', ' '), slip.broken, play(slip)));
+        for (Defect defect : Defect.values()) {
+            cases.add(new Case(defect.name().toLowerCase().replace('_', ' '), defect.violatedProperty, runDay(defect)));
         }
         return cases;
     }
 
-    private static Map<Property, String> play(Defect slip) {
+    private static Map<Property, String> runDay(Defect defect) {
         Day day = new Day(Sheet.of("overload proof", DAY));
-        Seen seen = new Seen();
+        Observations observations = new Observations();
         Simulation sim = new Simulation(
                         day,
-                        (orders, door, chance) -> mind(slip, orders, door, chance, seen),
+                        (settings, actions, random) ->
+                                createDispatcher(defect, settings, actions, random, observations),
                         new Arrivals(day.traffic, day.jobs, day.length, day.seed))
                 .run();
-        Map<Property, String> broken = new TreeMap<>();
+        Map<Property, String> violations = new TreeMap<>();
         List<Tally.Row> rows = new ArrayList<>(sim.tally().rows().values());
         check(
-                broken,
+                violations,
                 Property.DEAREST_FIRST,
                 rows.get(0).service() > 1.5 * rows.get(1).service(),
                 "in time: short %.2f, long %.2f",
                 rows.get(0).service(),
                 rows.get(1).service());
         check(
-                broken,
+                violations,
                 Property.FEW_CHANGES,
-                seen.mostChanges <= MOST_CHANGES,
-                "%d changes within a second, %d allowed",
-                seen.mostChanges,
-                MOST_CHANGES);
+                observations.maxChangesPerSecond <= MAX_LEVEL_CHANGES_PER_SECOND,
+                "%d level changes within a second, %d allowed",
+                observations.maxChangesPerSecond,
+                MAX_LEVEL_CHANGES_PER_SECOND);
         check(
-                broken,
+                violations,
                 Property.SPREAD_PAUSES,
-                seen.deviation() > 0.3 * seen.mean(),
-                "pauses of %.3f s deviate by %.3f s",
-                seen.mean(),
-                seen.deviation());
+                observations.pauseDeviation() > 0.3 * observations.meanPause(),
+                "mean Retry-After %.3f s, deviation %.3f s",
+                observations.meanPause(),
+                observations.pauseDeviation());
         check(
-                broken,
+                violations,
                 Property.BOUNDED_REPEATS,
-                seen.dispatches <= 1.1 * seen.first,
-                "%.0f dispatches of %.0f assignments",
-                seen.dispatches,
-                seen.first);
+                observations.attempts <= 1.1 * observations.firstAttempts,
+                "%.0f attempts of %.0f requests",
+                observations.attempts,
+                observations.firstAttempts);
         check(
-                broken,
+                violations,
                 Property.RULES,
                 sim.judge().violationCount() == 0,
                 "%s",
@@ -164,160 +166,171 @@
                         .map(Violation::toString)
                         .orElse(""));
         Map<String, Double> figures = sim.tally().figures();
-        double inTime = rows.stream().mapToDouble(row -> row.inTime).sum() / figures.get("fulfilled");
+        double inTimeShare = rows.stream().mapToDouble(row -> row.inTime).sum() / figures.get("fulfilled");
         check(
-                broken,
+                violations,
                 Property.NOT_THE_HOPELESS,
-                inTime > 0.7,
-                "%.2f of what is fulfilled is in time, %.2f of what could " + "be had",
-                inTime,
+                inTimeShare > 0.7,
+                "in time: %.2f of the fulfilled requests, " + "%.2f of those possible",
+                inTimeShare,
                 Overloads.figures(day, sim.tally(), sim.spread()).get("of_could_be_had"));
-        return broken;
+        return violations;
     }
 
     private static void check(
-            Map<Property, String> broken, Property law, boolean kept, String words, Object... figures) {
-        if (!kept) {
-            broken.put(law, String.format(java.util.Locale.ROOT, words, figures));
+            Map<Property, String> violations, Property property, boolean holds, String format, Object... figures) {
+        if (!holds) {
+            violations.put(property, String.format(java.util.Locale.ROOT, format, figures));
         }
     }
 
-    private static SimulatedDispatcher mind(
-            Defect slip, DispatcherSettings orders, DispatcherActions door, SplittableRandom chance, Seen seen) {
-        DispatcherSettings told = orders;
-        switch (slip) {
-            case SHEDS_THE_DEAREST_FIRST -> told.workloads.get(0).importance = 0.01;
-            case NO_HYSTERESIS -> told.overload = new OverloadSettings(0.3, 0.5, 0.5, 0, Duration.ofNanos(1), 8);
+    private static SimulatedDispatcher createDispatcher(
+            Defect defect,
+            DispatcherSettings settings,
+            DispatcherActions actions,
+            SplittableRandom random,
+            Observations observations) {
+        DispatcherSettings modified = settings;
+        switch (defect) {
+            case SHEDS_THE_DEAREST_FIRST -> modified.workloads.get(0).importance = 0.01;
+            case NO_HYSTERESIS -> modified.overload = new OverloadSettings(0.3, 0.5, 0.5, 0, Duration.ofNanos(1), 8);
             case SERVES_THE_HOPELESS_FIRST ->
-                told.overload = new OverloadSettings(8, 9, 9, 0.05, Duration.ofMillis(100), 8);
+                modified.overload = new OverloadSettings(8, 9, 9, 0.05, Duration.ofMillis(100), 8);
             default -> {}
         }
-        seen.slip = slip;
-        DispatcherActions watched = new Watched(door, seen);
-        if (slip == Defect.REPEATS_UNBOUNDED) {
+        observations.defect = defect;
+        DispatcherActions recording = new RecordingActions(actions, observations);
+        if (defect == Defect.REPEATS_UNBOUNDED) {
             return new BaselineDispatcher(
-                    told,
-                    watched,
-                    chance,
+                    modified,
+                    recording,
+                    random,
                     BaselineDispatcher.SelectionPolicy.LEAST_OUT,
                     BaselineDispatcher.Defect.NONE);
-        } else if (slip == Defect.SHEDS_WHAT_MAY_HAVE_RUN) {
+        } else if (defect == Defect.SHEDS_WHAT_MAY_HAVE_RUN) {
             return new BaselineDispatcher(
-                    told,
-                    watched,
-                    chance,
+                    modified,
+                    recording,
+                    random,
                     BaselineDispatcher.SelectionPolicy.LEAST_OUT,
                     BaselineDispatcher.Defect.SHEDS_WHAT_RAN);
         }
-        return new Counted(told, watched, chance, seen);
+        return new LevelChangeCounter(modified, recording, random, observations);
     }
 
-    /** The module; how often its level changes is counted, second by second. */
-    private static final class Counted extends ModuleDispatcher {
-        private final Seen seen;
-        private long second;
-        private long before;
+    /** The decision module, with a count of its level changes per second. */
+    private static final class LevelChangeCounter extends ModuleDispatcher {
+        private final Observations observations;
+        private long currentSecond;
+        private long changesBeforeSecond;
 
-        Counted(DispatcherSettings orders, DispatcherActions door, SplittableRandom chance, Seen seen) {
-            super(orders, door, chance);
-            this.seen = seen;
+        LevelChangeCounter(
+                DispatcherSettings settings,
+                DispatcherActions actions,
+                SplittableRandom random,
+                Observations observations) {
+            super(settings, actions, random);
+            this.observations = observations;
         }
 
         @Override
         public void applyActions(Duration now) {
             super.applyActions(now);
             long changes = module().admissionControl().changeCount();
-            if (now.toSeconds() > second) {
-                second = now.toSeconds();
-                before = changes;
+            if (now.toSeconds() > currentSecond) {
+                currentSecond = now.toSeconds();
+                changesBeforeSecond = changes;
             }
-            seen.mostChanges = Math.max(seen.mostChanges, changes - before);
+            observations.maxChangesPerSecond =
+                    Math.max(observations.maxChangesPerSecond, changes - changesBeforeSecond);
         }
     }
 
-    /** What went through the doors. */
-    private static final class Seen {
-        private Defect slip;
-        private long mostChanges;
-        private double first;
-        private double dispatches;
-        private double pauses;
-        private double sum;
-        private double squares;
+    /** What was observed of all dispatchers. */
+    private static final class Observations {
+        private Defect defect;
+        private long maxChangesPerSecond;
+        private double firstAttempts;
+        private double attempts;
+        private double pauseCount;
+        private double pauseSum;
+        private double pauseSquareSum;
 
-        double mean() {
-            return sum / pauses;
+        double meanPause() {
+            return pauseSum / pauseCount;
         }
 
-        double deviation() {
-            return Math.sqrt(Math.max(0, squares / pauses - mean() * mean()));
+        double pauseDeviation() {
+            return Math.sqrt(Math.max(0, pauseSquareSum / pauseCount - meanPause() * meanPause()));
         }
     }
 
-    /** A door that counts what goes through, and spoils it where the slip says so. */
-    private record Watched(DispatcherActions door, Seen seen) implements DispatcherActions {
+    /** Records the actions of a dispatcher, and alters them for some defects. */
+    private record RecordingActions(DispatcherActions delegate, Observations observations)
+            implements DispatcherActions {
         @Override
-        public void dispatch(Attempt dispatch, Duration timeOut) {
-            seen.dispatches++;
-            seen.first += dispatch.request.attempts.indexOf(dispatch) == 0 ? 1 : 0;
-            door.dispatch(dispatch, timeOut);
+        public void dispatch(Attempt attempt, Duration timeout) {
+            observations.attempts++;
+            observations.firstAttempts += attempt.request.attempts.indexOf(attempt) == 0 ? 1 : 0;
+            delegate.dispatch(attempt, timeout);
         }
 
         @Override
-        public void shed(Request assignment, Duration pause) {
-            Duration told = seen.slip == Defect.PAUSE_WITHOUT_SPREAD ? Duration.ofSeconds(1) : pause;
-            if (told != null && assignment.workload.repeatSafety == Workload.RepeatSafety.PURE) {
-                double seconds = told.toNanos() / 1e9;
-                seen.pauses++;
-                seen.sum += seconds;
-                seen.squares += seconds * seconds;
+        public void shed(Request request, Duration retryAfter) {
+            Duration sentRetryAfter =
+                    observations.defect == Defect.PAUSE_WITHOUT_SPREAD ? Duration.ofSeconds(1) : retryAfter;
+            if (sentRetryAfter != null && request.workload.repeatSafety == Workload.RepeatSafety.PURE) {
+                double seconds = sentRetryAfter.toNanos() / 1e9;
+                observations.pauseCount++;
+                observations.pauseSum += seconds;
+                observations.pauseSquareSum += seconds * seconds;
             }
-            door.shed(assignment, told);
+            delegate.shed(request, sentRetryAfter);
         }
 
         @Override
-        public void cancel(Attempt dispatch) {
-            door.cancel(dispatch);
+        public void cancel(Attempt attempt) {
+            delegate.cancel(attempt);
         }
 
         @Override
-        public void giveUp(Request assignment) {
-            door.giveUp(assignment);
+        public void giveUp(Request request) {
+            delegate.giveUp(request);
         }
 
         @Override
         public void probe(Runner runner) {
-            door.probe(runner);
+            delegate.probe(runner);
         }
 
         @Override
-        public void setTimer(Duration after, Object what) {
-            door.setTimer(after, what);
+        public void setTimer(Duration delay, Object target) {
+            delegate.setTimer(delay, target);
         }
 
         @Override
-        public void subscribe(boolean on) {
-            door.subscribe(on);
+        public void subscribe(boolean enabled) {
+            delegate.subscribe(enabled);
         }
 
         @Override
         public void requestRunnerList() {
-            door.requestRunnerList();
+            delegate.requestRunnerList();
         }
 
         @Override
         public void closeIdleConnections(Runner runner) {
-            door.closeIdleConnections(runner);
+            delegate.closeIdleConnections(runner);
         }
 
         @Override
         public void sendToPeer(int dispatcher, String message) {
-            door.sendToPeer(dispatcher, message);
+            delegate.sendToPeer(dispatcher, message);
         }
 
         @Override
         public void log(String line) {
-            door.log(line);
+            delegate.log(line);
         }
     }
 }
--- a/rig/src/main/java/saltdale/rig/simulate/RunnerLoadView.java
+++ b/rig/src/main/java/saltdale/rig/simulate/RunnerLoadView.java
@@ -2,8 +2,10 @@
 
 import saltdale.model.Runner;
 
-/** What no dispatcher has: a look at all runners at once, as late as their reports are. For baselines alone. */
+/**
+ * The load of all runners, as old as their reports. No real dispatcher has this information; it is for baselines only.
+ */
 interface RunnerLoadView {
-    /** How many jobs it holds; infinite where it is down. */
-    double held(Runner runner);
+    /** The number of jobs that the runner holds; infinite if it is down. */
+    double heldJobs(Runner runner);
 }
--- a/rig/src/main/java/saltdale/rig/simulate/SimulatedDispatcher.java
+++ b/rig/src/main/java/saltdale/rig/simulate/SimulatedDispatcher.java
@@ -9,25 +9,28 @@
 import saltdale.model.Runner;
 import saltdale.model.RunnerListEntry;
 
-/** What decides for one simulated dispatcher; it acts through its Door, and only in settle. */
+/**
+ * The decision logic of one simulated dispatcher, with the events of {@link saltdale.decision.Dispatcher}. It acts
+ * through its {@link saltdale.model.DispatcherActions}, and only in {@link #applyActions}.
+ */
 public interface SimulatedDispatcher {
     void onStart(Duration now);
 
-    void onRunnerList(Duration now, List<RunnerListEntry> sightings, boolean whole, boolean cached);
+    void onRunnerList(Duration now, List<RunnerListEntry> entries, boolean complete, boolean cached);
 
-    void onRequest(Duration now, Request a);
+    void onRequest(Duration now, Request request);
 
-    void onStarted(Duration now, Attempt d);
+    void onStarted(Duration now, Attempt attempt);
 
-    void onProgress(Duration now, Attempt d);
+    void onProgress(Duration now, Attempt attempt);
 
-    void onAttemptEnd(Duration now, Attempt d, Outcome outcome, boolean over, LoadReport report);
+    void onAttemptEnd(Duration now, Attempt attempt, Outcome outcome, boolean done, LoadReport report);
 
-    void onProbeResult(Duration now, Runner r, boolean answered, Duration took, LoadReport report);
+    void onProbeResult(Duration now, Runner runner, boolean answered, Duration rtt, LoadReport report);
 
-    void close(Request a);
+    void close(Request request);
 
-    void onTimer(Duration now, Object what);
+    void onTimer(Duration now, Object timerTarget);
 
     void applyActions(Duration now);
 }
--- a/rig/src/main/java/saltdale/rig/simulate/SimulatedFleet.java
+++ b/rig/src/main/java/saltdale/rig/simulate/SimulatedFleet.java
@@ -14,36 +14,34 @@
 import saltdale.rig.plan.Day;
 import saltdale.rig.plan.Make;
 
-/**
- * The runners of a simulated day, each a model with the timeline for its clock, and what the list says of
- * them.
- */
+/** The runners of a simulated day, driven by the event queue, and their entries in the runner list. */
 public final class SimulatedFleet {
-    private static final class Slot {
+    /** A runner and its entry in the list. */
+    private static final class SimulatedRunner {
         final int number;
         final RunnerModel model;
         boolean silent;
         Duration wakeAt;
         ListedHealth health = ListedHealth.UP;
-        Duration bornAt;
+        Duration listedStart; // null for a start long ago
 
-        Slot(int number, RunnerModel model) {
+        SimulatedRunner(int number, RunnerModel model) {
             this.number = number;
             this.model = model;
         }
     }
 
     private final Simulation sim;
-    private final List<Slot> slots = new ArrayList<>();
+    private final List<SimulatedRunner> runners = new ArrayList<>();
     private final Watch watch;
 
-    SimulatedFleet(Simulation sim, SplittableRandom chance) {
+    SimulatedFleet(Simulation sim, SplittableRandom random) {
         this.sim = sim;
         Day day = sim.day;
         watch = new Watch(day.runners);
         List<ReceiptStore.ByScope> receipts = ReceiptStore.of(day);
         for (int i = 0; i < day.runners; i++) {
-            slots.add(new Slot(
+            runners.add(new SimulatedRunner(
                     i,
                     new RunnerModel(
                             day.make(i),
@@ -51,160 +49,168 @@
                             day.orders.coldLimitMultiple,
                             day.orders.coldLimitWindow,
                             day.meanSize(),
-                            chance.split(),
-                            new News(i))));
+                            random.split(),
+                            new AttemptNotifier(i))));
         }
     }
 
+    /** The load of the runners over time. */
     public Watch watch() {
         return watch;
     }
 
     void sample() {
-        for (Slot slot : slots) {
-            slot.model.advance(sim.time.now());
-            watch.sample(sim.time.now(), slot.number, slot.model.heldCount(), slot.model.isUp() && !slot.silent);
+        for (SimulatedRunner simulatedRunner : runners) {
+            simulatedRunner.model.advance(sim.eventQueue.now());
+            watch.sample(
+                    sim.eventQueue.now(),
+                    simulatedRunner.number,
+                    simulatedRunner.model.heldCount(),
+                    simulatedRunner.model.isUp() && !simulatedRunner.silent);
         }
     }
 
     ListedHealth health(int runner) {
-        return slots.get(runner).health;
+        return runners.get(runner).health;
     }
 
-    Duration bornAt(int runner) {
-        return slots.get(runner).bornAt;
+    Duration listedStart(int runner) {
+        return runners.get(runner).listedStart;
     }
 
     Make make(int runner) {
-        return slots.get(runner).model.make;
+        return runners.get(runner).model.make;
     }
 
-    /** Whether it answers anything at all, if only that nobody listens there. */
+    /** True if the runner doesn't respond at all, not even by refusing connections. */
     boolean isSilent(int runner) {
-        return slots.get(runner).silent;
+        return runners.get(runner).silent;
     }
 
     boolean isUp(int runner) {
-        return slots.get(runner).model.isUp();
+        return runners.get(runner).model.isUp();
     }
 
-    RunnerModel.OfferResult offer(int runner, RunnerJob work) {
-        RunnerModel.OfferResult offer = slots.get(runner).model.offer(sim.time.now(), work);
-        schedule(slots.get(runner));
+    RunnerModel.OfferResult offer(int runner, RunnerJob job) {
+        RunnerModel.OfferResult offer = runners.get(runner).model.offer(sim.eventQueue.now(), job);
+        scheduleWake(runners.get(runner));
         return offer;
     }
 
-    boolean takeBack(int runner, String id, int from) {
-        boolean gone = slots.get(runner).model.cancel(sim.time.now(), id, from);
-        schedule(slots.get(runner));
-        return gone;
+    boolean cancel(int runner, String id, int dispatcher) {
+        boolean removed = runners.get(runner).model.cancel(sim.eventQueue.now(), id, dispatcher);
+        scheduleWake(runners.get(runner));
+        return removed;
     }
 
     LoadReport report(int runner) {
-        LoadReport report = slots.get(runner).model.report(sim.time.now());
+        LoadReport report = runners.get(runner).model.report(sim.eventQueue.now());
         watch.told(runner, report);
-        schedule(slots.get(runner));
+        scheduleWake(runners.get(runner));
         return report;
     }
 
-    private void schedule(Slot slot) {
-        Duration next = slot.model.nextAt();
-        if (next == null || next.equals(slot.wakeAt)) {
+    private void scheduleWake(SimulatedRunner simulatedRunner) {
+        Duration next = simulatedRunner.model.nextEventAt();
+        if (next == null || next.equals(simulatedRunner.wakeAt)) {
             return;
         }
-        slot.wakeAt = next;
-        sim.time.scheduleAt(next, () -> {
-            if (next.equals(slot.wakeAt)) { // else another wake has taken its place
-                slot.wakeAt = null;
-                slot.model.advance(sim.time.now());
-                schedule(slot);
+        simulatedRunner.wakeAt = next;
+        sim.eventQueue.scheduleAt(next, () -> {
+            if (next.equals(simulatedRunner.wakeAt)) { // otherwise replaced by a later schedule
+                simulatedRunner.wakeAt = null;
+                simulatedRunner.model.advance(sim.eventQueue.now());
+                scheduleWake(simulatedRunner);
             }
         });
     }
 
-    void act(Action act, int runner) {
-        Slot slot = slots.get(runner);
-        Duration now = sim.time.now();
-        switch (act) {
-            case CHANGE_CONDITION -> slot.model.setCondition(now, sim.troubles.runnerCondition(runner, now));
+    void apply(Action action, int runner) {
+        SimulatedRunner simulatedRunner = runners.get(runner);
+        Duration now = sim.eventQueue.now();
+        switch (action) {
+            case CHANGE_CONDITION ->
+                simulatedRunner.model.setCondition(now, sim.troubleSchedule.runnerCondition(runner, now));
             case CRASH -> {
-                slot.model.stop(now);
-                lists(slot, ListedHealth.GONE, sim.day.silentNotice);
+                simulatedRunner.model.stop(now);
+                publishAfter(simulatedRunner, ListedHealth.GONE, sim.day.silentNotice);
             }
             case VANISH -> {
-                slot.silent = true;
+                simulatedRunner.silent = true;
                 sim.judge.runnerSilent(now, runner);
-                slot.model.stop(now);
-                lists(slot, ListedHealth.GONE, sim.day.silentNotice);
+                simulatedRunner.model.stop(now);
+                publishAfter(simulatedRunner, ListedHealth.GONE, sim.day.silentNotice);
             }
             case DRAIN, HAND_BACK -> {
-                slot.model.drain(now, act == Action.HAND_BACK);
-                lists(slot, ListedHealth.DRAINING, sim.day.notice);
+                simulatedRunner.model.drain(now, action == Action.HAND_BACK);
+                publishAfter(simulatedRunner, ListedHealth.DRAINING, sim.day.notice);
             }
             case REMOVE -> {
-                slot.model.stop(now);
-                lists(slot, ListedHealth.GONE, sim.day.notice);
+                simulatedRunner.model.stop(now);
+                publishAfter(simulatedRunner, ListedHealth.GONE, sim.day.notice);
             }
             case START -> {
-                slot.silent = false;
-                slot.model.start(now);
-                sim.judge.runnerStarted(now, runner, slot.model.make);
-                lists(slot, ListedHealth.UP, sim.day.notice);
+                simulatedRunner.silent = false;
+                simulatedRunner.model.start(now);
+                sim.judge.runnerStarted(now, runner, simulatedRunner.model.make);
+                publishAfter(simulatedRunner, ListedHealth.UP, sim.day.notice);
             }
-            default -> {} // on the wire only, which has no bytes here
+            default -> {} // applies to bytes on the wire, which aren't simulated
         }
-        schedule(slot);
-    }
-
-    private void lists(Slot slot, ListedHealth health, Duration notice) {
-        Duration bornAt = slot.model.startedAt();
-        sim.time.scheduleAfter(notice, () -> {
-            boolean older = slot.bornAt != null && bornAt != null && bornAt.compareTo(slot.bornAt) < 0
-                    || slot.bornAt != null && bornAt == null;
-            if (!older) { // guards against a late word of an earlier life
-                slot.health = health;
-                slot.bornAt = bornAt;
-                sim.listChanged(slot.number);
+        scheduleWake(simulatedRunner);
+    }
+
+    private void publishAfter(SimulatedRunner simulatedRunner, ListedHealth health, Duration delay) {
+        Duration startedAt = simulatedRunner.model.startedAt();
+        sim.eventQueue.scheduleAfter(delay, () -> {
+            boolean stale = simulatedRunner.listedStart != null
+                            && startedAt != null
+                            && startedAt.compareTo(simulatedRunner.listedStart) < 0
+                    || simulatedRunner.listedStart != null && startedAt == null;
+            if (!stale) { // ignores late updates about an earlier start
+                simulatedRunner.health = health;
+                simulatedRunner.listedStart = startedAt;
+                sim.publishListChange(simulatedRunner.number);
             }
         });
     }
 
-    /** What a runner tells goes to the dispatch that it is about. */
-    private final class News implements RunnerModel.JobListener {
+    /** Forwards the events of a runner's jobs to their attempts and to the judge. */
+    private final class AttemptNotifier implements RunnerModel.JobListener {
         private final int runner;
 
-        News(int runner) {
+        AttemptNotifier(int runner) {
             this.runner = runner;
         }
 
         @Override
-        public void started(Duration at, RunnerJob work) {
+        public void started(Duration at, RunnerJob job) {
             if (sim.day.orders.reportsStart) {
-                ((SimulatedNode.Flight) work.attachment).started();
+                ((SimulatedNode.InFlightAttempt) job.attachment).started();
             }
         }
 
         @Override
-        public void progressed(Duration at, RunnerJob work, double share) {
-            ((SimulatedNode.Flight) work.attachment).running();
+        public void progressed(Duration at, RunnerJob job, double share) {
+            ((SimulatedNode.InFlightAttempt) job.attachment).progressed();
         }
 
         @Override
-        public void ended(Duration at, RunnerJob work, RunnerModel.JobEnd how) {
-            String result = work.id + "@" + runner;
-            switch (how) {
+        public void ended(Duration at, RunnerJob job, RunnerModel.JobEnd end) {
+            String result = job.id + "@" + runner;
+            switch (end) {
                 case DONE, SHED -> {
-                    if (work.isDuplicate()) {
-                        sim.judge.duplicateAnswered(at, work.id, result);
+                    if (job.isDuplicate()) {
+                        sim.judge.duplicateAnswered(at, job.id, result);
                     } else {
-                        sim.judge.effectProduced(at, work.id, runner, result);
+                        sim.judge.effectProduced(at, job.id, runner, result);
                     }
-                    sim.judge.attemptEnded(at, work.id, runner);
+                    sim.judge.attemptEnded(at, job.id, runner);
                 }
-                case RETURNED -> sim.judge.attemptNotStarted(at, work.id, runner);
-                default -> sim.judge.attemptEnded(at, work.id, runner);
+                case RETURNED -> sim.judge.attemptNotStarted(at, job.id, runner);
+                default -> sim.judge.attemptEnded(at, job.id, runner);
             }
-            ((SimulatedNode.Flight) work.attachment).told(how, result);
+            ((SimulatedNode.InFlightAttempt) job.attachment).ended(end, result);
         }
     }
 }
