--- a/rig/src/main/java/saltdale/rig/simulate/SimulatedNode.java
+++ b/rig/src/main/java/saltdale/rig/simulate/SimulatedNode.java
@@ -23,131 +23,136 @@
 import saltdale.rig.fleet.RunnerModel;
 import saltdale.rig.judge.EventObserver.ListedHealth;
 
-/** One simulated dispatcher: the Door of what decides, with the timeline and the network behind it. */
+/**
+ * One simulated dispatcher process: carries out the actions of its {@link SimulatedDispatcher} over the simulated
+ * network.
+ */
 final class SimulatedNode implements DispatcherActions, RunnerLoadView {
     private final Simulation sim;
     final int number;
-    private final SplittableRandom chance;
-    private final DispatcherSettings orders;
-    private SimulatedDispatcher mind;
-    /** Counts its lives: what was set for an earlier one is not for this one. */
-    private int life;
+    private final SplittableRandom random;
+    private final DispatcherSettings settings;
+    private SimulatedDispatcher dispatcher;
+    /** Incremented at each start and kill: events scheduled in an earlier incarnation are ignored. */
+    private int incarnation;
 
-    private boolean settling;
+    private boolean actionsScheduled;
     private final List<Runner> runners = new ArrayList<>();
-    private final Map<Runner, Integer> numbers = new IdentityHashMap<>();
-    private final Map<Request, Held> held = new LinkedHashMap<>(); // in order: a kill answers all of them
-    private final Map<String, Held> byId = new HashMap<>();
-    private final Set<Integer> connected = new HashSet<>();
-
-    private static final class Held {
-        final Simulation.Try of;
-        final Request assignment;
-        final Map<Attempt, Flight> flights = new IdentityHashMap<>(2);
+    private final Map<Runner, Integer> runnerNumbers = new IdentityHashMap<>();
+    private final Map<Request, HeldRequest> requests = new LinkedHashMap<>(); // a kill ends all, in this order
+    private final Map<String, HeldRequest> requestsById = new HashMap<>();
+    private final Set<Integer> connectedRunners = new HashSet<>();
+
+    /** A request that this dispatcher holds, and its attempts. */
+    private static final class HeldRequest {
+        final Simulation.ClientTry clientTry;
+        final Request request;
+        final Map<Attempt, InFlightAttempt> attempts = new IdentityHashMap<>(2);
         boolean answered;
 
-        Held(Simulation.Try of, Request assignment) {
-            this.of = of;
-            this.assignment = assignment;
+        HeldRequest(Simulation.ClientTry clientTry, Request request) {
+            this.clientTry = clientTry;
+            this.request = request;
         }
     }
 
-    SimulatedNode(Simulation sim, int number, SplittableRandom chance) {
+    SimulatedNode(Simulation sim, int number, SplittableRandom random) {
         this.sim = sim;
         this.number = number;
-        this.chance = chance;
-        this.orders = sim.day.orders(number);
+        this.random = random;
+        this.settings = sim.day.orders(number);
     }
 
     boolean isUp() {
-        return mind != null;
+        return dispatcher != null;
     }
 
     private Duration now() {
-        return sim.time.now();
+        return sim.eventQueue.now();
     }
 
-    // ---- Its life.
+    // ---- Lifecycle.
 
-    void start(Simulation.DispatcherFactory minds) {
-        life++;
+    void start(Simulation.DispatcherFactory factory) {
+        incarnation++;
         runners.clear();
-        numbers.clear();
+        runnerNumbers.clear();
         for (int i = 0; i < sim.day.runners; i++) {
             Runner runner = new Runner();
             runners.add(runner);
-            numbers.put(runner, i);
+            runnerNumbers.put(runner, i);
         }
-        mind = minds.create(orders, this, chance.split());
-        sim.front(number, false);
-        mind.onStart(now());
-        listWhole();
+        dispatcher = factory.create(settings, this, random.split());
+        sim.reportNodeState(number, false);
+        dispatcher.onStart(now());
+        sendFullList();
     }
 
     void kill() {
         sim.judge.dispatcherKilled(now(), number);
-        sim.front(number, true);
-        life++;
-        mind = null;
-        held.values().forEach(each -> {
-            each.flights.values().forEach(Flight::abandoned);
-            if (!each.answered) {
-                client(each.of, Simulation.Outcome.UNREACHABLE, null, null);
+        sim.reportNodeState(number, true);
+        incarnation++;
+        dispatcher = null;
+        requests.values().forEach(held -> {
+            held.attempts.values().forEach(InFlightAttempt::abandon);
+            if (!held.answered) {
+                respondToClient(held.clientTry, Simulation.TryOutcome.UNREACHABLE, null, null);
             }
         });
-        held.clear();
-        byId.clear();
-        connected.clear();
+        requests.clear();
+        requestsById.clear();
+        connectedRunners.clear();
     }
 
-    private void eventful() {
-        if (!settling && mind != null) {
-            settling = true;
-            int mine = life;
-            sim.time.scheduleAt(
+    private void scheduleActions() {
+        if (!actionsScheduled && dispatcher != null) {
+            actionsScheduled = true;
+            int ownIncarnation = incarnation;
+            sim.eventQueue.scheduleAt(
                     now(),
-                    () -> { // after all that is due at this moment
-                        settling = false;
-                        if (mine == life) {
-                            mind.applyActions(now());
+                    () -> { // after all events due at this time
+                        actionsScheduled = false;
+                        if (ownIncarnation == incarnation) {
+                            dispatcher.applyActions(now());
                         }
                     });
         }
     }
 
-    private void after(Duration span, Runnable what) {
-        int mine = life;
-        sim.time.scheduleAfter(span, () -> {
-            if (mine == life && mind != null) {
-                what.run();
+    /** Runs this after a delay, unless the process is killed before. */
+    private void schedule(Duration delay, Runnable action) {
+        int ownIncarnation = incarnation;
+        sim.eventQueue.scheduleAfter(delay, () -> {
+            if (ownIncarnation == incarnation && dispatcher != null) {
+                action.run();
             }
         });
     }
 
-    // ---- The list.
+    // ---- Runner list.
 
-    void listWhole() {
-        if (mind == null) {
+    void sendFullList() {
+        if (dispatcher == null) {
             return;
         }
-        List<RunnerListEntry> all = new ArrayList<>();
+        List<RunnerListEntry> entries = new ArrayList<>();
         for (int i = 0; i < runners.size(); i++) {
-            all.add(sighting(i));
+            entries.add(listEntry(i));
         }
-        mind.onRunnerList(now(), all, true, false);
-        eventful();
+        dispatcher.onRunnerList(now(), entries, true, false);
+        scheduleActions();
     }
 
-    void listChanged(int runner) {
-        if (mind != null) {
-            mind.onRunnerList(now(), List.of(sighting(runner)), false, false);
-            eventful();
+    void sendListUpdate(int runner) {
+        if (dispatcher != null) {
+            dispatcher.onRunnerList(now(), List.of(listEntry(runner)), false, false);
+            scheduleActions();
         }
     }
 
-    private RunnerListEntry sighting(int runner) {
+    private RunnerListEntry listEntry(int runner) {
         ListedHealth health = sim.health(runner);
-        sim.judge.listEntryReceived(now(), number, runner, health, sim.fleet.bornAt(runner));
+        sim.judge.listEntryReceived(now(), number, runner, health, sim.fleet.listedStart(runner));
         Runner.Mode mode = switch (health) {
             case UP -> Runner.Mode.READY;
             case DRAINING -> Runner.Mode.DRAINING;
@@ -160,99 +165,102 @@
                 1,
                 mode,
                 sim.day.cell(runner),
-                sim.fleet.bornAt(runner));
+                sim.fleet.listedStart(runner));
     }
 
     // ---- Clients.
 
-    void take(Simulation.Try request) {
-        Request a = new Request(request.ask().job().workload(), now(), request.patience());
-        a.markedAsRetry = request.number > 1;
-        Held taken = new Held(request, a);
-        held.put(a, taken);
-        byId.put(request.id, taken);
-        after(request.patience(), () -> outOfTime(taken));
-        mind.onRequest(now(), a);
-        eventful();
-    }
-
-    private void outOfTime(Held late) {
-        for (Flight flight : List.copyOf(late.flights.values())) {
-            if (flight.dispatch.outcome == null) {
-                flight.callOff(false);
-                ended(late, flight, Outcome.TIMED_OUT, null, null);
+    void receive(Simulation.ClientTry clientTry) {
+        Request request = new Request(clientTry.ask().job().workload(), now(), clientTry.clientTimeout());
+        request.markedAsRetry = clientTry.number > 1;
+        HeldRequest held = new HeldRequest(clientTry, request);
+        requests.put(request, held);
+        requestsById.put(clientTry.id, held);
+        schedule(clientTry.clientTimeout(), () -> onClientTimeout(held));
+        dispatcher.onRequest(now(), request);
+        scheduleActions();
+    }
+
+    private void onClientTimeout(HeldRequest held) {
+        for (InFlightAttempt inFlight : List.copyOf(held.attempts.values())) {
+            if (inFlight.attempt.outcome == null) {
+                inFlight.cancel(false);
+                endAttempt(held, inFlight, Outcome.TIMED_OUT, null, null);
             }
         }
-        forgetIfOver(late);
+        removeIfFinished(held);
     }
 
-    void clientGone(Simulation.Try request) {
-        Held left = byId.get(request.id);
-        if (left != null) {
-            left.answered = true;
-            mind.close(left.assignment);
-            eventful();
-            forgetIfOver(left);
+    void onClientLeft(Simulation.ClientTry clientTry) {
+        HeldRequest held = requestsById.get(clientTry.id);
+        if (held != null) {
+            held.answered = true;
+            dispatcher.close(held.request);
+            scheduleActions();
+            removeIfFinished(held);
         }
     }
 
-    private void answer(Held to, Simulation.Outcome how, Duration pause, String result) {
-        if (!to.answered) {
-            to.answered = true;
-            client(to.of, how, pause, result);
-        } else if (how != Simulation.Outcome.FULFILLED) {
-            client(to.of, how, pause, result); // what decides has answered twice: so it is seen
+    private void respond(HeldRequest held, Simulation.TryOutcome outcome, Duration retryAfter, String result) {
+        if (!held.answered) {
+            held.answered = true;
+            respondToClient(held.clientTry, outcome, retryAfter, result);
+        } else if (outcome != Simulation.TryOutcome.FULFILLED) {
+            respondToClient(held.clientTry, outcome, retryAfter, result); // a second answer: visible to the judge
         }
-        forgetIfOver(to);
+        removeIfFinished(held);
     }
 
-    private void client(Simulation.Try request, Simulation.Outcome how, Duration pause, String result) {
-        sim.time.scheduleAfter(sim.hop(0, 0), () -> {
-            if (how == Simulation.Outcome.UNREACHABLE) {
-                sim.judge.connectionLost(now(), request.id);
+    private void respondToClient(
+            Simulation.ClientTry clientTry, Simulation.TryOutcome outcome, Duration retryAfter, String result) {
+        sim.eventQueue.scheduleAfter(sim.latency(0, 0), () -> {
+            if (outcome == Simulation.TryOutcome.UNREACHABLE) {
+                sim.judge.connectionLost(now(), clientTry.id);
             } else {
-                sim.judge.answerReceived(now(), request.id, how.how, result);
+                sim.judge.answerReceived(now(), clientTry.id, outcome.finalAnswer, result);
             }
-            request.customer.answered(request, how, pause, result);
+            clientTry.client.onTryEnd(clientTry, outcome, retryAfter, result);
         });
     }
 
-    private void forgetIfOver(Held done) {
-        if (done.answered && done.assignment.isFinished() && held.remove(done.assignment) != null) {
-            byId.remove(done.of.id);
+    private void removeIfFinished(HeldRequest held) {
+        if (held.answered && held.request.isFinished() && requests.remove(held.request) != null) {
+            requestsById.remove(held.clientTry.id);
         }
     }
 
-    private void ended(Held of, Flight flight, Outcome outcome, LoadReport report, String result) {
-        if (flight.dispatch.outcome != null || mind == null) {
+    private void endAttempt(
+            HeldRequest held, InFlightAttempt inFlight, Outcome outcome, LoadReport report, String result) {
+        if (inFlight.attempt.outcome != null || dispatcher == null) {
             return;
         }
-        boolean served = outcome == Outcome.FULFILLED && !of.assignment.closed;
-        mind.onAttemptEnd(now(), flight.dispatch, outcome, of.assignment.closed || served, report);
-        flight.dispatch.outcome = outcome;
-        eventful();
+        boolean served = outcome == Outcome.FULFILLED && !held.request.closed;
+        dispatcher.onAttemptEnd(now(), inFlight.attempt, outcome, held.request.closed || served, report);
+        inFlight.attempt.outcome = outcome;
+        scheduleActions();
         if (served) {
-            of.assignment.closed = true;
-            answer(of, Simulation.Outcome.FULFILLED, null, result);
+            held.request.closed = true;
+            respond(held, Simulation.TryOutcome.FULFILLED, null, result);
         } else {
-            forgetIfOver(of);
+            removeIfFinished(held);
         }
     }
 
-    // ---- A dispatch on its way.
+    // ---- Attempts.
 
-    final class Flight {
-        private final Held of;
-        private final Attempt dispatch;
+    /** An attempt between this dispatcher and a runner. */
+    final class InFlightAttempt {
+        private final HeldRequest held;
+        private final Attempt attempt;
         private final int runner;
-        private final int mine = life;
+        private final int ownIncarnation = incarnation;
         private Duration arrivesAt;
-        private Duration lastWord = Duration.ZERO;
-        private boolean calledOff;
+        private Duration lastMessageAt = Duration.ZERO;
+        private boolean cancelled;
 
-        private Flight(Held of, Attempt dispatch, int runner) {
-            this.of = of;
-            this.dispatch = dispatch;
+        private InFlightAttempt(HeldRequest held, Attempt attempt, int runner) {
+            this.held = held;
+            this.attempt = attempt;
             this.runner = runner;
         }
 
@@ -260,242 +268,245 @@
             return sim.zoneOf(runner);
         }
 
-        private boolean linked() {
-            return !sim.fleet.isSilent(runner) && sim.reachable(sim.zoneOf(number), zone());
+        private boolean isReachable() {
+            return !sim.fleet.isSilent(runner) && sim.areConnected(sim.zoneOf(number), zone());
         }
 
-        private void begin() {
+        private void send() {
             Duration sentAt = now();
-            boolean fresh = connected.add(runner);
-            Duration hop = sim.hop(sim.zoneOf(number), zone());
-            arrivesAt = now().plus(hop.multipliedBy(fresh ? 3 : 1));
-            sim.time.scheduleAt(arrivesAt, () -> arrive(sentAt, fresh));
+            boolean newConnection = connectedRunners.add(runner);
+            Duration latency = sim.latency(sim.zoneOf(number), zone());
+            arrivesAt = now().plus(latency.multipliedBy(newConnection ? 3 : 1));
+            sim.eventQueue.scheduleAt(arrivesAt, () -> arrive(sentAt, newConnection));
         }
 
-        private void arrive(Duration sentAt, boolean fresh) {
-            if (!linked()) {
-                connected.remove(runner);
-                if (fresh) {
-                    after(orders.connectTimeout, () -> ended(of, this, Outcome.NOT_CONNECTED, null, null));
+        private void arrive(Duration sentAt, boolean newConnection) {
+            if (!isReachable()) {
+                connectedRunners.remove(runner);
+                if (newConnection) {
+                    schedule(settings.connectTimeout, () -> endAttempt(held, this, Outcome.NOT_CONNECTED, null, null));
                 }
-                return; // on an open connection nothing is heard: it times out
+                return; // an open connection gets no response: the attempt times out
             }
             if (!sim.fleet.isUp(runner)) {
-                word(() -> ended(of, this, Outcome.NOT_CONNECTED, null, null));
+                deliver(() -> endAttempt(held, this, Outcome.NOT_CONNECTED, null, null));
                 return;
             }
-            String id = of.of.id;
-            Workload workload = of.assignment.workload;
-            RunnerJob work = new RunnerJob(
+            String id = held.clientTry.id;
+            Workload workload = held.request.workload;
+            RunnerJob job = new RunnerJob(
                     id,
-                    workload.repeatSafety == Workload.RepeatSafety.RECEIPTED ? of.of.receipt() : null,
+                    workload.repeatSafety == Workload.RepeatSafety.RECEIPTED ? held.clientTry.receipt() : null,
                     workload,
-                    of.of.ask().size(),
+                    held.clientTry.ask().size(),
                     number);
-            work.attachment = this;
-            sim.judge.attemptReceived(sentAt, now(), id, runner, number, work.sizeSeconds);
-            RunnerModel.OfferResult offer = sim.fleet.offer(runner, work);
+            job.attachment = this;
+            sim.judge.attemptReceived(sentAt, now(), id, runner, number, job.sizeSeconds);
+            RunnerModel.OfferResult offer = sim.fleet.offer(runner, job);
             LoadReport report = offer == RunnerModel.OfferResult.ACCEPTED || offer == RunnerModel.OfferResult.CRASHED
                     ? null
                     : sim.fleet.report(runner);
             switch (offer) {
                 case FULL, DRAINING -> {
                     sim.judge.attemptNotStarted(now(), id, runner);
-                    word(() -> ended(of, this, Outcome.TURNED_AWAY, report, null));
+                    deliver(() -> endAttempt(held, this, Outcome.TURNED_AWAY, report, null));
                 }
                 case ERROR -> {
                     sim.judge.attemptEnded(now(), id, runner);
-                    word(() -> ended(of, this, Outcome.ERROR, report, null));
+                    deliver(() -> endAttempt(held, this, Outcome.ERROR, report, null));
                 }
                 case CRASHED -> {
                     sim.judge.attemptEnded(now(), id, runner);
-                    word(() -> ended(of, this, Outcome.BROKEN, null, null));
+                    deliver(() -> endAttempt(held, this, Outcome.BROKEN, null, null));
                 }
-                default -> {} // its news will tell
+                default -> {} // accepted: the runner reports its progress and end
             }
         }
 
-        /** Something the runner says reaches the dispatcher, in the order in which it was said. */
-        private void word(Runnable what) {
-            if (!linked()) {
+        /** Delivers a message of the runner to the dispatcher, in the order of sending. */
+        private void deliver(Runnable message) {
+            if (!isReachable()) {
                 return;
             }
-            Duration at = now().plus(sim.hop(zone(), sim.zoneOf(number)));
-            lastWord = at.compareTo(lastWord) > 0 ? at : lastWord;
-            sim.time.scheduleAt(lastWord, () -> {
-                if (mine == life) {
-                    what.run();
+            Duration at = now().plus(sim.latency(zone(), sim.zoneOf(number)));
+            lastMessageAt = at.compareTo(lastMessageAt) > 0 ? at : lastMessageAt;
+            sim.eventQueue.scheduleAt(lastMessageAt, () -> {
+                if (ownIncarnation == incarnation) {
+                    message.run();
                 }
             });
         }
 
         void started() {
-            word(() -> {
-                if (dispatch.outcome == null && dispatch.startedAt == null) {
-                    mind.onStarted(now(), dispatch);
-                    eventful();
+            deliver(() -> {
+                if (attempt.outcome == null && attempt.startedAt == null) {
+                    dispatcher.onStarted(now(), attempt);
+                    scheduleActions();
                 }
             });
         }
 
-        void running() {
-            word(() -> {
-                if (dispatch.outcome == null) {
-                    mind.onProgress(now(), dispatch);
-                    eventful();
+        void progressed() {
+            deliver(() -> {
+                if (attempt.outcome == null) {
+                    dispatcher.onProgress(now(), attempt);
+                    scheduleActions();
                 }
             });
         }
 
-        void told(RunnerModel.JobEnd how, String result) {
-            LoadReport report = how == RunnerModel.JobEnd.LOST ? null : sim.fleet.report(runner);
-            Outcome outcome = switch (how) {
+        void ended(RunnerModel.JobEnd end, String result) {
+            LoadReport report = end == RunnerModel.JobEnd.LOST ? null : sim.fleet.report(runner);
+            Outcome outcome = switch (end) {
                 case DONE -> Outcome.FULFILLED;
                 case FAILED -> Outcome.ERROR;
                 case RETURNED, SHED -> Outcome.TURNED_AWAY;
                 case LOST -> Outcome.BROKEN;
             };
-            word(() -> ended(of, this, outcome, report, result));
+            deliver(() -> endAttempt(held, this, outcome, report, result));
         }
 
-        /** Takes it back at the runner; where it is wanted, it ends when that has been answered. */
-        private void callOff(boolean ends) {
-            if (calledOff) {
+        /** Cancels the job at the runner; with {@code awaitConfirmation}, the attempt ends once that is confirmed. */
+        private void cancel(boolean awaitConfirmation) {
+            if (cancelled) {
                 return;
             }
-            calledOff = true;
-            Duration at = now().plus(sim.hop(sim.zoneOf(number), zone()));
-            sim.time.scheduleAt(at.compareTo(arrivesAt) > 0 ? at : arrivesAt, () -> {
-                if (!linked() || !sim.fleet.isUp(runner)) {
-                    if (ends) {
-                        after(orders.connectTimeout, () -> ended(of, this, Outcome.CANCELLED, null, null));
+            cancelled = true;
+            Duration at = now().plus(sim.latency(sim.zoneOf(number), zone()));
+            sim.eventQueue.scheduleAt(at.compareTo(arrivesAt) > 0 ? at : arrivesAt, () -> {
+                if (!isReachable() || !sim.fleet.isUp(runner)) {
+                    if (awaitConfirmation) {
+                        schedule(settings.connectTimeout, () -> endAttempt(held, this, Outcome.CANCELLED, null, null));
                     }
                     return;
                 }
-                sim.fleet.takeBack(runner, of.of.id, number);
-                sim.judge.attemptEnded(now(), of.of.id, runner);
-                if (ends) {
-                    word(() -> ended(of, this, Outcome.CANCELLED, null, null));
+                sim.fleet.cancel(runner, held.clientTry.id, number);
+                sim.judge.attemptEnded(now(), held.clientTry.id, runner);
+                if (awaitConfirmation) {
+                    deliver(() -> endAttempt(held, this, Outcome.CANCELLED, null, null));
                 }
             });
         }
 
-        /** The dispatcher was killed: its connections end, and the jobs that nobody waits for run on. */
-        private void abandoned() {
-            sim.judge.attemptEnded(now(), of.of.id, runner);
+        /** Closes the connection after a kill of the dispatcher; the runner continues the job. */
+        private void abandon() {
+            sim.judge.attemptEnded(now(), held.clientTry.id, runner);
         }
     }
 
     @Override
-    public double held(Runner runner) {
-        return sim.fleet.isUp(numbers.get(runner))
-                ? sim.fleet.report(numbers.get(runner)).inFlight()
+    public double heldJobs(Runner runner) {
+        return sim.fleet.isUp(runnerNumbers.get(runner))
+                ? sim.fleet.report(runnerNumbers.get(runner)).inFlight()
                 : Double.POSITIVE_INFINITY;
     }
 
-    // ---- The door.
+    // ---- Actions of the dispatcher.
 
     @Override
-    public void dispatch(Attempt dispatch, Duration timeOut) {
-        Held of = held.get(dispatch.request);
-        if (of == null) {
-            // over already, and forgotten; what decides is at fault, and the judge has seen the answer
+    public void dispatch(Attempt attempt, Duration timeout) {
+        HeldRequest held = requests.get(attempt.request);
+        if (held == null) {
+            // The request is finished and was discarded: a defect of the dispatcher. The judge has seen the answer.
             return;
         }
-        Flight flight = new Flight(of, dispatch, numbers.get(dispatch.runner));
-        of.flights.put(dispatch, flight);
-        flight.begin();
-        if (timeOut != null) {
-            after(timeOut, () -> {
-                if (dispatch.outcome == null) {
-                    flight.callOff(false);
-                    ended(of, flight, Outcome.TIMED_OUT, null, null);
+        InFlightAttempt inFlight = new InFlightAttempt(held, attempt, runnerNumbers.get(attempt.runner));
+        held.attempts.put(attempt, inFlight);
+        inFlight.send();
+        if (timeout != null) {
+            schedule(timeout, () -> {
+                if (attempt.outcome == null) {
+                    inFlight.cancel(false);
+                    endAttempt(held, inFlight, Outcome.TIMED_OUT, null, null);
                 }
             });
         }
     }
 
     @Override
-    public void cancel(Attempt dispatch) {
-        Held of = held.get(dispatch.request);
-        if (of != null) {
-            of.flights.get(dispatch).callOff(true);
+    public void cancel(Attempt attempt) {
+        HeldRequest held = requests.get(attempt.request);
+        if (held != null) {
+            held.attempts.get(attempt).cancel(true);
         }
     }
 
     @Override
-    public void shed(Request assignment, Duration pause) {
-        finalWord(assignment, Simulation.Outcome.SHED, pause);
+    public void shed(Request request, Duration retryAfter) {
+        respondLocally(request, Simulation.TryOutcome.SHED, retryAfter);
     }
 
     @Override
-    public void giveUp(Request assignment) {
-        finalWord(assignment, Simulation.Outcome.GIVEN_UP, null);
+    public void giveUp(Request request) {
+        respondLocally(request, Simulation.TryOutcome.GIVEN_UP, null);
     }
 
-    private void finalWord(Request assignment, Simulation.Outcome how, Duration pause) {
-        Held of = held.get(assignment);
-        if (of != null) {
-            answer(of, how, pause, null);
+    private void respondLocally(Request request, Simulation.TryOutcome outcome, Duration retryAfter) {
+        HeldRequest held = requests.get(request);
+        if (held != null) {
+            respond(held, outcome, retryAfter, null);
         }
     }
 
     @Override
     public void probe(Runner runner) {
-        int asked = numbers.get(runner);
-        sim.probed();
+        int runnerNumber = runnerNumbers.get(runner);
+        sim.countProbe();
         Duration sentAt = now();
-        Duration there = sim.hop(sim.zoneOf(number), sim.zoneOf(asked));
-        after(there, () -> {
-            if (sim.fleet.isSilent(asked) || !sim.reachable(sim.zoneOf(number), sim.zoneOf(asked))) {
-                after(orders.connectTimeout.multipliedBy(2), () -> probed(runner, false, sentAt, null));
+        Duration latency = sim.latency(sim.zoneOf(number), sim.zoneOf(runnerNumber));
+        schedule(latency, () -> {
+            if (sim.fleet.isSilent(runnerNumber) || !sim.areConnected(sim.zoneOf(number), sim.zoneOf(runnerNumber))) {
+                schedule(
+                        settings.connectTimeout.multipliedBy(2), () -> deliverProbeResult(runner, false, sentAt, null));
                 return;
             }
-            boolean up = sim.fleet.isUp(asked);
-            LoadReport report = up ? sim.fleet.report(asked) : null;
-            after(sim.hop(sim.zoneOf(asked), sim.zoneOf(number)), () -> probed(runner, up, sentAt, report));
+            boolean up = sim.fleet.isUp(runnerNumber);
+            LoadReport report = up ? sim.fleet.report(runnerNumber) : null;
+            schedule(
+                    sim.latency(sim.zoneOf(runnerNumber), sim.zoneOf(number)),
+                    () -> deliverProbeResult(runner, up, sentAt, report));
         });
     }
 
-    private void probed(Runner runner, boolean answered, Duration sentAt, LoadReport report) {
-        mind.onProbeResult(now(), runner, answered, now().minus(sentAt), report);
-        eventful();
+    private void deliverProbeResult(Runner runner, boolean answered, Duration sentAt, LoadReport report) {
+        dispatcher.onProbeResult(now(), runner, answered, now().minus(sentAt), report);
+        scheduleActions();
     }
 
     @Override
-    public void setTimer(Duration after, Object what) {
-        // A wake comes a round later at the soonest: where time stands still in a turn, one at once could go
-        // on for ever.
-        after(after.compareTo(orders.roundInterval) > 0 ? after : orders.roundInterval, () -> {
-            mind.onTimer(now(), what);
-            eventful();
+    public void setTimer(Duration delay, Object timerTarget) {
+        // The delay is one round at least: simulated time stands still within an event, so that timers without a delay
+        // could repeat forever.
+        schedule(delay.compareTo(settings.roundInterval) > 0 ? delay : settings.roundInterval, () -> {
+            dispatcher.onTimer(now(), timerTarget);
+            scheduleActions();
         });
     }
 
     @Override
-    public void subscribe(boolean on) {
-        if (on) {
-            after(sim.hop(0, 0), this::listWhole);
+    public void subscribe(boolean enabled) {
+        if (enabled) {
+            schedule(sim.latency(0, 0), this::sendFullList);
         }
     }
 
     @Override
     public void requestRunnerList() {
-        after(sim.hop(0, 0), this::listWhole);
+        schedule(sim.latency(0, 0), this::sendFullList);
     }
 
     @Override
     public void closeIdleConnections(Runner runner) {
-        connected.remove(numbers.get(runner));
+        connectedRunners.remove(runnerNumbers.get(runner));
     }
 
     @Override
     public void sendToPeer(int dispatcher, String message) {
-        // Dispatchers share nothing here.
+        // Simulated dispatchers exchange no messages.
     }
 
     @Override
     public void log(String line) {
-        // Nobody reads it in simulated time.
+        // Discarded in simulations.
     }
 }
--- a/rig/src/main/java/saltdale/rig/simulate/Simulation.java
+++ b/rig/src/main/java/saltdale/rig/simulate/Simulation.java
@@ -21,154 +21,163 @@
 import saltdale.rig.plan.Day;
 
 /**
- * A day in simulated time: clients, dispatchers, the network, the list and the fleet. One thread and one
- * source of chance for each part, so that the same day with the same seed goes the same way to the last byte.
+ * Simulates a day: clients, dispatchers, the network, the runner list and the fleet. It uses one thread and a random
+ * generator per part, so that the same day with the same seed gives exactly the same results.
  */
 public final class Simulation {
-    /** Makes what decides for a dispatcher. */
+    /** Creates the decision logic of a dispatcher. */
     public interface DispatcherFactory {
-        SimulatedDispatcher create(DispatcherSettings orders, DispatcherActions door, SplittableRandom chance);
+        SimulatedDispatcher create(DispatcherSettings settings, DispatcherActions actions, SplittableRandom random);
     }
 
-    private static final Duration FRONT_NOTICES = Duration.ofSeconds(1);
-    private static final Duration SAMPLE = Duration.ofMillis(250);
+    /** How long the front end takes to notice that a dispatcher went down or came back. */
+    private static final Duration FRONT_END_DETECTION_DELAY = Duration.ofSeconds(1);
+
+    private static final Duration SAMPLE_INTERVAL = Duration.ofMillis(250);
 
     final Day day;
-    final EventQueue time = new EventQueue();
+    final EventQueue eventQueue = new EventQueue();
     final Judge judge;
-    final TroubleSchedule troubles;
+    final TroubleSchedule troubleSchedule;
     final SimulatedFleet fleet;
     private final Tally tally;
     private final List<SimulatedNode> nodes = new ArrayList<>();
     private final Persistence persistence;
-    private final SplittableRandom net;
-    private final DispatcherFactory minds;
-    private final SplittableRandom seeds;
-    private final Set<Integer> knownDead = new HashSet<>();
-    private int nextNode;
-    private int cutZone = -1;
-    private boolean listMute;
-    private long open;
-    private long heavies;
+    private final SplittableRandom networkRandom;
+    private final DispatcherFactory dispatcherFactory;
+    private final SplittableRandom random;
+    private final Set<Integer> detectedDownNodes = new HashSet<>();
+    private int lastNodeIndex;
+    private int disconnectedZone = -1;
+    private boolean listSilent;
+    private long openRequests;
+    private long weightedTurns;
     private long probeCount;
     private final Spread spread;
 
-    public Simulation(Day day, DispatcherFactory minds, Iterator<Ask> asks) {
+    public Simulation(Day day, DispatcherFactory dispatcherFactory, Iterator<Ask> arrivals) {
         this.day = day;
-        this.minds = minds;
-        seeds = new SplittableRandom(day.seed);
-        net = seeds.split();
+        this.dispatcherFactory = dispatcherFactory;
+        random = new SplittableRandom(day.seed);
+        networkRandom = random.split();
         judge = new Judge(JudgeSettings.of(day, Duration.ofMillis(1)), Duration.ofSeconds(5));
-        troubles = new TroubleSchedule(day.troubles);
-        fleet = new SimulatedFleet(this, seeds.split());
+        troubleSchedule = new TroubleSchedule(day.troubles);
+        fleet = new SimulatedFleet(this, random.split());
         tally = new Tally(day.jobs, day.warmUp);
-        persistence = new Persistence(day.traffic, seeds.split());
+        persistence = new Persistence(day.traffic, random.split());
         spread = new Spread(day.dispatchers);
         for (int i = 0; i < day.dispatchers; i++) {
-            SimulatedNode node = new SimulatedNode(this, i, seeds.split());
+            SimulatedNode node = new SimulatedNode(this, i, random.split());
             nodes.add(node);
-            time.scheduleAt(Duration.ZERO, () -> node.start(minds));
+            eventQueue.scheduleAt(Duration.ZERO, () -> node.start(dispatcherFactory));
         }
-        troubles.scheduledActions().forEach(turn -> time.scheduleAt(turn.at(), () -> act(turn)));
+        troubleSchedule
+                .scheduledActions()
+                .forEach(scheduled -> eventQueue.scheduleAt(scheduled.at(), () -> apply(scheduled)));
         sample();
-        feed(asks);
+        scheduleNextArrival(arrivals);
     }
 
-    private void feed(Iterator<Ask> asks) {
-        if (asks.hasNext()) {
-            Ask ask = asks.next();
-            time.scheduleAt(ask.at(), () -> {
-                new Customer(ask).sendTry();
-                feed(asks);
+    private void scheduleNextArrival(Iterator<Ask> arrivals) {
+        if (arrivals.hasNext()) {
+            Ask ask = arrivals.next();
+            eventQueue.scheduleAt(ask.at(), () -> {
+                new SimulatedClient(ask).sendTry();
+                scheduleNextArrival(arrivals);
             });
         }
     }
 
     private void sample() {
         fleet.sample();
-        if (time.now().compareTo(day.length) < 0) {
-            time.scheduleAfter(SAMPLE, this::sample);
+        if (eventQueue.now().compareTo(day.length) < 0) {
+            eventQueue.scheduleAfter(SAMPLE_INTERVAL, this::sample);
         }
     }
 
-    /** Plays the day, and on until all is answered. */
+    /** Runs the day, and then on until every request has an answer or the time limit for that is reached. */
     public Simulation run() {
-        time.runUntil(day.length);
-        Duration most = day.longestStay().plusSeconds(5);
-        for (Duration end = day.length; open > 0 && end.compareTo(day.length.plus(most)) < 0; ) {
+        eventQueue.runUntil(day.length);
+        Duration maxDrainTime = day.longestStay().plusSeconds(5);
+        for (Duration end = day.length; openRequests > 0 && end.compareTo(day.length.plus(maxDrainTime)) < 0; ) {
             end = end.plusMillis(500);
-            time.runUntil(end);
+            eventQueue.runUntil(end);
         }
         judge.finish();
         return this;
     }
 
+    /** The results as seen by the clients. */
     public Tally tally() {
         return tally;
     }
 
+    /** The shares of rejected requests by dispatcher. */
     public Spread spread() {
         return spread;
     }
 
-    /** How many probes were sent. */
+    /** The number of probes sent by all dispatchers. */
     public long probeCount() {
         return probeCount;
     }
 
-    void probed() {
+    void countProbe() {
         probeCount++;
     }
 
+    /** The judge that observes this simulation. */
     public Judge judge() {
         return judge;
     }
 
+    /** The simulated runners. */
     public SimulatedFleet fleet() {
         return fleet;
     }
 
+    /** The number of simulated events. */
     public long executedEventCount() {
-        return time.executedCount();
+        return eventQueue.executedCount();
     }
 
-    /** How long a message takes between these zones, by their numbers. */
-    Duration hop(int from, int to) {
-        Duration usual = from == to ? day.sameZone : day.crossZone;
-        return Duration.ofNanos((long) (usual.toNanos() * (1 + day.netJitter * net.nextDouble())));
+    /** A random latency of a message between these zones, given by number. */
+    Duration latency(int from, int to) {
+        Duration baseLatency = from == to ? day.sameZone : day.crossZone;
+        return Duration.ofNanos((long) (baseLatency.toNanos() * (1 + day.netJitter * networkRandom.nextDouble())));
     }
 
     int zoneOf(int number) {
         return number % day.zones.size();
     }
 
-    boolean reachable(int from, int to) {
-        return from == to || cutZone != from && cutZone != to;
+    boolean areConnected(int from, int to) {
+        return from == to || disconnectedZone != from && disconnectedZone != to;
     }
 
-    // ---- What goes wrong.
+    // ---- Disturbances.
 
-    private void act(TroubleSchedule.ScheduledAction turn) {
-        switch (turn.action()) {
-            case CUT_ZONE -> cutZone = (int) turn.trouble().size();
-            case RECONNECT_ZONE -> cutZone = -1;
-            case SILENCE_LIST -> listMute = true;
+    private void apply(TroubleSchedule.ScheduledAction scheduled) {
+        switch (scheduled.action()) {
+            case CUT_ZONE -> disconnectedZone = (int) scheduled.trouble().size();
+            case RECONNECT_ZONE -> disconnectedZone = -1;
+            case SILENCE_LIST -> listSilent = true;
             case RESUME_LIST -> {
-                listMute = false;
-                nodes.forEach(SimulatedNode::listWhole);
+                listSilent = false;
+                nodes.forEach(SimulatedNode::sendFullList);
             }
             case KILL_DISPATCHER ->
-                turn.trouble().runners().forEach(i -> nodes.get(i).kill());
+                scheduled.trouble().runners().forEach(i -> nodes.get(i).kill());
             case RESTART_DISPATCHER ->
-                turn.trouble().runners().forEach(i -> nodes.get(i).start(minds));
-            default -> turn.trouble().runners().forEach(i -> fleet.act(turn.action(), i));
+                scheduled.trouble().runners().forEach(i -> nodes.get(i).start(dispatcherFactory));
+            default -> scheduled.trouble().runners().forEach(i -> fleet.apply(scheduled.action(), i));
         }
     }
 
-    /** The list has come to know this of a runner, and tells the dispatchers. */
-    void listChanged(int runner) {
-        if (!listMute) {
-            nodes.forEach(node -> node.listChanged(runner));
+    /** Sends the changed list entry of a runner to the dispatchers. */
+    void publishListChange(int runner) {
+        if (!listSilent) {
+            nodes.forEach(node -> node.sendListUpdate(runner));
         }
     }
 
@@ -176,146 +185,149 @@
         return fleet.health(runner);
     }
 
-    void front(int node, boolean dead) {
-        time.scheduleAfter(FRONT_NOTICES, () -> {
-            if (nodes.get(node).isUp() != dead) {
-                if (dead) {
-                    knownDead.add(node);
+    /** Lets the front end notice a state change of a dispatcher after its delay, if the state still holds. */
+    void reportNodeState(int node, boolean down) {
+        eventQueue.scheduleAfter(FRONT_END_DETECTION_DELAY, () -> {
+            if (nodes.get(node).isUp() != down) {
+                if (down) {
+                    detectedDownNodes.add(node);
                 } else {
-                    knownDead.remove(node);
+                    detectedDownNodes.remove(node);
                 }
             }
         });
     }
 
-    private SimulatedNode next() {
+    /** Selects dispatchers in turn; the first gets a multiple of the others' requests if the traffic says so. */
+    private SimulatedNode selectNode() {
         if (day.traffic.heavy() > 1
-                && knownDead.isEmpty()
-                && heavies++ % (nodes.size() - 1 + day.traffic.heavy()) >= nodes.size()) {
+                && detectedDownNodes.isEmpty()
+                && weightedTurns++ % (nodes.size() - 1 + day.traffic.heavy()) >= nodes.size()) {
             return nodes.get(0);
         }
         for (int i = 0; i < nodes.size(); i++) {
-            nextNode = (nextNode + 1) % nodes.size();
-            if (!knownDead.contains(nextNode)) {
+            lastNodeIndex = (lastNodeIndex + 1) % nodes.size();
+            if (!detectedDownNodes.contains(lastNodeIndex)) {
                 break;
             }
         }
-        return nodes.get(nextNode);
+        return nodes.get(lastNodeIndex);
     }
 
     // ---- Clients.
 
-    /** The client of one ask, over all its tries. */
-    final class Customer {
+    /** The client of one arrival, over all its tries. */
+    final class SimulatedClient {
         final Ask ask;
-        private int tries;
-        private Try current;
+        private int tryCount;
+        private ClientTry currentTry;
         private boolean finished;
 
-        Customer(Ask ask) {
+        SimulatedClient(Ask ask) {
             this.ask = ask;
-            open++;
+            openRequests++;
         }
 
         void sendTry() {
-            if (tries == 0) {
+            if (tryCount == 0) {
                 persistence.firstTry();
             }
-            tries++;
-            Try next = new Try(this, tries);
-            current = next;
-            SimulatedNode node = next();
-            Duration hop = hop(0, 0);
-            if (tries == 1 && persistence.leaves()) {
-                time.scheduleAfter(next.patience().dividedBy(2), () -> {
-                    if (current == next && !finished) {
-                        judge.clientLeft(time.now(), next.id);
-                        node.clientGone(next);
+            tryCount++;
+            ClientTry clientTry = new ClientTry(this, tryCount);
+            currentTry = clientTry;
+            SimulatedNode node = selectNode();
+            Duration latency = latency(0, 0);
+            if (tryCount == 1 && persistence.leaves()) {
+                eventQueue.scheduleAfter(clientTry.clientTimeout().dividedBy(2), () -> {
+                    if (currentTry == clientTry && !finished) {
+                        judge.clientLeft(eventQueue.now(), clientTry.id);
+                        node.onClientLeft(clientTry);
                         finish(null, true);
                     }
                 });
             }
-            time.scheduleAfter(hop, () -> {
+            eventQueue.scheduleAfter(latency, () -> {
                 if (!node.isUp()) {
-                    answered(next, Outcome.UNREACHABLE, null, null);
+                    onTryEnd(clientTry, TryOutcome.UNREACHABLE, null, null);
                     return;
                 }
-                judge.requestSent(time.now(), next.id, ask.job().workload(), node.number, next.patience());
-                node.take(next);
-                next.node = node.number;
-                time.scheduleAfter(
-                        next.patience().plus(day.answerGrace).plusMillis(5),
-                        () -> answered(next, Outcome.NOTHING, null, null));
+                judge.requestSent(
+                        eventQueue.now(), clientTry.id, ask.job().workload(), node.number, clientTry.clientTimeout());
+                node.receive(clientTry);
+                clientTry.dispatcher = node.number;
+                eventQueue.scheduleAfter(
+                        clientTry.clientTimeout().plus(day.answerGrace).plusMillis(5),
+                        () -> onTryEnd(clientTry, TryOutcome.NOTHING, null, null));
             });
         }
 
-        void answered(Try which, Outcome outcome, Duration pause, String result) {
-            if (finished || current != which) {
+        void onTryEnd(ClientTry ended, TryOutcome outcome, Duration retryAfter, String result) {
+            if (finished || currentTry != ended) {
                 return;
             }
-            current = null;
-            if (which.node >= 0) {
-                spread.ended(which.node, ask.job().workload().importance, outcome == Outcome.SHED);
+            currentTry = null;
+            if (ended.dispatcher >= 0) {
+                spread.ended(ended.dispatcher, ask.job().workload().importance, outcome == TryOutcome.SHED);
             }
             Duration wait = persistence.next(
                     ask.job().workload(),
-                    tries,
-                    outcome == Outcome.UNREACHABLE ? FinalAnswer.SHED : outcome.how,
-                    pause,
-                    time.now(),
+                    tryCount,
+                    outcome == TryOutcome.UNREACHABLE ? FinalAnswer.SHED : outcome.finalAnswer,
+                    retryAfter,
+                    eventQueue.now(),
                     ask.at());
             if (wait == null) {
-                finish(outcome.how, false);
+                finish(outcome.finalAnswer, false);
             } else {
-                time.scheduleAfter(wait, this::sendTry);
+                eventQueue.scheduleAfter(wait, this::sendTry);
             }
         }
 
-        private void finish(FinalAnswer how, boolean left) {
+        private void finish(FinalAnswer finalAnswer, boolean left) {
             finished = true;
-            open--;
-            tally.over(ask, how, time.now(), tries, left);
+            openRequests--;
+            tally.over(ask, finalAnswer, eventQueue.now(), tryCount, left);
         }
     }
 
-    /** How a try ends for its client. */
-    enum Outcome {
+    /** How a try ended for its client. */
+    enum TryOutcome {
         FULFILLED(FinalAnswer.FULFILLED),
         SHED(FinalAnswer.SHED),
         GIVEN_UP(FinalAnswer.GIVEN_UP),
         UNREACHABLE(null),
         NOTHING(null);
 
-        final FinalAnswer how;
+        final FinalAnswer finalAnswer;
 
-        Outcome(FinalAnswer how) {
-            this.how = how;
+        TryOutcome(FinalAnswer finalAnswer) {
+            this.finalAnswer = finalAnswer;
         }
     }
 
-    /** One request of a client. */
-    static final class Try {
-        final Customer customer;
+    /** One try of a client: a request with an id of its own. */
+    static final class ClientTry {
+        final SimulatedClient client;
         final String id;
         final int number;
-        int node = -1;
+        int dispatcher = -1;
 
-        Try(Customer customer, int number) {
-            this.customer = customer;
+        ClientTry(SimulatedClient client, int number) {
+            this.client = client;
             this.number = number;
-            this.id = customer.ask.number() + "." + number;
+            this.id = client.ask.number() + "." + number;
         }
 
         Ask ask() {
-            return customer.ask;
+            return client.ask;
         }
 
         String receipt() {
-            return "r" + customer.ask.number();
+            return "r" + client.ask.number();
         }
 
-        Duration patience() {
-            return customer.ask.job().workload().clientTimeout;
+        Duration clientTimeout() {
+            return client.ask.job().workload().clientTimeout;
         }
     }
 }
--- a/rig/src/main/java/saltdale/rig/standin/StandInRunner.java
+++ b/rig/src/main/java/saltdale/rig/standin/StandInRunner.java
@@ -51,7 +51,7 @@
     }
 
     void schedule() {
-        Duration next = model.nextAt();
+        Duration next = model.nextEventAt();
         if (next == null || next.equals(wakeAt)) {
             return;
         }
--- a/tools/src/main/java/saltdale/tools/Prove.java
+++ b/tools/src/main/java/saltdale/tools/Prove.java
@@ -22,7 +22,7 @@
                     each.expected() == null
                             ? "passes"
                             : each.expected().name().toLowerCase().replace('_', ' '),
-                    each.first());
+                    each.firstViolation());
         }
         List<OverloadProof.Case> overloads = OverloadProof.run();
         for (OverloadProof.Case each : overloads) {
@@ -30,7 +30,7 @@
                     "%-6s %-26s %s%n",
                     each.asExpected() ? "ok" : "WRONG",
                     each.name(),
-                    each.broken().isEmpty() ? "keeps all laws of an overload" : each.broken());
+                    each.violations().isEmpty() ? "keeps all laws of an overload" : each.violations());
         }
         return cases.stream().allMatch(JudgeProof.Case::asExpected)
                         && overloads.stream().allMatch(OverloadProof.Case::asExpected)
