--- a/daemon/src/main/java/saltdale/Main.java
+++ b/daemon/src/main/java/saltdale/Main.java
@@ -5,19 +5,20 @@
 import saltdale.settings.MalformedInputException;
 import saltdale.sim.SimHost;
 
-/** The command line: one subcommand for each way in which the decisions are served. */
+/** The command line of the dispatcher, with one subcommand for each protocol that it can be used with. */
 public final class Main {
     private static final String USAGE = """
             usage: saltdale serve
                    saltdale simhost
 
-              serve     serve as one dispatcher on sockets, as EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and
-                        EDGE_CONFIG say
-              simhost   host dispatchers on the simulator's wire: batches on standard input, replies on
-                        standard output""";
+              serve     run one dispatcher on sockets, configured by EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY
+                        and EDGE_CONFIG
+              simhost   host dispatchers on the protocol of the simulator: batches on standard input,
+                        replies on standard output""";
 
     private Main() {}
 
+    /** Runs the subcommand and exits with its status. */
     public static void main(String[] args) {
         System.exit(run(args));
     }
--- a/daemon/src/main/java/saltdale/program/Serve.java
+++ b/daemon/src/main/java/saltdale/program/Serve.java
@@ -12,75 +12,81 @@
 import saltdale.transport.SocketBudget;
 import sun.misc.Signal;
 
-/** One real dispatcher, from its start to its end. */
+/** The subcommand {@code serve}: runs one dispatcher on sockets until it is shut down. */
 public final class Serve {
     private static final Logger LOG = Logger.getLogger(Serve.class.getName());
-    private static final int OTHER_DESCRIPTORS = 24; // of the process itself: jars, selector, log; 10 were seen
+    /**
+     * The file descriptors that are not available for connections: those that the process uses for jars, the selector
+     * and the log. 10 have been observed in use.
+     */
+    private static final int OTHER_DESCRIPTORS = 24;
 
     private Serve() {}
 
-    /** Serves until told to end; the process's exit status. */
+    /** Serves until the process receives TERM or INT; returns the exit status of the process. */
     public static int run(Map<String, String> environment, PrintStream errors) {
-        Log.begin(environment.get("EDGE_LOG"));
-        Posting posting;
+        LogFormatter.install(environment.get("EDGE_LOG"));
+        ServeConfig config;
         try {
-            posting = Posting.read(environment);
+            config = ServeConfig.read(environment);
         } catch (MalformedInputException e) {
             errors.println("saltdale: " + e.getMessage());
             return 2;
         }
         try {
             EventLoop loop = new EventLoop();
-            SocketBudget sockets = new SocketBudget(loop, forConnections(posting));
+            SocketBudget sockets = new SocketBudget(loop, connectionLimit(config));
             Router router = new Router(
                     loop,
                     sockets,
-                    posting.orders,
-                    posting.idleClose,
-                    posting.discovery,
+                    config.settings,
+                    config.runnerIdleTimeout,
+                    config.discoveryAddress,
                     System.currentTimeMillis() - loop.elapsed().toMillis(),
-                    new SplittableRandom(posting.seed));
-            if (posting.preview != null) {
-                router.preview(posting.preview);
+                    new SplittableRandom(config.seed));
+            if (config.preview != null) {
+                router.enablePreview(config.preview);
             }
-            Listener listener = new Listener(loop, sockets, posting.listen, router::accepted);
-            router.listening(listener::acceptPendingAndClose);
+            Listener listener = new Listener(loop, sockets, config.listenAddress, router::connectionAccepted);
+            router.setListenerCloser(listener::acceptPendingAndClose);
             for (String signal : new String[] {"TERM", "INT"}) {
-                Signal.handle(new Signal(signal), which -> loop.execute(router::end));
+                Signal.handle(new Signal(signal), received -> loop.execute(router::beginShutdown));
             }
-            // Guards against the platform's own way with it, which is to end the process and lose all that is held.
-            Signal.handle(new Signal("HUP"), which -> reload(environment, loop, sockets, router));
-            router.begin(posting.known);
-            LOG.info(() -> posting.name + " serves at " + environment.get("EDGE_LISTEN"));
-            loop.run(router::turnEnd);
-            LOG.info(() -> posting.name + " ends; " + router.counted().strip().replace('\n', ','));
+            // The default action for HUP would terminate the process and lose all pending requests.
+            Signal.handle(new Signal("HUP"), received -> reload(environment, loop, sockets, router));
+            router.start(config.initialRunnerList);
+            LOG.info(() -> config.name + " listens on " + environment.get("EDGE_LISTEN"));
+            loop.run(router::endRound);
+            LOG.info(() ->
+                    config.name + " has shut down; " + router.metrics().strip().replace('\n', ','));
             return 0;
         } catch (IOException e) {
-            errors.println(
-                    "saltdale: EDGE_LISTEN " + environment.get("EDGE_LISTEN") + " can't be served: " + e.getMessage());
+            errors.println("saltdale: EDGE_LISTEN " + environment.get("EDGE_LISTEN")
+                    + ": cannot listen on this address: " + e.getMessage());
             return 1;
         }
     }
 
-    private static int forConnections(Posting posting) {
-        return Math.max(16, posting.sockets - OTHER_DESCRIPTORS);
+    private static int connectionLimit(ServeConfig config) {
+        return Math.max(16, config.descriptorLimit - OTHER_DESCRIPTORS);
     }
 
     /**
-     * The configuration was replaced: takes over the address of discovery and the limit on descriptors; the rest
-     * holds from the next start. On a thread of its own, since it reads a file; one at a time, so that the last wins.
+     * Reloads the configuration: applies the address of the discovery service and the limit on file descriptors; other
+     * changes take effect at the next start. Runs on the thread of the signal handler because it reads a file; it is
+     * synchronized so that the last change wins.
      */
     private static synchronized void reload(
             Map<String, String> environment, EventLoop loop, SocketBudget sockets, Router router) {
         try {
-            Posting next = Posting.read(environment);
+            ServeConfig newConfig = ServeConfig.read(environment);
             loop.execute(() -> {
-                LOG.info(() -> "told of a new configuration; discovery at " + next.discovery);
-                sockets.setLimit(forConnections(next));
-                router.discoveryAt(next.discovery);
+                LOG.info(() -> "configuration reloaded; discovery service at " + newConfig.discoveryAddress);
+                sockets.setLimit(connectionLimit(newConfig));
+                router.setDiscoveryAddress(newConfig.discoveryAddress);
             });
         } catch (MalformedInputException e) {
-            LOG.warning(() -> "the configuration stays as it was: " + e.getMessage());
+            LOG.warning(() -> "configuration not reloaded; the previous one stays in use: " + e.getMessage());
         }
     }
 }
--- a/daemon/src/main/java/saltdale/routing/Counters.java
+++ b/daemon/src/main/java/saltdale/routing/Counters.java
@@ -6,59 +6,60 @@
 import java.util.StringJoiner;
 import saltdale.model.Outcome;
 
-/** What the dispatcher took in, sent and answered since its start. */
+/** Counts the requests, attempts, probes and messages of a dispatcher since its start. */
 public final class Counters {
-    long taken;
+    long acceptedRequests;
     long fulfilled;
     long shed;
     long givenUp;
-    long clientsGone;
-    long badRequests;
-    long tooSlow;
-    long turnedAway;
-    long callBacks;
-    long callBacksUnmatched;
-    long badCallBacks;
-    long dispatches;
-    long cancels;
+    long clientDisconnects;
+    long invalidRequests;
+    long requestTimeouts;
+    long rejectedOverSocketLimit;
+    long jobUpdates;
+    long unmatchedJobUpdates;
+    long malformedJobUpdates;
+    long attempts;
+    long cancellations;
     long probes;
-    long probesUnanswered;
-    long badAnswers;
-    long lists;
-    long badLists;
-    long watchesBroken;
+    long failedProbes;
+    long malformedResponses;
+    long runnerLists;
+    long malformedRunnerLists;
+    long brokenWatches;
     final Map<Outcome, Long> outcomes = new EnumMap<>(Outcome.class);
 
-    void ended(Outcome outcome) {
+    /** Counts an attempt that ended with this outcome. */
+    void countOutcome(Outcome outcome) {
         outcomes.merge(outcome, 1L, Long::sum);
     }
 
-    /** One line a counter: its name and its figure. */
-    String lines(long held, long sockets, long exceptions) {
+    /** Returns one line per counter: its name and its value. */
+    String lines(long pendingRequests, long openSockets, long exceptions) {
         StringJoiner lines = new StringJoiner("\n", "", "\n");
-        lines.add("assignments_taken " + taken)
-                .add("assignments_held " + held)
+        lines.add("assignments_taken " + acceptedRequests)
+                .add("assignments_held " + pendingRequests)
                 .add("answered_fulfilled " + fulfilled)
                 .add("answered_shed " + shed)
                 .add("answered_given_up " + givenUp)
-                .add("clients_gone " + clientsGone)
-                .add("bad_requests " + badRequests)
-                .add("too_slow " + tooSlow)
-                .add("turned_away_without_sockets " + turnedAway)
-                .add("dispatches " + dispatches)
-                .add("cancels " + cancels);
+                .add("clients_gone " + clientDisconnects)
+                .add("bad_requests " + invalidRequests)
+                .add("too_slow " + requestTimeouts)
+                .add("turned_away_without_sockets " + rejectedOverSocketLimit)
+                .add("dispatches " + attempts)
+                .add("cancels " + cancellations);
         outcomes.forEach(
                 (outcome, count) -> lines.add("ended_" + outcome.name().toLowerCase(Locale.ROOT) + " " + count));
         return lines.add("probes " + probes)
-                .add("probes_unanswered " + probesUnanswered)
-                .add("call_backs " + callBacks)
-                .add("call_backs_unmatched " + callBacksUnmatched)
-                .add("bad_call_backs " + badCallBacks)
-                .add("bad_answers " + badAnswers)
-                .add("lists " + lists)
-                .add("bad_lists " + badLists)
-                .add("watches_broken " + watchesBroken)
-                .add("sockets_open " + sockets)
+                .add("probes_unanswered " + failedProbes)
+                .add("call_backs " + jobUpdates)
+                .add("call_backs_unmatched " + unmatchedJobUpdates)
+                .add("bad_call_backs " + malformedJobUpdates)
+                .add("bad_answers " + malformedResponses)
+                .add("lists " + runnerLists)
+                .add("bad_lists " + malformedRunnerLists)
+                .add("watches_broken " + brokenWatches)
+                .add("sockets_open " + openSockets)
                 .add("exceptions " + exceptions)
                 .toString();
     }
--- a/daemon/src/main/java/saltdale/routing/Router.java
+++ b/daemon/src/main/java/saltdale/routing/Router.java
@@ -33,77 +33,89 @@
 import saltdale.transport.EventLoop;
 import saltdale.transport.SocketBudget;
 
-/** Stands between the decisions and the sockets: ids become objects, events calls, and actions messages. */
+/**
+ * Connects a dispatcher to the network: passes the events of its sockets to the dispatcher and carries out the actions
+ * that the dispatcher decides on. It maps the ids in messages to requests, attempts and runners.
+ */
 public final class Router implements DispatcherActions, ServerConnection.Handler {
     private static final Logger LOG = Logger.getLogger(Router.class.getName());
-    private static final double IDLE_PART = 0.8; // of the idle time after which a runner closes a connection
-    private static final byte[] NOTHING = new byte[0];
-    private static final HttpParser.Limits REQUESTS =
+    /** Idle connections to runners are closed after this share of the time after which the runners close them. */
+    private static final double IDLE_LIMIT_SHARE = 0.8;
+
+    private static final byte[] EMPTY_BODY = new byte[0];
+    private static final HttpParser.Limits REQUEST_LIMITS =
             new HttpParser.Limits(HttpParser.MAX_HEAD_BYTES, HttpParser.MAX_REQUEST_BODY_BYTES);
-    private static final Duration WHOLE_WITHIN = Duration.ofMillis(2500); // for a request to come
+    private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(2500);
 
     private final EventLoop loop;
     private final SocketBudget sockets;
-    private final DispatcherSettings orders;
-    private final Intake intake;
-    private final Ending ending;
+    private final DispatcherSettings settings;
+    private final RequestDecoder decoder;
+    private final GracefulShutdown shutdown;
     private final Counters counters = new Counters();
-    private final Fleet fleet;
-    private final Discovery discovery;
+    private final RunnerRegistry registry;
+    private final DiscoveryClient discovery;
     private final Dispatcher dispatcher;
-    private final Map<String, Held> heldById = new HashMap<>();
-    private final Map<Request, Held> held = new HashMap<>();
+    private final Map<String, PendingRequest> pendingById = new HashMap<>();
+    private final Map<Request, PendingRequest> pendingByRequest = new HashMap<>();
     private final Set<ServerConnection> clients = new HashSet<>();
-    private final List<Runnable> acts = new ArrayList<>();
-    private boolean eventful;
+    private final List<Runnable> plannedActions = new ArrayList<>();
+    private boolean hasEvents;
     private Preview preview;
-    private long levelChanges;
-
+    private long loggedLevelChanges;
+
+    /**
+     * Creates a router.
+     *
+     * @param idleClose the idle time after which runners close a connection
+     * @param discoveryAddress the address of the discovery service
+     * @param startMillis the Unix time at which the clock of the event loop started
+     */
     public Router(
             EventLoop loop,
             SocketBudget sockets,
-            DispatcherSettings orders,
+            DispatcherSettings settings,
             Duration idleClose,
-            InetSocketAddress lists,
+            InetSocketAddress discoveryAddress,
             long startMillis,
-            SplittableRandom chance) {
+            SplittableRandom random) {
         this.loop = loop;
         this.sockets = sockets;
-        this.orders = orders;
-        this.intake = new Intake(orders);
-        this.ending = new Ending(loop, sockets, orders);
-        Duration idleLimit = Durations.ofSeconds(Durations.seconds(idleClose) * IDLE_PART);
-        fleet = new Fleet(
-                to -> new ConnectionPool(loop, sockets, to, orders.connectTimeout, idleLimit),
+        this.settings = settings;
+        this.decoder = new RequestDecoder(settings);
+        this.shutdown = new GracefulShutdown(loop, sockets, settings);
+        Duration idleLimit = Durations.ofSeconds(Durations.seconds(idleClose) * IDLE_LIMIT_SHARE);
+        registry = new RunnerRegistry(
+                address -> new ConnectionPool(loop, sockets, address, settings.connectTimeout, idleLimit),
                 startMillis,
-                Durations.max(orders.warmUpTime, orders.maxClientTimeout()));
-        discovery = new Discovery(
+                Durations.max(settings.warmUpTime, settings.maxClientTimeout()));
+        discovery = new DiscoveryClient(
                 loop,
                 sockets,
-                lists,
+                discoveryAddress,
                 counters,
-                chance.split(),
-                list -> listed(list, false),
-                orders.subscribes ? this::listFailed : null);
-        dispatcher = new Dispatcher(orders, this, chance);
+                random.split(),
+                list -> applyRunnerList(list, false),
+                settings.subscribes ? this::runnerListFailed : null);
+        dispatcher = new Dispatcher(settings, this, random);
     }
 
-    /** Where clients come in: what ends that, all that has come by then taken in. */
-    public void listening(Runnable end) {
-        ending.listening(end);
+    /** Sets the action that accepts the client connections that have arrived and closes the listener. */
+    public void setListenerCloser(Runnable closer) {
+        shutdown.setListenerCloser(closer);
     }
 
-    /** Begins with the list as it was last known; null where there is none. */
-    public void begin(HostListUpdate known) {
+    /** Starts with the runner list as it was last known, or null. */
+    public void start(HostListUpdate known) {
         dispatcher.onStart(loop.now());
         if (known != null) {
-            discovery.knows(known.seq);
-            listed(known, true);
+            discovery.setVersion(known.seq);
+            applyRunnerList(known, true);
         }
-        if (!orders.subscribes) {
+        if (!settings.subscribes) {
             discovery.follow();
         }
-        eventful();
+        markEvents();
     }
 
     @Override
@@ -116,97 +128,105 @@
         return sockets;
     }
 
-    /** The assignment held under this id; null where none is. */
-    Held held(String id) {
-        return heldById.get(id);
+    /** Returns the pending request with this id, or null if there is none. */
+    PendingRequest pendingRequest(String id) {
+        return pendingById.get(id);
     }
 
     Counters counters() {
         return counters;
     }
 
-    /** How long a runner may take to answer what it answers at once. */
-    Duration answerLimit() {
-        return orders.connectTimeout;
+    /** Returns the time limit for responses that runners send immediately. */
+    Duration responseTimeout() {
+        return settings.connectTimeout;
     }
 
     @Override
     public boolean closesAfter(int status) {
-        return ending.closes(status);
+        return shutdown.closesAfter(status);
     }
 
     @Override
     public HttpParser.Limits requestLimits() {
-        return REQUESTS;
+        return REQUEST_LIMITS;
     }
 
     @Override
     public Duration requestTimeout() {
-        return WHOLE_WITHIN;
+        return REQUEST_TIMEOUT;
     }
 
     @Override
     public void requestRejected(boolean tooSlow) {
         if (tooSlow) {
-            counters.tooSlow++;
+            counters.requestTimeouts++;
         } else {
-            counters.badRequests++;
+            counters.invalidRequests++;
         }
     }
 
-    public String counted() {
-        AdmissionControl levels = dispatcher.admissionControl();
-        return counters.lines(heldById.size(), sockets.openCount(), loop.exceptionCount())
-                + (levels == null
+    /** Returns the metrics, one line each: the name and the value. */
+    public String metrics() {
+        AdmissionControl admission = dispatcher.admissionControl();
+        return counters.lines(pendingById.size(), sockets.openCount(), loop.exceptionCount())
+                + (admission == null
                         ? ""
-                        : "overload_level " + levels.level() + "\noverload_level_changes " + levels.changeCount()
-                                + "\noverload_turned_away " + levels.rejectedCount() + "\n")
+                        : "overload_level " + admission.level() + "\noverload_level_changes " + admission.changeCount()
+                                + "\noverload_turned_away " + admission.rejectedCount() + "\n")
                 + (preview == null ? "" : preview.lines());
     }
 
-    /** Counts from now on where these settings would have decided otherwise; what is decided stays as it is. */
-    public void preview(DispatcherSettings other) {
+    /**
+     * Starts to count the decisions that would have been different with other settings. The decisions themselves do
+     * not change.
+     */
+    public void enablePreview(DispatcherSettings other) {
         preview = new Preview(dispatcher, other);
     }
 
-    // ---- The turn.
+    // ---- Rounds of the event loop.
 
-    private void eventful() {
-        eventful = true;
+    private void markEvents() {
+        hasEvents = true;
     }
 
-    /** All that was ready has been gathered: the dispatcher decides once, then its wishes are carried out. */
-    public void turnEnd() {
-        if (eventful) {
-            eventful = false;
+    /**
+     * Ends a round of the event loop, after all events that were ready have been handled: the dispatcher decides once,
+     * then its actions are carried out.
+     */
+    public void endRound() {
+        if (hasEvents) {
+            hasEvents = false;
             try {
                 dispatcher.applyActions(loop.now());
-                tellLevel();
+                logLevelChange();
             } finally {
-                List<Runnable> wished = List.copyOf(acts);
-                acts.clear();
-                wished.forEach(loop::runGuarded);
+                List<Runnable> actions = List.copyOf(plannedActions);
+                plannedActions.clear();
+                actions.forEach(loop::runGuarded);
             }
-            if (eventful) {
+            if (hasEvents) {
                 loop.defer(() -> {});
             }
         }
-        ending.look(clients, held.isEmpty());
+        shutdown.advance(clients, pendingByRequest.isEmpty());
     }
 
-    /** Each change of the level stands in the log with its reason; the terms bound how often that can be. */
-    private void tellLevel() {
-        AdmissionControl levels = dispatcher.admissionControl();
-        if (levels != null && levels.changeCount() != levelChanges) {
-            levelChanges = levels.changeCount();
-            LOG.info(() -> "overload: " + levels.lastChange());
+    /** Logs each change of the overload level with its reason; the overload settings limit how often it can change. */
+    private void logLevelChange() {
+        AdmissionControl admission = dispatcher.admissionControl();
+        if (admission != null && admission.changeCount() != loggedLevelChanges) {
+            loggedLevelChanges = admission.changeCount();
+            LOG.info(() -> "overload: " + admission.lastChange());
         }
     }
 
-    // ---- From clients.
+    // ---- Messages from clients.
 
-    public void accepted(Connection connection, boolean full) {
-        clients.add(new ServerConnection(this, connection, full));
+    /** Serves an accepted client connection; with {@code overLimit}, it is rejected for lack of sockets. */
+    public void connectionAccepted(Connection connection, boolean overLimit) {
+        clients.add(new ServerConnection(this, connection, overLimit));
     }
 
     @Override
@@ -217,264 +237,273 @@
     @Override
     public void handleRequest(ServerConnection client, Head head, byte[] body) {
         switch (head.path()) {
-            case "/up" -> own(client, head, "GET", () -> client.respond(!ending.hasBegun() ? 200 : 503, "", NOTHING));
+            case "/up" ->
+                serveOwnPath(
+                        client, head, "GET", () -> client.respond(!shutdown.hasBegun() ? 200 : 503, "", EMPTY_BODY));
             case "/counters" ->
-                own(client, head, "GET", () -> client.respond(200, "", counted().strip()));
-            case "/_jobs/news" -> own(client, head, "POST", () -> news(client, body));
-            default -> assignment(client, head, body);
+                serveOwnPath(
+                        client,
+                        head,
+                        "GET",
+                        () -> client.respond(200, "", metrics().strip()));
+            case "/_jobs/news" -> serveOwnPath(client, head, "POST", () -> handleJobUpdate(client, body));
+            default -> handleJob(client, head, body);
         }
     }
 
-    private void own(ServerConnection client, Head head, String method, Runnable what) {
+    private void serveOwnPath(ServerConnection client, Head head, String method, Runnable action) {
         if (head.method().equals(method)) {
-            what.run();
+            action.run();
         } else {
-            turnDown(client, Intake.Refusal.method(method));
+            reject(client, RequestDecoder.Rejection.methodNotAllowed(method));
         }
     }
 
-    private void turnDown(ServerConnection client, Intake.Refusal refusal) {
-        counters.badRequests++;
-        client.respond(refusal.status(), refusal.header(), refusal.why());
+    private void reject(ServerConnection client, RequestDecoder.Rejection rejection) {
+        counters.invalidRequests++;
+        client.respond(rejection.status(), rejection.header(), rejection.reason());
     }
 
-    private void assignment(ServerConnection client, Head head, byte[] body) {
-        Intake.Refusal refusal = intake.refusal(head, heldById::containsKey);
-        if (refusal != null) {
-            turnDown(client, refusal);
+    private void handleJob(ServerConnection client, Head head, byte[] body) {
+        RequestDecoder.Rejection rejection = decoder.validate(head, pendingById::containsKey);
+        if (rejection != null) {
+            reject(client, rejection);
             return;
         } else if (client.isOverLimit()) {
-            // Guards against requests that wait unread in the kernel until their clients give up. Nothing has run.
-            counters.turnedAway++;
-            client.respond(503, "", NOTHING);
+            // Otherwise requests would wait unread in the kernel until their clients time out. Nothing has run yet.
+            counters.rejectedOverSocketLimit++;
+            client.respond(503, "", EMPTY_BODY);
             return;
         }
-        Request a = intake.assignment(head, loop.now().minus(loop.stallDuration()));
-        Held taken = new Held(Intake.id(head), a, head, body, client);
-        heldById.put(taken.id, taken);
-        held.put(a, taken);
-        client.currentRequest = taken;
-        counters.taken++;
-        taken.patience = loop.schedule(a.deadline.minus(loop.now()), () -> outOfTime(taken));
-        dispatcher.onRequest(loop.now(), a);
-        eventful();
-    }
-
-    private void outOfTime(Held late) {
-        for (Sending sending : List.copyOf(late.sendings)) {
-            sending.stop(Outcome.TIMED_OUT);
-            sending.end(Outcome.TIMED_OUT, null); // nothing follows that the runner's word should be awaited for
+        Request request = decoder.decode(head, loop.now().minus(loop.stallDuration()));
+        PendingRequest pending = new PendingRequest(RequestDecoder.id(head), request, head, body, client);
+        pendingById.put(pending.id, pending);
+        pendingByRequest.put(request, pending);
+        client.currentRequest = pending;
+        counters.acceptedRequests++;
+        pending.deadlineTimer = loop.schedule(request.deadline.minus(loop.now()), () -> expire(pending));
+        dispatcher.onRequest(loop.now(), request);
+        markEvents();
+    }
+
+    private void expire(PendingRequest pending) {
+        for (OutgoingAttempt outgoing : List.copyOf(pending.attempts)) {
+            outgoing.stop(Outcome.TIMED_OUT);
+            outgoing.end(Outcome.TIMED_OUT, null); // no further attempt depends on the cancellation
         }
     }
 
     @Override
     public void requestAborted(ServerConnection client) {
-        if (client.currentRequest instanceof Held served) {
-            clientGone(served);
+        if (client.currentRequest instanceof PendingRequest pending) {
+            clientDisconnected(pending);
         }
     }
 
-    private void clientGone(Held left) {
-        counters.clientsGone++;
-        left.client = null;
-        dispatcher.close(left.assignment);
-        eventful();
-        forgetIfOver(left);
+    private void clientDisconnected(PendingRequest pending) {
+        counters.clientDisconnects++;
+        pending.client = null;
+        dispatcher.close(pending.request);
+        markEvents();
+        removeIfFinished(pending);
     }
 
-    private void answer(Held to, int status, String more, byte[] body) {
-        ServerConnection client = to.client;
-        to.client = null;
+    private void respondTo(PendingRequest pending, int status, String headerLines, byte[] body) {
+        ServerConnection client = pending.client;
+        pending.client = null;
         if (client != null) {
-            client.respond(status, more, body);
+            client.respond(status, headerLines, body);
         }
-        forgetIfOver(to);
+        removeIfFinished(pending);
     }
 
-    private void forgetIfOver(Held done) {
-        if (done.assignment.isFinished() && done.client == null && held.remove(done.assignment) != null) {
-            heldById.remove(done.id);
-            done.patience.cancel();
+    private void removeIfFinished(PendingRequest pending) {
+        if (pending.request.isFinished()
+                && pending.client == null
+                && pendingByRequest.remove(pending.request) != null) {
+            pendingById.remove(pending.id);
+            pending.deadlineTimer.cancel();
         }
     }
 
-    // ---- The end.
+    // ---- Shutdown.
 
-    /** Told to end: what is held is answered before the process can be killed outright. */
-    public void end() {
-        if (!ending.hasBegun()) {
-            LOG.info(() -> "told to end; " + heldById.size() + " assignments held");
-            ending.begin();
-            held.keySet().forEach(a -> dispatcher.onTimer(loop.now(), a));
-            eventful();
+    /** Begins the shutdown: pending requests are answered before the platform may kill the process. */
+    public void beginShutdown() {
+        if (!shutdown.hasBegun()) {
+            LOG.info(() -> "shutting down; " + pendingById.size() + " pending requests");
+            shutdown.begin();
+            pendingByRequest.keySet().forEach(request -> dispatcher.onTimer(loop.now(), request));
+            markEvents();
         }
     }
 
-    // ---- From runners.
+    // ---- Messages from runners.
 
-    private void news(ServerConnection client, byte[] body) {
-        JobUpdate news = JobUpdate.parse(body);
-        if (news == null) {
-            counters.badCallBacks++;
-            client.respond(400, "", "no job's news");
+    private void handleJobUpdate(ServerConnection client, byte[] body) {
+        JobUpdate update = JobUpdate.parse(body);
+        if (update == null) {
+            counters.malformedJobUpdates++;
+            client.respond(400, "", "malformed job update");
             return;
         }
-        counters.callBacks++;
-        client.respond(204, "", NOTHING);
-        Target target = fleet.named(news.runner);
-        Held about = heldById.get(news.jobId);
-        Sending sending = target == null || about == null ? null : about.outAt(target);
-        if (sending == null) {
-            counters.callBacksUnmatched++;
+        counters.jobUpdates++;
+        client.respond(204, "", EMPTY_BODY);
+        RunnerEndpoint endpoint = registry.endpointNamed(update.runner);
+        PendingRequest pending = pendingById.get(update.jobId);
+        OutgoingAttempt outgoing = endpoint == null || pending == null ? null : pending.activeAttemptAt(endpoint);
+        if (outgoing == null) {
+            counters.unmatchedJobUpdates++;
             return;
         }
-        LoadReport report = report(news.load);
-        switch (news.state) {
+        LoadReport report = toLoadReport(update.load);
+        switch (update.state) {
             case STARTED -> {
-                if (sending.dispatch.startedAt == null) { // a runner tells again what we did not seem to hear
-                    dispatcher.onStarted(loop.now(), sending.dispatch);
+                if (outgoing.attempt.startedAt == null) { // runners repeat updates that seem to be lost
+                    dispatcher.onStarted(loop.now(), outgoing.attempt);
                 }
             }
-            case RUNNING -> dispatcher.onProgress(loop.now(), sending.dispatch);
-            case FAILED -> sending.end(Outcome.ERROR, report);
-            case RETURNED -> sending.end(Outcome.TURNED_AWAY, report);
-            case LOST -> sending.end(Outcome.BROKEN, report);
+            case RUNNING -> dispatcher.onProgress(loop.now(), outgoing.attempt);
+            case FAILED -> outgoing.end(Outcome.ERROR, report);
+            case RETURNED -> outgoing.end(Outcome.TURNED_AWAY, report);
+            case LOST -> outgoing.end(Outcome.BROKEN, report);
             case DONE -> {
-                sending.result = news.result;
-                sending.end(Outcome.FULFILLED, report);
+                outgoing.result = update.result;
+                outgoing.end(Outcome.FULFILLED, report);
             }
         }
-        eventful();
+        markEvents();
     }
 
-    /** A dispatch has ended, however it did. */
-    void ended(Sending sending, Outcome outcome, LoadReport report) {
-        Held of = sending.held();
-        counters.ended(outcome);
-        boolean served = outcome == Outcome.FULFILLED && !of.assignment.closed;
-        dispatcher.onAttemptEnd(loop.now(), sending.dispatch, outcome, of.assignment.closed || served, report);
-        eventful();
-        if (served) {
+    /** Reports the end of an attempt to the dispatcher and responds to the client if the attempt succeeded. */
+    void attemptEnded(OutgoingAttempt outgoing, Outcome outcome, LoadReport report) {
+        PendingRequest pending = outgoing.pendingRequest();
+        counters.countOutcome(outcome);
+        boolean fulfilled = outcome == Outcome.FULFILLED && !pending.request.closed;
+        dispatcher.onAttemptEnd(loop.now(), outgoing.attempt, outcome, pending.request.closed || fulfilled, report);
+        markEvents();
+        if (fulfilled) {
             counters.fulfilled++;
-            answer(of, 200, "", sending.result);
+            respondTo(pending, 200, "", outgoing.result);
         } else {
-            forgetIfOver(of);
+            removeIfFinished(pending);
         }
     }
 
-    /** The report of these values; null where there are none. */
-    static LoadReport report(Map<String, Double> values) {
+    /** Converts the values to a load report; returns null for null. */
+    static LoadReport toLoadReport(Map<String, Double> values) {
         return values == null ? null : LoadReportColumns.toLoadReport(name -> values.getOrDefault(name, Double.NaN));
     }
 
-    // ---- From discovery.
+    // ---- The runner list.
 
-    private void listed(HostListUpdate list, boolean cached) {
-        dispatcher.onRunnerList(loop.now(), fleet.sightings(loop.now(), list), list.complete, cached);
-        eventful();
+    private void applyRunnerList(HostListUpdate list, boolean cached) {
+        dispatcher.onRunnerList(loop.now(), registry.update(loop.now(), list), list.complete, cached);
+        markEvents();
     }
 
-    /** Discovery is at another address from now on. */
-    public void discoveryAt(InetSocketAddress address) {
+    /** Changes the address of the discovery service. */
+    public void setDiscoveryAddress(InetSocketAddress address) {
         discovery.moveTo(address);
     }
 
-    private void listFailed() {
+    private void runnerListFailed() {
         dispatcher.onRunnerListFailure(loop.now());
-        eventful();
+        markEvents();
     }
 
-    // ---- The door: what is wished is noted, and carried out when the dispatcher has settled.
+    // ---- Actions of the dispatcher: recorded while it decides and carried out at the end of the round.
 
     @Override
-    public void dispatch(Attempt dispatch, Duration timeOut) {
-        Held of = held.get(dispatch.request);
-        Sending sending = new Sending(this, of, dispatch, fleet.of(dispatch.runner));
-        of.sendings.add(sending);
-        counters.dispatches++;
-        acts.add(() -> {
-            // By the clock, not the turn's time: guards against a process that was stopped in the midst of a turn.
-            long left = dispatch.request.deadline.minus(loop.elapsed()).toMillis();
-            if (left > 0) {
-                sending.begin(left, timeOut);
+    public void dispatch(Attempt attempt, Duration timeout) {
+        PendingRequest pending = pendingByRequest.get(attempt.request);
+        OutgoingAttempt outgoing = new OutgoingAttempt(this, pending, attempt, registry.endpointOf(attempt.runner));
+        pending.attempts.add(outgoing);
+        counters.attempts++;
+        plannedActions.add(() -> {
+            // Uses the clock instead of the time of the round: the process may have been suspended during the round.
+            long remainingMillis =
+                    attempt.request.deadline.minus(loop.elapsed()).toMillis();
+            if (remainingMillis > 0) {
+                outgoing.start(remainingMillis, timeout);
             } else {
-                sending.end(Outcome.NEVER_SENT, null);
+                outgoing.end(Outcome.NEVER_SENT, null);
             }
         });
     }
 
     @Override
-    public void cancel(Attempt dispatch) {
-        Sending sending = held.get(dispatch.request).of(dispatch);
-        counters.cancels++;
-        acts.add(() -> sending.stop(Outcome.CANCELLED));
+    public void cancel(Attempt attempt) {
+        OutgoingAttempt outgoing = pendingByRequest.get(attempt.request).outgoingOf(attempt);
+        counters.cancellations++;
+        plannedActions.add(() -> outgoing.stop(Outcome.CANCELLED));
     }
 
     @Override
-    public void shed(Request assignment, Duration pause) {
-        Held of = held.get(assignment);
+    public void shed(Request request, Duration retryAfter) {
+        PendingRequest pending = pendingByRequest.get(request);
         counters.shed++;
-        String advice = pause == null || pause.isZero()
+        String headerLines = retryAfter == null || retryAfter.isZero()
                 ? ""
-                : String.format(Locale.ROOT, "Retry-After: %.3f\r\n", Durations.seconds(pause));
-        acts.add(() -> answer(of, 503, advice, NOTHING));
+                : String.format(Locale.ROOT, "Retry-After: %.3f\r\n", Durations.seconds(retryAfter));
+        plannedActions.add(() -> respondTo(pending, 503, headerLines, EMPTY_BODY));
     }
 
     @Override
-    public void giveUp(Request assignment) {
-        Held of = held.get(assignment);
+    public void giveUp(Request request) {
+        PendingRequest pending = pendingByRequest.get(request);
         counters.givenUp++;
-        acts.add(() -> answer(of, 502, "", NOTHING));
+        plannedActions.add(() -> respondTo(pending, 502, "", EMPTY_BODY));
     }
 
     @Override
     public void probe(Runner runner) {
         counters.probes++;
-        Target target = fleet.of(runner);
-        acts.add(() -> new Probe(this, target).begin());
+        RunnerEndpoint endpoint = registry.endpointOf(runner);
+        plannedActions.add(() -> new LoadProbe(this, endpoint).start());
     }
 
-    void probed(Target target, Map<String, Double> values, Duration took) {
-        counters.probesUnanswered += values == null ? 1 : 0;
-        dispatcher.onProbeResult(loop.now(), target.runner, values != null, took, report(values));
-        eventful();
+    void probeCompleted(RunnerEndpoint endpoint, Map<String, Double> values, Duration duration) {
+        counters.failedProbes += values == null ? 1 : 0;
+        dispatcher.onProbeResult(loop.now(), endpoint.runner, values != null, duration, toLoadReport(values));
+        markEvents();
     }
 
     @Override
-    public void setTimer(Duration after, Object what) {
-        loop.schedule(after, () -> {
-            dispatcher.onTimer(loop.now(), what);
-            eventful();
+    public void setTimer(Duration delay, Object timerTarget) {
+        loop.schedule(delay, () -> {
+            dispatcher.onTimer(loop.now(), timerTarget);
+            markEvents();
         });
     }
 
     @Override
-    public void subscribe(boolean on) {
-        acts.add(on ? discovery::watch : discovery::unwatch);
+    public void subscribe(boolean enabled) {
+        plannedActions.add(enabled ? discovery::watch : discovery::unwatch);
     }
 
     @Override
     public void requestRunnerList() {
-        acts.add(() -> discovery.read(came -> {
-            if (!came) {
-                listFailed();
+        plannedActions.add(() -> discovery.read(received -> {
+            if (!received) {
+                runnerListFailed();
             }
         }));
     }
 
     @Override
     public void closeIdleConnections(Runner runner) {
-        acts.add(() -> {
-            Target target = fleet.of(runner);
-            if (target != null) {
-                target.pool.closeIdle();
+        plannedActions.add(() -> {
+            RunnerEndpoint endpoint = registry.endpointOf(runner);
+            if (endpoint != null) {
+                endpoint.pool.closeIdle();
             }
         });
     }
 
     @Override
-    public void sendToPeer(int number, String message) {
-        // The protocol on sockets carries no messages between dispatchers.
+    public void sendToPeer(int dispatcher, String message) {
+        // The network protocol has no messages between dispatchers.
     }
 
     @Override
--- a/daemon/src/main/java/saltdale/sim/SimHost.java
+++ b/daemon/src/main/java/saltdale/sim/SimHost.java
@@ -20,8 +20,8 @@
 import saltdale.settings.MalformedInputException;
 
 /**
- * Hosts many dispatchers on the simulator's wire (lichen-4646): one batch a line on the input, one reply a
- * line on the output. The instances share the streams and nothing else.
+ * Hosts many dispatchers on the protocol of the simulator (lichen-4646): each line of the input is a batch of events,
+ * each line of the output the reply to a batch. The dispatchers share nothing but the two streams.
  */
 public final class SimHost {
     private final BufferedReader in;
@@ -29,79 +29,81 @@
     private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
     private final ObjectMapper mapper = new ObjectMapper();
     private final JsonFactory factory = mapper.getFactory();
-    private final Map<Long, Instance> instances = new LinkedHashMap<>();
+    private final Map<Long, SimulatedDispatcher> dispatchers = new LinkedHashMap<>();
 
+    /** Creates a host that reads batches from {@code in} and writes replies to {@code out}. */
     public SimHost(InputStream in, OutputStream out) {
         this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
         this.out = out;
     }
 
-    /** Answers batches until the input ends. */
+    /** Replies to batches until the input ends. */
     public void run() throws IOException {
         for (String line = in.readLine(); line != null; line = in.readLine()) {
             if (!line.isBlank()) {
-                answer(line);
+                reply(line);
             }
         }
     }
 
-    private void answer(String line) throws IOException {
+    private void reply(String line) throws IOException {
         JsonNode batch;
         try {
             batch = mapper.readTree(line);
         } catch (JsonProcessingException e) {
-            throw new MalformedInputException("a line is no JSON value: " + e.getOriginalMessage());
+            throw new MalformedInputException("input line is not a JSON value: " + e.getOriginalMessage());
         }
         JsonNode now = batch.get("Now");
         JsonNode events = batch.get("in");
         if (now == null || !now.isIntegralNumber() || events == null || !events.isArray()) {
-            throw new MalformedInputException("a line is no batch: it needs a whole number Now and an array in");
+            throw new MalformedInputException("input line is not a batch: it needs an integer Now and an array in");
         }
-        buffer.reset(); // a reply goes out whole or, after malformed input, not at all
-        try (JsonGenerator reply = factory.createGenerator(buffer)) {
-            reply.writeStartObject();
-            reply.writeArrayFieldStart("output");
-            Set<Instance> touched = new LinkedHashSet<>();
+        buffer.reset(); // a reply is written as a whole or, after malformed input, not at all
+        try (JsonGenerator output = factory.createGenerator(buffer)) {
+            output.writeStartObject();
+            output.writeArrayFieldStart("output");
+            Set<SimulatedDispatcher> active = new LinkedHashSet<>();
             for (JsonNode event : events) {
-                handle(event, now.longValue(), reply, touched);
+                handle(event, now.longValue(), output, active);
             }
-            for (Instance instance : touched) {
-                instance.settle();
+            for (SimulatedDispatcher dispatcher : active) {
+                dispatcher.endBatch();
             }
-            reply.writeEndArray();
-            reply.writeEndObject();
-            reply.writeRaw('\n');
+            output.writeEndArray();
+            output.writeEndObject();
+            output.writeRaw('\n');
         }
         buffer.writeTo(out);
         out.flush();
     }
 
-    private void handle(JsonNode event, long now, JsonGenerator reply, Set<Instance> touched) throws IOException {
+    private void handle(JsonNode event, long now, JsonGenerator output, Set<SimulatedDispatcher> active)
+            throws IOException {
         if (!event.isArray() || event.isEmpty() || !event.get(0).isTextual()) {
-            throw new MalformedInputException("an event is no array that begins with its name");
+            throw new MalformedInputException("event is not an array that starts with its name");
         }
         String name = event.get(0).textValue();
         JsonFields fields = new JsonFields(name, event);
-        if (!Instance.EVENTS.contains(name)) {
-            throw new MalformedInputException(name + ": no event has this name");
+        if (!SimulatedDispatcher.EVENT_NAMES.contains(name)) {
+            throw new MalformedInputException(name + ": unknown event name");
         }
-        long who = fields.integer(1, "Who");
-        Instance instance = instances.get(who);
+        long id = fields.integer(1, "Who");
+        SimulatedDispatcher dispatcher = dispatchers.get(id);
         if (name.equals("PowerOn")) {
-            if (instance != null) {
-                touched.remove(instance);
+            if (dispatcher != null) {
+                active.remove(dispatcher);
             }
-            instance = new Instance(who, now, fields);
-            instances.put(who, instance);
-        } else if (instance == null) {
-            throw new MalformedInputException(name + ": Who names an instance that is not running: " + who);
+            dispatcher = new SimulatedDispatcher(id, now, fields);
+            dispatchers.put(id, dispatcher);
+        } else if (dispatcher == null) {
+            throw new MalformedInputException(name + ": Who is not a running dispatcher: " + id);
         } else if (name.equals("PowerOff")) {
-            instances.remove(who);
-            touched.remove(instance);
+            dispatchers.remove(id);
+            active.remove(dispatcher);
             return;
         }
-        instance.at(now, reply);
-        instance.handle(name, fields);
-        touched.add(instance);
+        dispatcher.beginEvent(now, output);
+        dispatcher.handle(name, fields);
+        active.add(dispatcher);
     }
 }
--- a/daemon/src/test/java/saltdale/routing/RouterTest.java
+++ b/daemon/src/test/java/saltdale/routing/RouterTest.java
@@ -29,68 +29,71 @@
 import saltdale.transport.Listener;
 import saltdale.transport.SocketBudget;
 
-/** The loop is turned by the tests themselves; clients, the runner and discovery are plain channels. */
+/**
+ * Tests a router over real sockets. The tests run the event loop themselves; the clients, the runner and the discovery
+ * service are plain channels.
+ */
 @Timeout(20)
 class RouterTest {
     private static final String ACCEPTED = "HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n";
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-    private static final String NO_ANSWER = "(none)";
+    private static final String NO_RESPONSE = "(none)";
 
-    private final DispatcherSettings orders = new DispatcherSettings();
+    private final DispatcherSettings settings = new DispatcherSettings();
     private final Workload workload = new Workload();
-    private final List<AutoCloseable> open = new ArrayList<>();
-    private int mostSockets = 100;
+    private final List<AutoCloseable> resources = new ArrayList<>();
+    private int socketLimit = 100;
     private EventLoop loop;
     private Router router;
     private InetSocketAddress address;
     private ServerSocketChannel runner;
     private ServerSocketChannel discovery;
 
-    /** The other side of a connection, and what has come from it. */
+    /** The remote end of a connection to or from the router, with the text received on it. */
     private final class Peer {
         final SocketChannel channel;
-        String heard = "";
-        boolean ended;
+        String received = "";
+        boolean closed;
 
         Peer(SocketChannel channel) throws IOException {
             this.channel = channel;
             channel.configureBlocking(false);
-            open.add(channel);
+            resources.add(channel);
         }
 
-        Peer says(String text) throws IOException {
+        Peer send(String text) throws IOException {
             channel.write(ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1)));
             return this;
         }
 
-        private void listen() {
+        private void readAvailable() {
             ByteBuffer bytes = ByteBuffer.allocate(4096);
             try {
                 int count = channel.read(bytes);
-                ended |= count < 0;
-                heard += count > 0 ? new String(bytes.array(), 0, count, StandardCharsets.ISO_8859_1) : "";
+                closed |= count < 0;
+                received += count > 0 ? new String(bytes.array(), 0, count, StandardCharsets.ISO_8859_1) : "";
             } catch (IOException e) {
-                ended = true;
+                closed = true;
             }
         }
 
-        /** Turns the loop until this text has come; what came up to it is forgotten and handed back. */
-        String hears(String text) throws IOException {
-            until(() -> {
-                listen();
-                assertFalse(ended && !heard.contains(text), heard);
-                return heard.contains(text);
+        /** Runs the loop until this text has been received; removes and returns the received text up to its end. */
+        String await(String text) throws IOException {
+            runUntil(() -> {
+                readAvailable();
+                assertFalse(closed && !received.contains(text), received);
+                return received.contains(text);
             });
-            int end = heard.indexOf(text) + text.length();
-            String all = heard.substring(0, end);
-            heard = heard.substring(end);
-            return all;
+            int end = received.indexOf(text) + text.length();
+            String consumed = received.substring(0, end);
+            received = received.substring(end);
+            return consumed;
         }
 
-        void hearsTheEnd() throws IOException {
-            until(() -> {
-                listen();
-                return ended;
+        void awaitClose() throws IOException {
+            runUntil(() -> {
+                readAvailable();
+                return closed;
             });
         }
     }
@@ -100,68 +103,71 @@
         workload.name = "w";
         workload.targetLatency = Duration.ofSeconds(10);
         workload.clientTimeout = Duration.ofSeconds(60);
-        orders.workloads.add(workload);
-        orders.mayProbe = false;
-        orders.maxAttempts = 1;
-        orders.connectTimeout = Duration.ofMillis(500);
-        runner = server();
-        discovery = server();
+        settings.workloads.add(workload);
+        settings.mayProbe = false;
+        settings.maxAttempts = 1;
+        settings.connectTimeout = Duration.ofMillis(500);
+        runner = listeningChannel();
+        discovery = listeningChannel();
         loop = new EventLoop();
-        open.add(() -> loop.stop());
+        resources.add(() -> loop.stop());
     }
 
     @AfterEach
     void close() throws Exception {
-        for (AutoCloseable each : open) {
-            each.close();
+        for (AutoCloseable resource : resources) {
+            resource.close();
         }
     }
 
-    private ServerSocketChannel server() throws IOException {
+    private ServerSocketChannel listeningChannel() throws IOException {
         ServerSocketChannel server = ServerSocketChannel.open();
         server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         server.configureBlocking(false);
-        open.add(server);
+        resources.add(server);
         return server;
     }
 
-    private static String at(ServerSocketChannel server) throws IOException {
+    private static String addressOf(ServerSocketChannel server) throws IOException {
         return "127.0.0.1:" + ((InetSocketAddress) server.getLocalAddress()).getPort();
     }
 
-    /** Begins with one runner in the list. */
-    private void begin() throws IOException {
-        SocketBudget sockets = new SocketBudget(loop, mostSockets);
+    /** Starts the router with one runner in the list. */
+    private void startRouter() throws IOException {
+        SocketBudget sockets = new SocketBudget(loop, socketLimit);
         router = new Router(
                 loop,
                 sockets,
-                orders,
+                settings,
                 Duration.ofSeconds(30),
                 (InetSocketAddress) discovery.getLocalAddress(),
                 0,
                 new SplittableRandom(1));
         address = new Listener(
-                        loop, sockets, new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), router::accepted)
+                        loop,
+                        sockets,
+                        new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                        router::connectionAccepted)
                 .localAddress();
-        router.begin(list(7, true, host("s-1", at(runner), "up")));
+        router.start(list(7, true, hostJson("s-1", addressOf(runner), "up")));
     }
 
-    private static String host(String name, String dial, String health) {
-        return "{\"host\":\"" + name + "\",\"dial\":\"" + dial + "\",\"health\":\"" + health + "\"}";
+    private static String hostJson(String name, String address, String health) {
+        return "{\"host\":\"" + name + "\",\"dial\":\"" + address + "\",\"health\":\"" + health + "\"}";
     }
 
-    private static String text(long seq, boolean whole, String... hosts) {
-        return "{\"seq\":" + seq + ",\"whole\":" + whole + ",\"hosts\":[" + String.join(",", hosts) + "]}";
+    private static String listJson(long seq, boolean complete, String... hosts) {
+        return "{\"seq\":" + seq + ",\"whole\":" + complete + ",\"hosts\":[" + String.join(",", hosts) + "]}";
     }
 
-    private static HostListUpdate list(long seq, boolean whole, String... hosts) {
-        return HostListUpdate.parse(text(seq, whole, hosts).getBytes(StandardCharsets.UTF_8));
+    private static HostListUpdate list(long seq, boolean complete, String... hosts) {
+        return HostListUpdate.parse(listJson(seq, complete, hosts).getBytes(StandardCharsets.UTF_8));
     }
 
-    private void until(BooleanSupplier reached) throws IOException {
-        while (!reached.getAsBoolean()) {
+    private void runUntil(BooleanSupplier condition) throws IOException {
+        while (!condition.getAsBoolean()) {
             loop.schedule(Duration.ofMillis(2), () -> {});
-            loop.runOnce(router::turnEnd);
+            loop.runOnce(router::endRound);
         }
     }
 
@@ -169,9 +175,9 @@
         return new Peer(SocketChannel.open(address));
     }
 
-    private Peer accepts(ServerSocketChannel server) throws IOException {
+    private Peer awaitConnection(ServerSocketChannel server) throws IOException {
         SocketChannel[] accepted = new SocketChannel[1];
-        until(() -> {
+        runUntil(() -> {
             try {
                 accepted[0] = server.accept();
                 return accepted[0] != null;
@@ -182,287 +188,291 @@
         return new Peer(accepted[0]);
     }
 
-    /** The connection on which the runner gets the next job, all of which has come. */
-    private Peer dispatched() throws IOException {
-        Peer peer = accepts(runner);
-        peer.hears("\r\n\r\nbody");
+    /** Returns the connection on which the runner receives the next job, after the whole job has been received. */
+    private Peer awaitJob() throws IOException {
+        Peer peer = awaitConnection(runner);
+        peer.await("\r\n\r\nbody");
         return peer;
     }
 
-    private static String post(String path, String id, String more, String body) {
-        return "POST " + path + " HTTP/1.1\r\nRequest-Id: " + id + "\r\nRequest-Timeout-Ms: 50000\r\n" + more
+    private static String post(String path, String id, String headerLines, String body) {
+        return "POST " + path + " HTTP/1.1\r\nRequest-Id: " + id + "\r\nRequest-Timeout-Ms: 50000\r\n" + headerLines
                 + "Content-Length: " + body.length() + "\r\n\r\n" + body;
     }
 
-    private static String job(String id) {
+    private static String jobRequest(String id) {
         return post("/w/k", id, "", "body");
     }
 
-    private static String news(String id, String from, String state) {
+    private static String jobUpdate(String id, String runnerName, String state) {
         return post(
                 "/_jobs/news",
                 "x",
                 "",
-                "{\"id\":\"" + id + "\",\"from\":\"" + from + "\",\"state\":\"" + state + "\",\"result\":\"made\"}");
-    }
-
-    /** What a client is answered where the runner answers so to the dispatch, and calls back so after its 202. */
-    private String answered(String toDispatch, String state) throws IOException {
-        Peer client = client().says(job("a"));
-        Peer dispatched = dispatched();
-        if (toDispatch.equals(NO_ANSWER)) {
-            dispatched.channel.close();
+                "{\"id\":\"" + id + "\",\"from\":\"" + runnerName + "\",\"state\":\"" + state
+                        + "\",\"result\":\"made\"}");
+    }
+
+    /**
+     * Returns the status that a client receives if the runner gives this response to the attempt and, unless
+     * {@code state} is null, then sends a job update with this state.
+     */
+    private String statusFor(String runnerResponse, String state) throws IOException {
+        Peer client = client().send(jobRequest("a"));
+        Peer runnerConnection = awaitJob();
+        if (runnerResponse.equals(NO_RESPONSE)) {
+            runnerConnection.channel.close();
         } else {
-            dispatched.says(toDispatch);
+            runnerConnection.send(runnerResponse);
         }
         if (state != null) {
-            client().says(news("a", "s-1", state)).hears("204");
+            client().send(jobUpdate("a", "s-1", state)).await("204");
         }
-        return client.hears("\r\n\r\n").substring(9, 12);
+        return client.await("\r\n\r\n").substring(9, 12);
     }
 
-    // The life of a request.
+    // Requests from arrival to response.
 
     @Test
-    void aJobIsDispatchedAsItCameAndItsResultIsTheAnswer() throws IOException {
-        begin();
-        assertTrue(client().says("GET /up HTTP/1.1\r\n\r\n").hears("\r\n\r\n").startsWith("HTTP/1.1 200"));
-        Peer client = client().says(post("/w/k?q=1", "a", "Idempotency-Key: i\r\n", "body"));
-        Peer dispatched = accepts(runner);
-        String sent = dispatched.hears("\r\n\r\nbody");
+    void forwardsAJobUnchangedAndRespondsWithItsResult() throws IOException {
+        startRouter();
+        assertTrue(client().send("GET /up HTTP/1.1\r\n\r\n").await("\r\n\r\n").startsWith("HTTP/1.1 200"));
+        Peer client = client().send(post("/w/k?q=1", "a", "Idempotency-Key: i\r\n", "body"));
+        Peer runnerConnection = awaitConnection(runner);
+        String sent = runnerConnection.await("\r\n\r\nbody");
         assertTrue(sent.startsWith("POST /w/k?q=1 HTTP/1.1\r\nRequest-Id: a\r\nIdempotency-Key: i\r\n"), sent);
-        dispatched.says(ACCEPTED);
-        client().says(news("a", "s-1", "started"))
-                .says(news("a", "s-1", "done"))
-                .hears("204");
-        assertTrue(client.hears("\r\n\r\nmade").startsWith("HTTP/1.1 200"));
-        assertTrue(router.counted().contains("assignments_held 0"), router.counted());
-        assertFalse(router.counted().contains("preview_"), router.counted());
-        router.preview(new DispatcherSettings());
-        client().says("GET /counters HTTP/1.1\r\n\r\n").hears("preview_shed_differs 0");
-        client.says(job("b"));
-        assertTrue(dispatched.hears("\r\n\r\nbody").contains("Request-Id: b"), "the connection is used again");
+        runnerConnection.send(ACCEPTED);
+        client().send(jobUpdate("a", "s-1", "started"))
+                .send(jobUpdate("a", "s-1", "done"))
+                .await("204");
+        assertTrue(client.await("\r\n\r\nmade").startsWith("HTTP/1.1 200"));
+        assertTrue(router.metrics().contains("assignments_held 0"), router.metrics());
+        assertFalse(router.metrics().contains("preview_"), router.metrics());
+        router.enablePreview(new DispatcherSettings());
+        client().send("GET /counters HTTP/1.1\r\n\r\n").await("preview_shed_differs 0");
+        client.send(jobRequest("b"));
+        assertTrue(runnerConnection.await("\r\n\r\nbody").contains("Request-Id: b"), "the connection is reused");
     }
 
     @Test
-    void theFiguresOfARequestReachTheDecisions() throws IOException {
-        workload.latencyStretch = 1; // what is hinted to run beyond its promised time would be shed at once
-        begin();
-        client().says(post("/w/k", "a", "Work-Hint: 1500\r\n", "body"));
-        accepts(runner);
-        assertEquals(Duration.ofNanos(1_500_000), router.held("a").assignment.runTimeHint);
-        client().says(post("/w/k", "b", "Request-Info: slots=2,memory=3,new=x\r\nClient-Retry: 1\r\n", "body"));
-        until(() -> router.held("b") != null);
-        client().says(post("/w/k", "c", "Request-Info: slots=NaN,memory=-1\r\nWork-Hint: 999999999999\r\n", "body"));
-        until(() -> router.held("c") != null);
-        assertEquals(1, router.held("c").assignment.slots);
-        assertEquals(0, router.held("c").assignment.memory);
-        assertEquals(workload.clientTimeout, router.held("c").assignment.runTimeHint);
-        client().says(post("/w/k", "d", "", "body").replace("50000", "999999999"));
-        until(() -> router.held("d") != null);
-        assertEquals(workload.clientTimeout, router.held("d").assignment.clientTimeout());
-        assertEquals(2, router.held("b").assignment.slots);
-        assertEquals(3, router.held("b").assignment.memory);
-        assertTrue(router.held("b").assignment.markedAsRetry);
+    void passesTheRequestHeadersToTheDispatcher() throws IOException {
+        workload.latencyStretch = 1; // a request whose hint exceeds its target latency would be shed at once
+        startRouter();
+        client().send(post("/w/k", "a", "Work-Hint: 1500\r\n", "body"));
+        awaitConnection(runner);
+        assertEquals(Duration.ofNanos(1_500_000), router.pendingRequest("a").request.runTimeHint);
+        client().send(post("/w/k", "b", "Request-Info: slots=2,memory=3,new=x\r\nClient-Retry: 1\r\n", "body"));
+        runUntil(() -> router.pendingRequest("b") != null);
+        client().send(post("/w/k", "c", "Request-Info: slots=NaN,memory=-1\r\nWork-Hint: 999999999999\r\n", "body"));
+        runUntil(() -> router.pendingRequest("c") != null);
+        assertEquals(1, router.pendingRequest("c").request.slots);
+        assertEquals(0, router.pendingRequest("c").request.memory);
+        assertEquals(workload.clientTimeout, router.pendingRequest("c").request.runTimeHint);
+        client().send(post("/w/k", "d", "", "body").replace("50000", "999999999"));
+        runUntil(() -> router.pendingRequest("d") != null);
+        assertEquals(workload.clientTimeout, router.pendingRequest("d").request.clientTimeout());
+        assertEquals(2, router.pendingRequest("b").request.slots);
+        assertEquals(3, router.pendingRequest("b").request.memory);
+        assertTrue(router.pendingRequest("b").request.markedAsRetry);
     }
 
     @Test
-    void aJobIsProbedForWhereThatIsAllowed() throws IOException {
-        orders.mayProbe = true;
-        begin();
-        client().says(job("a"));
-        Peer probed = accepts(runner);
-        assertTrue(probed.hears("\r\n\r\n").startsWith("GET /metrics/load"));
-        probed.says("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\ndepth=0");
-        assertTrue(probed.hears("\r\n\r\nbody").startsWith("POST /w/k"));
-        probed.says(ACCEPTED);
-        client().says(news("a", "s-1", "done")).hears("204");
-        client().says(job("b"));
-        probed.hears("\r\n\r\n");
-        probed.channel.close(); // a kept connection that is reset tells nothing of the runner
-        String first = accepts(runner).hears("\r\n\r\n"); // the job itself, where that took longer than a probe may
-        assertTrue(
-                (first.startsWith("GET") ? first : accepts(runner).hears("\r\n\r\n")).startsWith("GET /metrics/load"));
+    void probesBeforeDispatchingIfProbesAreEnabled() throws IOException {
+        settings.mayProbe = true;
+        startRouter();
+        client().send(jobRequest("a"));
+        Peer probed = awaitConnection(runner);
+        assertTrue(probed.await("\r\n\r\n").startsWith("GET /metrics/load"));
+        probed.send("HTTP/1.1 200 OK\r\nContent-Length: 7\r\n\r\ndepth=0");
+        assertTrue(probed.await("\r\n\r\nbody").startsWith("POST /w/k"));
+        probed.send(ACCEPTED);
+        client().send(jobUpdate("a", "s-1", "done")).await("204");
+        client().send(jobRequest("b"));
+        probed.await("\r\n\r\n");
+        probed.channel.close(); // the reset of a pooled connection says nothing about the runner
+        String first = awaitConnection(runner).await("\r\n\r\n"); // the job itself, if the probe timed out before
+        assertTrue((first.startsWith("GET") ? first : awaitConnection(runner).await("\r\n\r\n"))
+                .startsWith("GET /metrics/load"));
     }
 
     @Test
-    void outcomesFollowTheTable() throws IOException {
-        workload.repeatSafety = Workload.RepeatSafety.EFFECTFUL; // shed where it never ran, given up where it may have
-        String accepted = ACCEPTED.replace("Content", "Connection: close\r\nContent");
-        begin();
-        assertEquals("200", answered(accepted, "done"));
-        assertEquals("502", answered(accepted, "failed"));
-        assertEquals("503", answered(accepted, "returned"));
-        assertEquals("502", answered(accepted, "lost"));
+    void mapsJobUpdatesToClientStatuses() throws IOException {
+        workload.repeatSafety = Workload.RepeatSafety.EFFECTFUL; // shed if it never ran, given up if it may have run
+        String acceptedAndClosed = ACCEPTED.replace("Content", "Connection: close\r\nContent");
+        startRouter();
+        assertEquals("200", statusFor(acceptedAndClosed, "done"));
+        assertEquals("502", statusFor(acceptedAndClosed, "failed"));
+        assertEquals("503", statusFor(acceptedAndClosed, "returned"));
+        assertEquals("502", statusFor(acceptedAndClosed, "lost"));
     }
 
     @Test
-    void answersOtherThanTakenFollowTheTable() throws IOException {
+    void mapsRunnerResponsesToClientStatuses() throws IOException {
         workload.repeatSafety = Workload.RepeatSafety.EFFECTFUL;
-        String end = "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-        begin();
-        assertEquals("502", answered("HTTP/1.1 500 Error" + end, null));
-        assertEquals("502", answered("HTTP/1.1 503 Full" + end, null));
-        assertEquals("503", answered("HTTP/1.1 503 Full\r\nNot-Started: 1" + end, null));
-        assertEquals("503", answered("HTTP/1.1 504 Late\r\nNot-Started: 1" + end, null));
-        assertEquals("502", answered("HTTP/1.1 404 Odd" + end, null));
-        assertEquals("502", answered("nonsense\r\n\r\n", null));
-        assertEquals("502", answered(NO_ANSWER, null));
+        String headersAndEnd = "\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+        startRouter();
+        assertEquals("502", statusFor("HTTP/1.1 500 Error" + headersAndEnd, null));
+        assertEquals("502", statusFor("HTTP/1.1 503 Full" + headersAndEnd, null));
+        assertEquals("503", statusFor("HTTP/1.1 503 Full\r\nNot-Started: 1" + headersAndEnd, null));
+        assertEquals("503", statusFor("HTTP/1.1 504 Late\r\nNot-Started: 1" + headersAndEnd, null));
+        assertEquals("502", statusFor("HTTP/1.1 404 Odd" + headersAndEnd, null));
+        assertEquals("502", statusFor("nonsense\r\n\r\n", null));
+        assertEquals("502", statusFor(NO_RESPONSE, null));
     }
 
     @Test
-    void aRefusedConnectionMeansNeverRun() throws IOException {
+    void aRefusedConnectionProvesThatTheJobNeverRan() throws IOException {
         workload.repeatSafety = Workload.RepeatSafety.EFFECTFUL;
-        begin();
+        startRouter();
         runner.close();
-        assertTrue(client().says(job("a")).hears("\r\n\r\n").startsWith("HTTP/1.1 503"));
+        assertTrue(client().send(jobRequest("a")).await("\r\n\r\n").startsWith("HTTP/1.1 503"));
     }
 
-    // Call-backs.
+    // Job updates.
 
     @Test
-    void callBacksAreMatchedByTheirRunnerAndActedOnOnce() throws IOException {
-        begin();
-        Peer client = client().says(job("a"));
-        Peer dispatched = dispatched();
-        Peer caller = client();
-        caller.says(news("a", "s-2", "done")).hears("204");
-        caller.says(news("unknown", "s-1", "done")).hears("204");
-        caller.says(news("a", "s-1", "done")).hears("204"); // before the 202
-        client.hears("\r\n\r\nmade");
-        dispatched.says(ACCEPTED);
-        caller.says(news("a", "s-1", "done")).hears("204");
-        assertTrue(router.counted().contains("call_backs_unmatched 3"), router.counted());
-        assertEquals("", client.heard);
+    void matchesJobUpdatesByRunnerAndAppliesThemOnce() throws IOException {
+        startRouter();
+        Peer client = client().send(jobRequest("a"));
+        Peer runnerConnection = awaitJob();
+        Peer updates = client();
+        updates.send(jobUpdate("a", "s-2", "done")).await("204");
+        updates.send(jobUpdate("unknown", "s-1", "done")).await("204");
+        updates.send(jobUpdate("a", "s-1", "done")).await("204"); // arrives before the 202
+        client.await("\r\n\r\nmade");
+        runnerConnection.send(ACCEPTED);
+        updates.send(jobUpdate("a", "s-1", "done")).await("204");
+        assertTrue(router.metrics().contains("call_backs_unmatched 3"), router.metrics());
+        assertEquals("", client.received);
     }
 
     @Test
-    void aStartThatIsToldTwiceStandsAsItWasFirstTold() throws IOException {
-        begin();
-        client().says(job("a"));
-        dispatched();
-        Peer caller = client();
-        caller.says(news("a", "s-1", "started")).hears("204");
-        Duration told = router.held("a").sendings.get(0).dispatch.startedAt;
-        caller.says(news("a", "s-1", "started")).hears("204");
-        assertEquals(told, router.held("a").sendings.get(0).dispatch.startedAt);
+    void aRepeatedStartUpdateKeepsTheFirstStartTime() throws IOException {
+        startRouter();
+        client().send(jobRequest("a"));
+        awaitJob();
+        Peer updates = client();
+        updates.send(jobUpdate("a", "s-1", "started")).await("204");
+        Duration firstStartedAt = router.pendingRequest("a").attempts.get(0).attempt.startedAt;
+        updates.send(jobUpdate("a", "s-1", "started")).await("204");
+        assertEquals(firstStartedAt, router.pendingRequest("a").attempts.get(0).attempt.startedAt);
     }
 
     @Test
-    void malformedCallBacksAreTurnedDown() throws IOException {
-        begin();
-        assertTrue(client().says(post("/_jobs/news", "x", "", "{\"id\":1}"))
-                .hears("\r\n\r\n")
+    void rejectsMalformedJobUpdates() throws IOException {
+        startRouter();
+        assertTrue(client().send(post("/_jobs/news", "x", "", "{\"id\":1}"))
+                .await("\r\n\r\n")
                 .contains(" 400 "));
-        assertTrue(router.counted().contains("bad_call_backs 1"));
+        assertTrue(router.metrics().contains("bad_call_backs 1"));
     }
 
-    // Giving up.
+    // Cancellation.
 
     @Test
-    void aJobWhoseClientHasGoneIsTakenBack() throws IOException {
-        begin();
-        Peer client = client().says(job("a"));
-        Peer dispatched = dispatched();
-        dispatched.says(ACCEPTED);
-        client().says(news("a", "s-1", "started")).hears("204");
+    void cancelsTheJobOfADisconnectedClient() throws IOException {
+        startRouter();
+        Peer client = client().send(jobRequest("a"));
+        Peer runnerConnection = awaitJob();
+        runnerConnection.send(ACCEPTED);
+        client().send(jobUpdate("a", "s-1", "started")).await("204");
         client.channel.close();
-        dispatched.hears("DELETE /jobs/a HTTP/1.1");
-        dispatched.says(OK);
-        until(() -> router.counted().contains("assignments_held 0"));
+        runnerConnection.await("DELETE /jobs/a HTTP/1.1");
+        runnerConnection.send(OK);
+        runUntil(() -> router.metrics().contains("assignments_held 0"));
     }
 
     @Test
-    void beforeThe202TheConnectionIsClosed() throws IOException {
-        begin();
-        Peer client = client().says(job("a"));
-        Peer dispatched = dispatched();
+    void closesTheConnectionToCancelBeforeThe202() throws IOException {
+        startRouter();
+        Peer client = client().send(jobRequest("a"));
+        Peer runnerConnection = awaitJob();
         client.channel.close();
-        dispatched.hearsTheEnd();
-        until(() -> router.counted().contains("ended_cancelled 1"));
+        runnerConnection.awaitClose();
+        runUntil(() -> router.metrics().contains("ended_cancelled 1"));
     }
 
-    /** A dispatch that this runner's connection has taken, and has been told to take back. */
-    private Sending takenBack(Peer client, Peer[] dispatched) throws IOException {
-        client.says(job("a"));
-        dispatched[0] = dispatched();
-        dispatched[0].says(ACCEPTED);
-        Sending sending = router.held("a").sendings.get(0);
-        until(sending::isTaken);
-        sending.stop(Outcome.CANCELLED);
-        return sending;
+    /** Returns an attempt that the runner has accepted on {@code runnerConnection[0]} and that is being cancelled. */
+    private OutgoingAttempt cancelAfterAccept(Peer client, Peer[] runnerConnection) throws IOException {
+        client.send(jobRequest("a"));
+        runnerConnection[0] = awaitJob();
+        runnerConnection[0].send(ACCEPTED);
+        OutgoingAttempt attempt = router.pendingRequest("a").attempts.get(0);
+        runUntil(attempt::isAccepted);
+        attempt.stop(Outcome.CANCELLED);
+        return attempt;
     }
 
     @Test
-    void aDispatchThatIsTakenBackEndsWhenThatIsAnswered() throws IOException {
-        begin();
-        Peer[] dispatched = new Peer[1];
-        Sending sending = takenBack(client(), dispatched);
-        dispatched[0].hears("DELETE /jobs/a");
-        assertFalse(sending.isOver(), "another dispatch would be a second copy");
-        dispatched[0].says(OK);
-        until(sending::isOver);
-        assertEquals(Outcome.CANCELLED, sending.dispatch.outcome);
+    void aCancelledAttemptEndsWhenTheCancellationIsAnswered() throws IOException {
+        startRouter();
+        Peer[] runnerConnection = new Peer[1];
+        OutgoingAttempt attempt = cancelAfterAccept(client(), runnerConnection);
+        runnerConnection[0].await("DELETE /jobs/a");
+        assertFalse(attempt.isFinished(), "another attempt could run as a second copy of the job");
+        runnerConnection[0].send(OK);
+        runUntil(attempt::isFinished);
+        assertEquals(Outcome.CANCELLED, attempt.attempt.outcome);
     }
 
     @Test
-    void aWordThatMetAResetIsSentAgainBeforeTheDispatchEnds() throws IOException {
-        begin();
-        Peer[] dispatched = new Peer[1];
-        Sending sending = takenBack(client(), dispatched);
-        dispatched[0].hears("DELETE /jobs/a");
-        dispatched[0].channel.setOption(StandardSocketOptions.SO_LINGER, 0);
-        dispatched[0].channel.close();
-        Peer second = accepts(runner);
-        second.hears("DELETE /jobs/a");
-        assertFalse(sending.isOver(), "the first word may never have come");
-        second.says(OK);
-        until(sending::isOver);
+    void resendsACancellationWhoseConnectionWasReset() throws IOException {
+        startRouter();
+        Peer[] runnerConnection = new Peer[1];
+        OutgoingAttempt attempt = cancelAfterAccept(client(), runnerConnection);
+        runnerConnection[0].await("DELETE /jobs/a");
+        runnerConnection[0].channel.setOption(StandardSocketOptions.SO_LINGER, 0);
+        runnerConnection[0].channel.close();
+        Peer second = awaitConnection(runner);
+        second.await("DELETE /jobs/a");
+        assertFalse(attempt.isFinished(), "the first cancellation may not have arrived");
+        second.send(OK);
+        runUntil(attempt::isFinished);
     }
 
     @Test
-    void theConnectionOfAJobIsKeptForTakingItBack() throws IOException {
-        begin();
-        orders.maxAttempts = 2;
-        client().says(job("a"));
-        Peer first = dispatched();
-        first.says(ACCEPTED);
-        until(router.held("a").sendings.get(0)::isTaken);
-        client().says(job("b"));
-        dispatched();
-        router.held("a").sendings.get(0).stop(Outcome.CANCELLED);
-        first.hears("DELETE /jobs/a");
+    void retainsTheConnectionOfAJobForItsCancellation() throws IOException {
+        startRouter();
+        settings.maxAttempts = 2;
+        client().send(jobRequest("a"));
+        Peer first = awaitJob();
+        first.send(ACCEPTED);
+        runUntil(router.pendingRequest("a").attempts.get(0)::isAccepted);
+        client().send(jobRequest("b"));
+        awaitJob();
+        router.pendingRequest("a").attempts.get(0).stop(Outcome.CANCELLED);
+        first.await("DELETE /jobs/a");
     }
 
     @Test
-    void aStartThatOvertookThe202IsTakenBackByName() throws IOException {
-        begin();
-        client().says(job("a"));
-        Peer dispatched = dispatched();
-        client().says(news("a", "s-1", "started")).hears("204");
-        Sending sending = router.held("a").sendings.get(0);
-        sending.stop(Outcome.CANCELLED);
-        Peer second = accepts(runner);
-        second.hears("DELETE /jobs/a");
-        assertFalse(sending.isOver(), "closing the connection may come too late to give it up");
-        second.says(OK);
-        until(sending::isOver);
+    void cancelsByIdIfTheStartUpdateArrivesBeforeThe202() throws IOException {
+        startRouter();
+        client().send(jobRequest("a"));
+        Peer runnerConnection = awaitJob();
+        client().send(jobUpdate("a", "s-1", "started")).await("204");
+        OutgoingAttempt attempt = router.pendingRequest("a").attempts.get(0);
+        attempt.stop(Outcome.CANCELLED);
+        Peer second = awaitConnection(runner);
+        second.await("DELETE /jobs/a");
+        assertFalse(attempt.isFinished(), "closing the connection may be too late to stop the job");
+        second.send(OK);
+        runUntil(attempt::isFinished);
     }
 
     @Test
-    void aVanishedRunnerDoesNotHoldUpTheRest() throws IOException {
-        begin();
-        Sending sending = takenBack(client(), new Peer[1]);
-        until(sending::isOver); // though nobody answers
-        assertEquals(Outcome.CANCELLED, sending.dispatch.outcome);
+    void aCancellationEndsTheAttemptAlthoughTheRunnerDoesNotRespond() throws IOException {
+        startRouter();
+        OutgoingAttempt attempt = cancelAfterAccept(client(), new Peer[1]);
+        runUntil(attempt::isFinished); // although the runner does not respond
+        assertEquals(Outcome.CANCELLED, attempt.attempt.outcome);
     }
 
-    // Bad input, and the end.
+    // Invalid input, limits and shutdown.
 
     @Test
-    void badRequestsDoNotReachTheDecisions() throws IOException {
+    void rejectsInvalidRequestsBeforeTheDispatcher() throws IOException {
         workload.repeatSafety = Workload.RepeatSafety.RECEIPTED;
-        begin();
+        startRouter();
         String[][] cases = {
             {"nonsense\r\n\r\n", "400"},
             {"POST /w HTTP/1.1\r\nContent-Length: 70000\r\n\r\n", "413"},
@@ -482,183 +492,188 @@
             {post("/w", "a", "Request-Id: b\r\nIdempotency-Key: i\r\n", ""), "400"},
             {post("/w", "a", "Request-Timeout-Ms: 9\r\nIdempotency-Key: i\r\n", ""), "400"}
         };
-        for (String[] each : cases) {
-            assertEquals(each[1], client().says(each[0]).hears("\r\n\r\n").substring(9, 12), each[0]);
+        for (String[] inputAndStatus : cases) {
+            assertEquals(
+                    inputAndStatus[1],
+                    client().send(inputAndStatus[0]).await("\r\n\r\n").substring(9, 12),
+                    inputAndStatus[0]);
         }
-        assertTrue(router.counted().contains("assignments_taken 0"));
-        assertTrue(router.counted().contains("bad_requests " + cases.length), router.counted());
+        assertTrue(router.metrics().contains("assignments_taken 0"));
+        assertTrue(router.metrics().contains("bad_requests " + cases.length), router.metrics());
     }
 
     @Test
-    void everyClientGetsAnEndThoughItsRequestDoesNot() throws IOException {
-        begin();
-        Peer usual = client().says("GET /up HTTP/1.1\r\n\r\n");
+    void timesOutClientsWhoseRequestsNeverComplete() throws IOException {
+        startRouter();
+        Peer active = client().send("GET /up HTTP/1.1\r\n\r\n");
         Peer silent = client();
-        Peer drips = client();
-        Peer half = client().says(job("a").substring(0, 80));
-        Peer bodyless = client().says(post("/w/k", "b", "", "body").replace("Content-Length: 4", "Content-Length: 5"));
-        usual.hears("\r\n\r\n");
-        for (int i = 1; i < 24; i++) { // a byte each 100 ms
+        Peer dripping = client();
+        Peer partialHead = client().send(jobRequest("a").substring(0, 80));
+        Peer partialBody =
+                client().send(post("/w/k", "b", "", "body").replace("Content-Length: 4", "Content-Length: 5"));
+        active.await("\r\n\r\n");
+        for (int i = 1; i < 24; i++) { // one byte every 100 ms
             Duration next = Duration.ofMillis(100 * i);
-            until(() -> loop.now().compareTo(next) >= 0);
-            drips.says("x");
+            runUntil(() -> loop.now().compareTo(next) >= 0);
+            dripping.send("x");
         }
-        assertTrue(drips.hears("Connection: close").contains(" 408 "));
-        silent.hearsTheEnd();
-        assertTrue(half.hears("Connection: close").contains(" 408 "));
-        assertTrue(bodyless.hears("Connection: close").contains(" 408 "));
-        usual.says("GET /up HTTP/1.1\r\n\r\n").hears(" 200 ");
-        assertTrue(router.counted().contains("too_slow 4"), router.counted());
+        assertTrue(dripping.await("Connection: close").contains(" 408 "));
+        silent.awaitClose();
+        assertTrue(partialHead.await("Connection: close").contains(" 408 "));
+        assertTrue(partialBody.await("Connection: close").contains(" 408 "));
+        active.send("GET /up HTTP/1.1\r\n\r\n").await(" 200 ");
+        assertTrue(router.metrics().contains("too_slow 4"), router.metrics());
     }
 
     @Test
-    void theSameAgainAfterARefusalIsReadLater() throws IOException {
-        begin();
+    void delaysReadingAfterARejection() throws IOException {
+        startRouter();
         Peer client = client();
         for (int i = 0; i < 4; i++) {
-            client.says("GET /no HTTP/1.1\r\n\r\n").hears("\r\n\r\nno such workload");
+            client.send("GET /no HTTP/1.1\r\n\r\n").await("\r\n\r\nno such workload");
         }
-        assertTrue(loop.now().compareTo(Duration.ofMillis(10 + 20 + 40)) >= 0, "read at once");
-        client.says("GET /no HTTP/1.1\r\n\r\n".repeat(9)).hearsTheEnd();
-        assertEquals(1, client.heard.split(" 404 ", -1).length - 1);
+        assertTrue(
+                loop.now().compareTo(Duration.ofMillis(10 + 20 + 40)) >= 0, "the requests were read without a delay");
+        client.send("GET /no HTTP/1.1\r\n\r\n".repeat(9)).awaitClose();
+        assertEquals(1, client.received.split(" 404 ", -1).length - 1);
     }
 
     @Test
-    void aRunnerIsNotBlamedForDescriptorsThatWeLack() throws IOException {
-        mostSockets = 16;
-        begin();
-        accepts(discovery);
+    void aLackOfSocketsIsNotCountedAgainstTheRunner() throws IOException {
+        socketLimit = 16;
+        startRouter();
+        awaitConnection(discovery);
         List<Peer> clients = new ArrayList<>();
         for (int i = 0; i < 12; i++) {
-            clients.add(client().says("GET /up HTTP/1.1\r\n\r\n"));
-            clients.get(i).hears(" 200 ");
+            clients.add(client().send("GET /up HTTP/1.1\r\n\r\n"));
+            clients.get(i).await(" 200 ");
         }
-        for (int i = 0; i < 4; i++) { // three descriptors are left for dialling
-            clients.get(i).says(job("a" + i));
+        for (int i = 0; i < 4; i++) { // three sockets are left for outgoing connections
+            clients.get(i).send(jobRequest("a" + i));
         }
-        until(() -> router.counted().contains("ended_never_sent 1"));
-        assertFalse(router.counted().contains("ended_not_connected"), router.counted());
+        runUntil(() -> router.metrics().contains("ended_never_sent 1"));
+        assertFalse(router.metrics().contains("ended_not_connected"), router.metrics());
     }
 
     @Test
-    void manyRequestsBehindOneAnotherAreAnsweredInTurn() throws IOException {
-        begin();
-        Peer client = client().says("GET /up HTTP/1.1\r\n\r\n".repeat(2000) + "GET /last HTTP/1.1\r\n\r\n");
-        String all = client.hears(" 404 ");
-        assertEquals(2000, all.split(" 200 ", -1).length - 1);
+    void answersPipelinedRequestsInOrder() throws IOException {
+        startRouter();
+        Peer client = client().send("GET /up HTTP/1.1\r\n\r\n".repeat(2000) + "GET /last HTTP/1.1\r\n\r\n");
+        String responses = client.await(" 404 ");
+        assertEquals(2000, responses.split(" 200 ", -1).length - 1);
     }
 
     @Test
-    void anIdThatIsHeldIsNotTakenTwice() throws IOException {
-        begin();
-        client().says(job("a"));
-        dispatched();
-        assertEquals("409", client().says(job("a")).hears("\r\n\r\n").substring(9, 12));
+    void rejectsTheIdOfAPendingRequest() throws IOException {
+        startRouter();
+        client().send(jobRequest("a"));
+        awaitJob();
+        assertEquals("409", client().send(jobRequest("a")).await("\r\n\r\n").substring(9, 12));
     }
 
     @Test
-    void withoutSocketsForMoreClientsTheNextIsShedUnseen() throws IOException {
-        mostSockets = 16;
-        begin();
-        accepts(discovery);
-        for (int i = 0; i < 6; i++) { // two sockets each, beside the one to discovery
-            client().says(job("held" + i));
-            accepts(runner);
+    void shedsClientsOverTheSocketLimitBeforeTheDispatcher() throws IOException {
+        socketLimit = 16;
+        startRouter();
+        awaitConnection(discovery);
+        for (int i = 0; i < 6; i++) { // two sockets each, in addition to the one to discovery
+            client().send(jobRequest("held" + i));
+            awaitConnection(runner);
         }
-        Peer last = client().says(job("last"));
-        assertTrue(last.hears("Connection: close").contains(" 503 "));
-        assertTrue(router.counted().contains("turned_away_without_sockets 1"), router.counted());
+        Peer last = client().send(jobRequest("last"));
+        assertTrue(last.await("Connection: close").contains(" 503 "));
+        assertTrue(router.metrics().contains("turned_away_without_sockets 1"), router.metrics());
     }
 
     @Test
-    void toldToEndItAnswersWhatIsHeldAndStops() throws IOException {
-        workload.clientTimeout = Duration.ofMillis(300); // the longest that a client comes with
-        begin();
-        Peer client = client().says(job("a"));
-        Peer idle = client().says("GET /up HTTP/1.1\r\n\r\n");
-        idle.hears("\r\n\r\n");
-        dispatched();
-        router.end();
-        assertTrue(client().says("GET /up HTTP/1.1\r\n\r\n").hears("\r\n\r\n").contains(" 503 "));
-        Peer late = client().says(job("b"));
-        dispatched();
-        idle.says(job("c")); // on a connection that stands, while new ones don't come any more
-        dispatched().says(ACCEPTED);
-        client().says(news("c", "s-1", "done")).hears("204");
-        assertFalse(idle.hears("made").contains("Connection: close"));
-        assertTrue(client.hears("Connection: close").contains(" 503 "));
-        assertTrue(late.hears("Connection: close").contains(" 503 "));
+    void shutdownAnswersPendingRequestsAndStopsTheLoop() throws IOException {
+        workload.clientTimeout = Duration.ofMillis(300); // the longest client timeout
+        startRouter();
+        Peer client = client().send(jobRequest("a"));
+        Peer idle = client().send("GET /up HTTP/1.1\r\n\r\n");
+        idle.await("\r\n\r\n");
+        awaitJob();
+        router.beginShutdown();
+        assertTrue(client().send("GET /up HTTP/1.1\r\n\r\n").await("\r\n\r\n").contains(" 503 "));
+        Peer late = client().send(jobRequest("b"));
+        awaitJob();
+        idle.send(jobRequest("c")); // on an established connection, which is still served
+        awaitJob().send(ACCEPTED);
+        client().send(jobUpdate("c", "s-1", "done")).await("204");
+        assertFalse(idle.await("made").contains("Connection: close"));
+        assertTrue(client.await("Connection: close").contains(" 503 "));
+        assertTrue(late.await("Connection: close").contains(" 503 "));
         client.channel.close();
-        idle.hearsTheEnd();
-        until(() -> !loop.isRunning());
-        assertTrue(router.counted().contains("answered_shed 2"), router.counted());
+        idle.awaitClose();
+        runUntil(() -> !loop.isRunning());
+        assertTrue(router.metrics().contains("answered_shed 2"), router.metrics());
     }
 
     // Discovery.
 
     @Test
-    void theListIsReadAndThenWatchedFromItsVersion() throws IOException {
-        begin();
-        Peer lists = accepts(discovery);
-        assertTrue(lists.hears("\r\n\r\n").startsWith("GET /discovery/hosts HTTP/1.1"));
+    void readsTheRunnerListAndWatchesItFromItsVersion() throws IOException {
+        startRouter();
+        Peer listRequest = awaitConnection(discovery);
+        assertTrue(listRequest.await("\r\n\r\n").startsWith("GET /discovery/hosts HTTP/1.1"));
         String[] hosts = new String[2000]; // more than 64 KiB
         for (int i = 0; i < hosts.length; i++) {
-            hosts[i] = host("s-" + i, at(runner), "up");
+            hosts[i] = hostJson("s-" + i, addressOf(runner), "up");
         }
-        String whole = text(41, true, hosts);
-        lists.says("HTTP/1.1 200 OK\r\nContent-Length: " + whole.length() + "\r\n\r\n" + whole);
-        Peer watch = accepts(discovery);
-        assertTrue(watch.hears("\r\n\r\n").startsWith("GET /discovery/hosts?watch=1&from=41 "));
-        String change = text(43, false, host("s-1", at(runner), "draining")) + "\n";
-        watch.says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
+        String completeList = listJson(41, true, hosts);
+        listRequest.send("HTTP/1.1 200 OK\r\nContent-Length: " + completeList.length() + "\r\n\r\n" + completeList);
+        Peer watch = awaitConnection(discovery);
+        assertTrue(watch.await("\r\n\r\n").startsWith("GET /discovery/hosts?watch=1&from=41 "));
+        String change = listJson(43, false, hostJson("s-1", addressOf(runner), "draining")) + "\n";
+        watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
                 + Integer.toHexString(change.length()) + "\r\n" + change + "\r\n");
-        until(() -> router.counted().contains("lists 2"));
+        runUntil(() -> router.metrics().contains("lists 2"));
         watch.channel.close();
-        assertTrue(accepts(discovery).hears("\r\n\r\n").contains("from=43 "));
+        assertTrue(awaitConnection(discovery).await("\r\n\r\n").contains("from=43 "));
     }
 
     @Test
-    void aMalformedChangeIsCountedOnceAndTheWatchBegunAnew() throws IOException {
-        begin();
-        Peer lists = accepts(discovery);
-        lists.hears("\r\n\r\n");
-        String whole = text(41, true);
-        lists.says("HTTP/1.1 200 OK\r\nContent-Length: " + whole.length() + "\r\n\r\n" + whole);
-        Peer watch = accepts(discovery);
-        watch.hears("\r\n\r\n");
-        watch.says("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{}\n\r\n");
-        assertTrue(accepts(discovery).hears("\r\n\r\n").contains("from=41 "));
-        assertTrue(router.counted().contains("bad_lists 1\nwatches_broken 1"), router.counted());
+    void countsAMalformedChangeOnceAndRestartsTheWatch() throws IOException {
+        startRouter();
+        Peer listRequest = awaitConnection(discovery);
+        listRequest.await("\r\n\r\n");
+        String completeList = listJson(41, true);
+        listRequest.send("HTTP/1.1 200 OK\r\nContent-Length: " + completeList.length() + "\r\n\r\n" + completeList);
+        Peer watch = awaitConnection(discovery);
+        watch.await("\r\n\r\n");
+        watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\n{}\n\r\n");
+        assertTrue(awaitConnection(discovery).await("\r\n\r\n").contains("from=41 "));
+        assertTrue(router.metrics().contains("bad_lists 1\nwatches_broken 1"), router.metrics());
     }
 
     @Test
-    void discoveryThatMovesIsFollowedAndTheOldWatchHoldsUntilThen() throws IOException {
-        begin();
-        String whole = text(41, true, host("s-1", at(runner), "up"));
-        String answer = "HTTP/1.1 200 OK\r\nContent-Length: " + whole.length() + "\r\n\r\n" + whole;
-        accepts(discovery).says(answer);
-        Peer oldWatch = accepts(discovery);
-        ServerSocketChannel next = server();
-        router.discoveryAt((InetSocketAddress) next.getLocalAddress());
-        Peer lists = accepts(next);
-        lists.hears("GET /discovery/hosts HTTP/1.1\r\nHost: " + at(next));
-        oldWatch.hears("from=41 ");
-        oldWatch.listen();
-        assertFalse(oldWatch.ended);
-        lists.says(answer);
-        accepts(next).hears("GET /discovery/hosts?watch=1&from=41 ");
-        oldWatch.hearsTheEnd();
-        assertTrue(router.counted().contains("watches_broken 0"), router.counted());
+    void keepsTheOldWatchUntilTheNewDiscoveryAddressHasAnswered() throws IOException {
+        startRouter();
+        String completeList = listJson(41, true, hostJson("s-1", addressOf(runner), "up"));
+        String response = "HTTP/1.1 200 OK\r\nContent-Length: " + completeList.length() + "\r\n\r\n" + completeList;
+        awaitConnection(discovery).send(response);
+        Peer oldWatch = awaitConnection(discovery);
+        ServerSocketChannel newDiscovery = listeningChannel();
+        router.setDiscoveryAddress((InetSocketAddress) newDiscovery.getLocalAddress());
+        Peer listRequest = awaitConnection(newDiscovery);
+        listRequest.await("GET /discovery/hosts HTTP/1.1\r\nHost: " + addressOf(newDiscovery));
+        oldWatch.await("from=41 ");
+        oldWatch.readAvailable();
+        assertFalse(oldWatch.closed);
+        listRequest.send(response);
+        awaitConnection(newDiscovery).await("GET /discovery/hosts?watch=1&from=41 ");
+        oldWatch.awaitClose();
+        assertTrue(router.metrics().contains("watches_broken 0"), router.metrics());
     }
 
     @Test
-    void aMalformedListLeavesTheOldOne() throws IOException {
-        begin();
-        Peer lists = accepts(discovery);
-        lists.hears("\r\n\r\n");
-        lists.says("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}");
-        until(() -> router.counted().contains("bad_lists 1"));
-        client().says(job("a"));
-        dispatched();
+    void keepsTheOldListAfterAMalformedOne() throws IOException {
+        startRouter();
+        Peer listRequest = awaitConnection(discovery);
+        listRequest.await("\r\n\r\n");
+        listRequest.send("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}");
+        runUntil(() -> router.metrics().contains("bad_lists 1"));
+        client().send(jobRequest("a"));
+        awaitJob();
     }
 }
--- a/daemon/src/test/java/saltdale/sim/SimHostTest.java
+++ b/daemon/src/test/java/saltdale/sim/SimHostTest.java
@@ -27,17 +27,17 @@
         return out.toString(StandardCharsets.UTF_8);
     }
 
-    private static String complaint(String input) {
+    private static String errorOf(String input) {
         return assertThrows(MalformedInputException.class, () -> run(input)).getMessage();
     }
 
     @Test
-    void anEmptyBatchGetsAnEmptyReply() throws IOException {
+    void repliesToAnEmptyBatchWithAnEmptyReply() throws IOException {
         assertEquals("{\"output\":[]}\n", run("{\"Now\":8412250,\"in\":[]}\n"));
     }
 
     @Test
-    void aRequestIsProbedForAndDispatchedWithTrailingValuesAbsent() throws IOException {
+    void probesAndDispatchesARequestWhoseTrailingFieldsAreAbsent() throws IOException {
         String output = run(START + REQUEST + """
                 {"Now":20,"in":[["CheckResult",3,"10.0.0.1:7001",1,10]]}
                 {"Now":30,"in":[["AttemptEnd",3,"rq_a",0,"10.0.0.1:7001",1,10,true],["TimedOutClient",3,"rq_a"]]}
@@ -49,26 +49,25 @@
     }
 
     @Test
-    void aRestartInOneBatchForgetsWhatWasHeld() throws IOException {
-        String again = START.replace("\"in\":[", "\"in\":[[\"PowerOff\",3],");
-        String[] lines = run(START + REQUEST + again).split("\n");
+    void aRestartWithinABatchDiscardsPendingRequests() throws IOException {
+        String restart = START.replace("\"in\":[", "\"in\":[[\"PowerOff\",3],");
+        String[] lines = run(START + REQUEST + restart).split("\n");
         assertEquals("{\"output\":[]}", lines[2]);
     }
 
     @Test
-    void malformedInputIsNamed() {
-        assertTrue(complaint("nonsense\n").contains("JSON"));
-        assertTrue(complaint("{\"Now\":1}\n").contains("batch"));
-        assertTrue(complaint("{\"Now\":1,\"in\":[[\"Jump\",3]]}\n").contains("Jump"));
-        assertTrue(
-                complaint(START + "{\"Now\":9,\"in\":[[\"Ring\",3,\"x\"]]}\n").contains("Ring: Token"));
-        assertTrue(complaint("{\"Now\":9,\"in\":[[\"Ring\",4,1]]}\n").contains("Ring: Who"));
-        assertTrue(complaint(START + "{\"Now\":9,\"in\":[[\"NewRequest\",3,\"rq\",\"v\",null,null,1]]}\n")
+    void errorsNameTheMalformedField() {
+        assertTrue(errorOf("nonsense\n").contains("JSON"));
+        assertTrue(errorOf("{\"Now\":1}\n").contains("batch"));
+        assertTrue(errorOf("{\"Now\":1,\"in\":[[\"Jump\",3]]}\n").contains("Jump"));
+        assertTrue(errorOf(START + "{\"Now\":9,\"in\":[[\"Ring\",3,\"x\"]]}\n").contains("Ring: Token"));
+        assertTrue(errorOf("{\"Now\":9,\"in\":[[\"Ring\",4,1]]}\n").contains("Ring: Who"));
+        assertTrue(errorOf(START + "{\"Now\":9,\"in\":[[\"NewRequest\",3,\"rq\",\"v\",null,null,1]]}\n")
                 .contains("NewRequest: TierClass"));
     }
 
     @Test
-    void malformedInputGetsNoReply() {
+    void writesNoReplyToMalformedInput() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         byte[] input = "{\"Now\":9,\"in\":[[\"Ring\",4,1]]}\n".getBytes(StandardCharsets.UTF_8);
         assertThrows(MalformedInputException.class, () -> new SimHost(new ByteArrayInputStream(input), out).run());
