--- a/control/src/main/java/saltdale/control/ControlNode.java
+++ b/control/src/main/java/saltdale/control/ControlNode.java
@@ -272,10 +272,10 @@
     }
 
     private void demanded(DemandReport report) {
-        demand.record(report.life(), report.demands(), environment.now());
+        demand.record(report.incarnation(), report.demands(), environment.now());
         PeerContacts.Peer holder = report.forwarded() ? null : election.holderPeer();
         if (holder != null) {
-            environment.send(holder.host, new DemandReport(report.life(), report.demands(), true));
+            environment.send(holder.host, new DemandReport(report.incarnation(), report.demands(), true));
         }
         instanceLifecycle.requestPlan();
     }
--- a/control/src/main/java/saltdale/control/PeerContacts.java
+++ b/control/src/main/java/saltdale/control/PeerContacts.java
@@ -53,7 +53,7 @@
 
         /** How duties name it: one that began anew has forgotten what it was about. */
         String holderName() {
-            return identity.id() + "/" + identity.life();
+            return identity.id() + "/" + identity.incarnation();
         }
 
         Voter voter() {
--- a/control/src/main/java/saltdale/control/Subscriptions.java
+++ b/control/src/main/java/saltdale/control/Subscriptions.java
@@ -97,7 +97,7 @@
 
     /** Sends the part of a snapshot that a proxy asks for, and behind the last part what has changed since. */
     void requested(SnapshotRequest request) {
-        Subscriber to = subscribers.get(request.life());
+        Subscriber to = subscribers.get(request.incarnation());
         boolean known = to != null && to.session.equals(request.session());
         // Without a majority nothing old is handed out: the proxy asks again, here or elsewhere.
         if (!known || configurations.newest() == null || !isCurrent.getAsBoolean()) {
--- a/control/src/main/java/saltdale/control/message/HeartbeatMessage.java
+++ b/control/src/main/java/saltdale/control/message/HeartbeatMessage.java
@@ -70,9 +70,9 @@
     }
 
     /** One incarnation of a control node's process; {@code id} is the identity stored on its disk. */
-    record PeerIdentity(String id, String name, String host, String life) {
+    record PeerIdentity(String id, String name, String host, String incarnation) {
         List<Object> tree() {
-            return List.of(id, name, host, life);
+            return List.of(id, name, host, incarnation);
         }
 
         static PeerIdentity of(Object tree) throws MalformedMessage {
@@ -81,8 +81,8 @@
                     && list.get(0) instanceof String id
                     && list.get(1) instanceof String name
                     && list.get(2) instanceof String host
-                    && list.get(3) instanceof String life) {
-                return new PeerIdentity(id, name, host, life);
+                    && list.get(3) instanceof String incarnation) {
+                return new PeerIdentity(id, name, host, incarnation);
             }
             throw new MalformedMessage("is not the identity of a control node");
         }
--- a/control/src/main/java/saltdale/control/message/InstanceMessage.java
+++ b/control/src/main/java/saltdale/control/message/InstanceMessage.java
@@ -8,7 +8,7 @@
 /** Messages about instances and the demand for them. */
 public sealed interface InstanceMessage extends Message {
     /** The demand that the owner of some services measures; {@code forwarded} if it comes by way of a control node. */
-    record DemandReport(String life, List<Demand> demands, boolean forwarded) implements InstanceMessage {
+    record DemandReport(String incarnation, List<Demand> demands, boolean forwarded) implements InstanceMessage {
         @Override
         public MessageKind kind() {
             return MessageKind.DEMAND_REPORT;
@@ -16,7 +16,7 @@
 
         @Override
         public List<Object> fields() {
-            return List.of(life, demands.stream().map(Demand::tree).toList(), forwarded);
+            return List.of(incarnation, demands.stream().map(Demand::tree).toList(), forwarded);
         }
 
         static DemandReport read(FieldReader fields) throws MalformedMessage {
--- a/control/src/main/java/saltdale/control/message/SessionMessage.java
+++ b/control/src/main/java/saltdale/control/message/SessionMessage.java
@@ -186,7 +186,7 @@
     }
 
     /** A proxy requests the next part of a snapshot; the digest is empty if it has no part of it yet. */
-    record SnapshotRequest(String life, String session, String digest, int offset) implements SessionMessage {
+    record SnapshotRequest(String incarnation, String session, String digest, int offset) implements SessionMessage {
         @Override
         public MessageKind kind() {
             return MessageKind.SNAPSHOT_REQUEST;
@@ -194,7 +194,7 @@
 
         @Override
         public List<Object> fields() {
-            return List.of(life, session, digest, (long) offset);
+            return List.of(incarnation, session, digest, (long) offset);
         }
 
         static SnapshotRequest read(FieldReader fields) throws MalformedMessage {
--- a/control/src/main/java/saltdale/control/message/SlotMessage.java
+++ b/control/src/main/java/saltdale/control/message/SlotMessage.java
@@ -13,7 +13,7 @@
     record SlotRequest(
             long number,
             String service,
-            String life,
+            String incarnation,
             String zone,
             long remainingMillis,
             long targetRemainingMillis,
@@ -32,7 +32,7 @@
             return List.of(
                     number,
                     service,
-                    life,
+                    incarnation,
                     zone,
                     remainingMillis,
                     targetRemainingMillis,
@@ -187,9 +187,9 @@
     }
 
     /** A slot in use: the key of its grant, and the incarnation of the proxy that holds it. */
-    record HeldSlot(String service, String instance, String key, String life, long remainingMillis) {
+    record HeldSlot(String service, String instance, String key, String incarnation, long remainingMillis) {
         List<Object> tree() {
-            return List.of(service, instance, key, life, remainingMillis);
+            return List.of(service, instance, key, incarnation, remainingMillis);
         }
 
         static HeldSlot of(Object tree) throws MalformedMessage {
@@ -198,9 +198,9 @@
                     && list.get(0) instanceof String service
                     && list.get(1) instanceof String instance
                     && list.get(2) instanceof String key
-                    && list.get(3) instanceof String life
+                    && list.get(3) instanceof String incarnation
                     && list.get(4) instanceof Long remainingMillis) {
-                return new HeldSlot(service, instance, key, life, remainingMillis);
+                return new HeldSlot(service, instance, key, incarnation, remainingMillis);
             }
             throw new MalformedMessage("is not a held slot");
         }
--- a/node/src/test/java/saltdale/node/ChainTest.java
+++ b/node/src/test/java/saltdale/node/ChainTest.java
@@ -158,7 +158,7 @@
         @Override
         public Message apply(Message message) {
             if (message instanceof SlotRequest request) {
-                String key = request.life() + "." + request.number();
+                String key = request.incarnation() + "." + request.number();
                 asked.put(key, key);
             }
             if (!(message instanceof SlotReturn returned)) {
--- a/proxy/src/main/java/saltdale/proxy/OwnedServices.java
+++ b/proxy/src/main/java/saltdale/proxy/OwnedServices.java
@@ -206,8 +206,8 @@
             if (returnedUntil.containsKey(slot.key())) {
                 continue;
             }
-            InUse inUse =
-                    new InUse(slot.instance(), slot.life(), environment.now() + slot.remainingMillis() * 1_000_000);
+            InUse inUse = new InUse(
+                    slot.instance(), slot.incarnation(), environment.now() + slot.remainingMillis() * 1_000_000);
             if (!isOwner(slot.service()) || !place(allocator(slot.service()), slot.key(), inUse)) {
                 unplaced.put(slot.key(), inUse);
             }
--- a/proxy/src/main/java/saltdale/proxy/Proxy.java
+++ b/proxy/src/main/java/saltdale/proxy/Proxy.java
@@ -272,8 +272,8 @@
     private SlotClaim claim(String from, SlotRequest request) {
         long now = environment.now();
         return new SlotClaim(
-                SlotClaim.key(request.life(), request.number()),
-                request.life(),
+                SlotClaim.key(request.incarnation(), request.number()),
+                request.incarnation(),
                 from,
                 request.number(),
                 request.zone(),
