--- a/control/src/main/java/saltdale/control/message/SessionMessage.java
+++ b/control/src/main/java/saltdale/control/message/SessionMessage.java
@@ -206,7 +206,7 @@
         }
     }
 
-    /** A part of a snapshot that starts at {@code offset}; {@code total} is the size of the whole snapshot in bytes. */
+    /** A part of a snapshot that starts at {@code offset}; {@code total} is the size of the snapshot in bytes. */
     record SnapshotPart(String session, String digest, int offset, int total, byte[] bytes) implements SessionMessage {
         @Override
         public MessageKind kind() {
@@ -229,11 +229,11 @@
     }
 
     /**
-     * Members that are new or have changed, or all members if {@code whole}, and the incarnations that are no longer
-     * members.
+     * Members that are new or have changed, or all members if {@code complete}; {@code removed} are the incarnations that
+     * are no longer members.
      */
     record MembersChange(
-            String session, long number, boolean whole, List<Member> changed, List<String> gone, String digest)
+            String session, long number, boolean complete, List<Member> changed, List<String> removed, String digest)
             implements SessionUpdate {
         @Override
         public MessageKind kind() {
@@ -243,7 +243,12 @@
         @Override
         public List<Object> fields() {
             return List.of(
-                    session, number, whole, changed.stream().map(Member::tree).toList(), gone, digest);
+                    session,
+                    number,
+                    complete,
+                    changed.stream().map(Member::tree).toList(),
+                    removed,
+                    digest);
         }
 
         static MembersChange read(FieldReader fields) throws MalformedMessage {
--- a/control/src/main/java/saltdale/control/message/SlotMessage.java
+++ b/control/src/main/java/saltdale/control/message/SlotMessage.java
@@ -147,7 +147,7 @@
         }
     }
 
-    /** The slot is free again; {@code outcome} is the number of the way in which the attempt ended. */
+    /** The slot is free again; {@code outcome} is the position of the constant that says how the attempt ended. */
     record SlotReturn(String service, String key, String instance, int outcome, long runMicros) implements SlotMessage {
         @Override
         public MessageKind kind() {
--- a/proxy/src/main/java/saltdale/proxy/MembersReplica.java
+++ b/proxy/src/main/java/saltdale/proxy/MembersReplica.java
@@ -24,9 +24,9 @@
 
     /** Whether what comes out has the digest told; else all members must be told anew. */
     boolean change(MembersChange news) {
-        Map<String, Member> next = new TreeMap<>(news.whole() ? Map.of() : byLife);
+        Map<String, Member> next = new TreeMap<>(news.complete() ? Map.of() : byLife);
         news.changed().forEach(member -> next.put(member.life(), member));
-        news.gone().forEach(next::remove);
+        news.removed().forEach(next::remove);
         digest = digest.changed(byLife, next);
         byLife = next;
         trusted = digest.text().equals(news.digest());
