--- a/control/src/main/java/saltdale/control/DesiredInstanceCounts.java
+++ b/control/src/main/java/saltdale/control/DesiredInstanceCounts.java
@@ -8,10 +8,7 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/**
- * Computes how many instances of a service the measured demand calls for in each zone. docs/platform.md explains the
- * ratios.
- */
+/** Computes from the demand how many instances a service needs per zone; docs/platform.md explains the ratios. */
 final class DesiredInstanceCounts {
     /** Average load, as a share of one instance's slots, from which a zone gets instances of its own. */
     private static final double OWN_ZONE_LOAD = 0.35;
--- a/control/src/main/java/saltdale/control/InstanceLifecycle.java
+++ b/control/src/main/java/saltdale/control/InstanceLifecycle.java
@@ -85,8 +85,8 @@
 
     /**
      * Schedules a plan because of a change that may require a start. The cost of a plan grows with the services in use,
-     * and demand reports come as often as there are proxies, so plans keep a minimum interval whatever the size of the
-     * deployment.
+     * and the number of demand reports with the proxies. Plans therefore keep a minimum interval, which does not depend
+     * on the size of the deployment.
      */
     void requestPlan() {
         if (!planRequested) {
--- a/control/src/main/java/saltdale/control/InstanceListReader.java
+++ b/control/src/main/java/saltdale/control/InstanceListReader.java
@@ -129,8 +129,8 @@
     }
 
     /**
-     * Sends the instances that must not get new requests to the other control nodes, which may not reach the platform
-     * themselves.
+     * Sends the instances that must not get new requests to the other control nodes, since these may be unable to reach
+     * the platform themselves.
      */
     private void sendUnavailable(List<Instance> changed) {
         List<Instance> unavailable = changed.stream()
--- a/control/src/main/java/saltdale/control/message/ContactMessage.java
+++ b/control/src/main/java/saltdale/control/message/ContactMessage.java
@@ -29,8 +29,7 @@
 
     /**
      * The reply to a probe: whether its sender is a control node that has a quorum and is not leaving, and the control
-     * nodes that it knows. Proxies reply too, so that a proxy that has lost contact with all control nodes can find
-     * them.
+     * nodes that it knows. Proxies reply too, so that a proxy without contact to any control node can find one.
      */
     record ContactReply(long number, boolean serves, List<String> controlHosts) implements ContactMessage {
         @Override
--- a/control/src/main/java/saltdale/control/message/SessionMessage.java
+++ b/control/src/main/java/saltdale/control/message/SessionMessage.java
@@ -229,7 +229,7 @@
     }
 
     /**
-     * Members that are new or have changed, or all members if {@code complete}; {@code removed} are the incarnations that
+     * Members that are new or have changed, or all members if {@code complete}; {@code removed} are incarnations that
      * are no longer members.
      */
     record MembersChange(
--- a/proxy/src/test/java/saltdale/control/FaultyOrderHandling.java
+++ b/proxy/src/test/java/saltdale/control/FaultyOrderHandling.java
@@ -4,10 +4,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 
-/**
- * Control nodes with one deliberate fault each in the handling of configuration orders. The tests must detect each of
- * them.
- */
+/** Control nodes with one deliberate fault each in the handling of configuration orders; tests must detect it. */
 public enum FaultyOrderHandling {
     /** Remembers only 64 orders, and refuses older ones as if another order had won against them. */
     FORGETS_AFTER_64 {
