--- a/proxy/src/main/java/saltdale/proxy/MembersReplica.java
+++ b/proxy/src/main/java/saltdale/proxy/MembersReplica.java
@@ -24,9 +24,9 @@
 
     /** Returns whether the result has the expected digest; if not, all members must be sent again. */
     boolean apply(MembersChange change) {
-        Map<String, Member> next = new TreeMap<>(change.whole() ? Map.of() : byIncarnation);
+        Map<String, Member> next = new TreeMap<>(change.complete() ? Map.of() : byIncarnation);
         change.changed().forEach(member -> next.put(member.incarnation(), member));
-        change.gone().forEach(next::remove);
+        change.removed().forEach(next::remove);
         digest = digest.updated(byIncarnation, next);
         byIncarnation = next;
         trusted = digest.text().equals(change.digest());
