--- a/control/src/main/java/saltdale/control/PeerContacts.java
+++ b/control/src/main/java/saltdale/control/PeerContacts.java
@@ -62,7 +62,7 @@
          * its work.
          */
         String holderName() {
-            return identity.id() + "/" + identity.life();
+            return identity.id() + "/" + identity.incarnation();
         }
 
         Voter voter() {
--- a/control/src/main/java/saltdale/control/Subscriptions.java
+++ b/control/src/main/java/saltdale/control/Subscriptions.java
@@ -98,7 +98,7 @@
 
     /** Sends the part of a snapshot that a proxy requests, and after the last part whatever has changed since. */
     void onSnapshotRequest(SnapshotRequest request) {
-        Subscriber subscriber = subscribers.get(request.life());
+        Subscriber subscriber = subscribers.get(request.incarnation());
         boolean isKnownSession = subscriber != null && subscriber.session.equals(request.session());
         // Without a majority no outdated data is sent; the proxy requests it again, here or elsewhere.
         if (!isKnownSession || configurations.newest() == null || !isCurrent.getAsBoolean()) {
