--- a/rig/src/main/java/saltdale/rig/fleet/RunnerModel.java
+++ b/rig/src/main/java/saltdale/rig/fleet/RunnerModel.java
@@ -21,9 +21,13 @@
     /** The response of a runner to a job offered to it. */
     public enum OfferResult {
         ACCEPTED,
+        /** The queue is full. */
         FULL,
+        /** The runner accepts no new jobs. */
         DRAINING,
+        /** The job failed at once. */
         ERROR,
+        /** The offer exceeded the limit of the cold runner, which has crashed. */
         CRASHED
     }
 
@@ -35,7 +39,9 @@
         DONE,
         SHED,
         FAILED,
+        /** Returned by a draining runner before its start. */
         RETURNED,
+        /** Lost with the process of the runner. */
         LOST
     }
 
--- a/rig/src/main/java/saltdale/rig/fleet/TroubleSchedule.java
+++ b/rig/src/main/java/saltdale/rig/fleet/TroubleSchedule.java
@@ -17,21 +17,31 @@
      */
     public enum Action {
         CHANGE_CONDITION,
+        /** The process of the runner ends. */
         CRASH,
+        /** The runner ends and does not respond any more. */
         VANISH,
+        /** The runner starts again. */
         START,
+        /** The runner accepts no new jobs. */
         DRAIN,
+        /** The runner drains and returns its waiting jobs. */
         HAND_BACK,
+        /** The drained runner ends and leaves the list. */
         REMOVE,
+        /** A zone is disconnected from the others. */
         CUT_ZONE,
         RECONNECT_ZONE,
+        /** The troubles that alter bytes on connections change. */
         CHANGE_WIRE,
         KILL_DISPATCHER,
         RESTART_DISPATCHER,
+        /** The runner list stops sending. */
         SILENCE_LIST,
         RESUME_LIST,
         PAUSE_DISPATCHER,
         RESUME_DISPATCHER,
+        /** The dispatcher is told to terminate in order. */
         SHUT_DOWN_DISPATCHER,
         CHANGE_LINK
     }
--- a/rig/src/main/java/saltdale/rig/simulate/BaselineDispatcher.java
+++ b/rig/src/main/java/saltdale/rig/simulate/BaselineDispatcher.java
@@ -25,8 +25,11 @@
 public final class BaselineDispatcher implements SimulatedDispatcher {
     /** How the runner of an attempt is selected. */
     public enum SelectionPolicy {
+        /** A random runner. */
         RANDOM,
+        /** Each runner in turn. */
         ROUND_ROBIN,
+        /** The fewest outstanding attempts of this dispatcher. */
         LEAST_OUT,
         /** Least outstanding attempts; each dispatcher sheds beyond a fixed number of its own. */
         FIXED_LIMIT,
@@ -36,21 +39,37 @@
 
     /** A deliberate violation of one rule. */
     public enum Defect {
+        /** No violation. */
         NONE,
+        /** Never answers some requests. */
         FORGETS,
+        /** Sends each shed or failure response twice. */
         ANSWERS_TWICE,
+        /** Answers after the client timeout. */
         ANSWERS_LATE,
+        /** Sends an attempt after it has given up. */
         SENDS_AFTER_END,
+        /** Delays the answer although no further attempt is possible. */
         HOLDS_BACK,
+        /** Sends effectful requests again that may have run. */
         REPEATS_EFFECTFUL,
+        /** Sheds requests that may have run. */
         SHEDS_WHAT_RAN,
+        /** Sends requests again outside their deduplication scope. */
         LEAVES_GROUP,
+        /** Sends requests again after their deduplication window. */
         OUTLASTS_WINDOW,
+        /** Sends two attempts at the same time. */
         COPIES,
+        /** Uses draining runners. */
         IGNORES_DRAIN,
+        /** Uses removed runners. */
         IGNORES_GONE,
+        /** Prefers cold runners without a limit. */
         FLOODS_COLD,
+        /** Ignores the placement constraints of workloads. */
         MISPLACES,
+        /** Treats rejected attempts as not run, although runners may reject after a start. */
         TRUSTS_FULL
     }
 
--- a/rig/src/test/java/saltdale/rig/fleet/RunnerModelProperties.java
+++ b/rig/src/test/java/saltdale/rig/fleet/RunnerModelProperties.java
@@ -18,14 +18,13 @@
 import saltdale.rig.plan.Make;
 
 class RunnerModelProperties {
-    /**
-     * Whatever happens to a runner, each job that it took ends once or was taken back, and time goes forward.
-     */
+    /** Under any operations, each accepted job ends once or is cancelled, and event times don't decrease. */
     @Property(tries = 300, seed = "7")
-    void eachJobEndsOnce(@ForAll @Size(max = 120) int[] deeds, @ForAll @IntRange(min = 1, max = 4) int cores) {
+    void eachAcceptedJobEndsOnce(
+            @ForAll @Size(max = 120) int[] operations, @ForAll @IntRange(min = 1, max = 4) int cores) {
         Map<String, Integer> ends = new HashMap<>();
-        Set<String> back = new HashSet<>();
-        Duration[] last = {Duration.ZERO};
+        Set<String> cancelled = new HashSet<>();
+        Duration[] latest = {Duration.ZERO};
         RunnerModel runner = new RunnerModel(
                 Make.plain(cores, 3).warming(0.3, Duration.ofSeconds(2)),
                 new ReceiptStore.ByScope(new ReceiptStore(), new ReceiptStore(), new ReceiptStore()),
@@ -35,55 +34,55 @@
                 new SplittableRandom(1),
                 new RunnerModel.JobListener() {
                     @Override
-                    public void started(Duration at, RunnerJob work) {
-                        forward(at);
+                    public void started(Duration at, RunnerJob job) {
+                        assertNotEarlier(at);
                     }
 
                     @Override
-                    public void progressed(Duration at, RunnerJob work, double share) {
-                        forward(at);
+                    public void progressed(Duration at, RunnerJob job, double share) {
+                        assertNotEarlier(at);
                     }
 
                     @Override
-                    public void ended(Duration at, RunnerJob work, RunnerModel.JobEnd how) {
-                        forward(at);
-                        ends.merge(work.id, 1, Integer::sum);
+                    public void ended(Duration at, RunnerJob job, RunnerModel.JobEnd end) {
+                        assertNotEarlier(at);
+                        ends.merge(job.id, 1, Integer::sum);
                     }
 
-                    private void forward(Duration at) {
-                        assertTrue(at.compareTo(last[0]) >= 0);
-                        last[0] = at;
+                    private void assertNotEarlier(Duration at) {
+                        assertTrue(at.compareTo(latest[0]) >= 0);
+                        latest[0] = at;
                     }
                 });
-        Set<String> taken = new HashSet<>();
+        Set<String> accepted = new HashSet<>();
         Duration now = Duration.ZERO;
-        for (int i = 0; i < deeds.length; i++) {
-            int deed = Math.floorMod(deeds[i], 16);
-            now = now.plusMillis(Math.floorMod(deeds[i] / 16, 400));
-            if (deed < 9 && runner.isUp()) {
+        for (int i = 0; i < operations.length; i++) {
+            int operation = Math.floorMod(operations[i], 16);
+            now = now.plusMillis(Math.floorMod(operations[i] / 16, 400));
+            if (operation < 9 && runner.isUp()) {
                 OfferResult offer =
-                        runner.offer(now, new RunnerJob("j" + i, null, new Workload(), 0.01 + deed * 0.06, 0));
+                        runner.offer(now, new RunnerJob("j" + i, null, new Workload(), 0.01 + operation * 0.06, 0));
                 if (offer == OfferResult.ACCEPTED) {
-                    taken.add("j" + i);
+                    accepted.add("j" + i);
                 }
-            } else if (deed == 9 && !taken.isEmpty()) {
-                String id = taken.iterator().next();
+            } else if (operation == 9 && !accepted.isEmpty()) {
+                String id = accepted.iterator().next();
                 if (!ends.containsKey(id) && runner.cancel(now, id, 0) && !ends.containsKey(id)) {
-                    back.add(id);
-                    taken.remove(id);
+                    cancelled.add(id);
+                    accepted.remove(id);
                 }
-            } else if (deed == 10) {
+            } else if (operation == 10) {
                 runner.stop(now);
-            } else if (deed == 11) {
+            } else if (operation == 11) {
                 runner.start(now);
-            } else if (deed == 12) {
+            } else if (operation == 12) {
                 runner.drain(now, true);
             } else {
                 runner.setCondition(
                         now,
-                        deed == 13
+                        operation == 13
                                 ? new RunnerCondition(5, false, 0.2, 0, 0.5, 3, 0.5, 0.1, 2)
-                                : deed == 14
+                                : operation == 14
                                         ? new RunnerCondition(1, true, 0, 0, 0, 1, 0, 0, 1)
                                         : RunnerCondition.NORMAL);
             }
@@ -91,7 +90,7 @@
         runner.setCondition(now, RunnerCondition.NORMAL);
         runner.advance(now.plusSeconds(600));
         assertEquals(0, runner.heldCount());
-        taken.forEach(id -> assertEquals(1, ends.getOrDefault(id, 0), id));
-        back.forEach(id -> assertEquals(0, ends.getOrDefault(id, 0), id));
+        accepted.forEach(id -> assertEquals(1, ends.getOrDefault(id, 0), id));
+        cancelled.forEach(id -> assertEquals(0, ends.getOrDefault(id, 0), id));
     }
 }
--- a/rig/src/test/java/saltdale/rig/fleet/RunnerModelTest.java
+++ b/rig/src/test/java/saltdale/rig/fleet/RunnerModelTest.java
@@ -14,31 +14,32 @@
 import saltdale.rig.plan.Make;
 
 class RunnerModelTest implements RunnerModel.JobListener {
-    private final List<String> told = new ArrayList<>();
+    private final List<String> events = new ArrayList<>();
     private final Workload workload = new Workload();
-    private final ReceiptStore all = new ReceiptStore();
-    private ReceiptStore.ByScope receipts = new ReceiptStore.ByScope(all, new ReceiptStore(), new ReceiptStore());
+    private final ReceiptStore sharedReceipts = new ReceiptStore();
+    private ReceiptStore.ByScope receipts =
+            new ReceiptStore.ByScope(sharedReceipts, new ReceiptStore(), new ReceiptStore());
 
     @Override
-    public void started(Duration at, RunnerJob work) {
-        told.add(work.id + " started " + at.toMillis());
+    public void started(Duration at, RunnerJob job) {
+        events.add(job.id + " started " + at.toMillis());
     }
 
     @Override
-    public void progressed(Duration at, RunnerJob work, double share) {
-        told.add(work.id + " at " + Math.round(share * 100) + "% " + at.toMillis());
+    public void progressed(Duration at, RunnerJob job, double share) {
+        events.add(job.id + " at " + Math.round(share * 100) + "% " + at.toMillis());
     }
 
     @Override
-    public void ended(Duration at, RunnerJob work, RunnerModel.JobEnd how) {
-        told.add(work.id + " " + how + " " + at.toMillis());
+    public void ended(Duration at, RunnerJob job, RunnerModel.JobEnd end) {
+        events.add(job.id + " " + end + " " + at.toMillis());
     }
 
     private RunnerModel runner(Make make) {
         return new RunnerModel(make, receipts, 2, Duration.ofSeconds(1), 0.4, new SplittableRandom(1), this);
     }
 
-    private RunnerJob work(String id, double size) {
+    private RunnerJob job(String id, double size) {
         return new RunnerJob(id, null, workload, size, 0);
     }
 
@@ -46,9 +47,7 @@
         return Duration.ofMillis(millis);
     }
 
-    /**
-     * Mean time from arrival to end, in units of the mean size, over so many arrivals at this utilisation.
-     */
+    /** The mean time from arrival to end, in units of the mean size. */
     private double meanTime(int cores, double utilisation, int arrivals) {
         double[] sum = {0};
         int[] ended = {0};
@@ -61,24 +60,24 @@
                 new SplittableRandom(1),
                 new RunnerModel.JobListener() {
                     @Override
-                    public void started(Duration at, RunnerJob work) {}
+                    public void started(Duration at, RunnerJob job) {}
 
                     @Override
-                    public void progressed(Duration at, RunnerJob work, double share) {}
+                    public void progressed(Duration at, RunnerJob job, double share) {}
 
                     @Override
-                    public void ended(Duration at, RunnerJob work, RunnerModel.JobEnd how) {
+                    public void ended(Duration at, RunnerJob job, RunnerModel.JobEnd end) {
                         ended[0]++;
-                        sum[0] += at.minus((Duration) work.attachment).toNanos() / 1e9;
+                        sum[0] += at.minus((Duration) job.attachment).toNanos() / 1e9;
                     }
                 });
-        SplittableRandom chance = new SplittableRandom(7);
+        SplittableRandom random = new SplittableRandom(7);
         double at = 0;
         for (int i = 0; i < arrivals; i++) {
-            at -= Math.log(1 - chance.nextDouble()) / (utilisation * cores);
-            RunnerJob work = work("j" + i, -Math.log(1 - chance.nextDouble()));
-            work.attachment = Duration.ofNanos((long) (at * 1e9));
-            runner.offer((Duration) work.attachment, work);
+            at -= Math.log(1 - random.nextDouble()) / (utilisation * cores);
+            RunnerJob job = job("j" + i, -Math.log(1 - random.nextDouble()));
+            job.attachment = Duration.ofNanos((long) (at * 1e9));
+            runner.offer((Duration) job.attachment, job);
         }
         runner.advance(Duration.ofSeconds((long) at + 1000));
         assertEquals(arrivals, ended[0]);
@@ -86,21 +85,21 @@
     }
 
     @Test
-    void oneCoreWaitsAsTheClosedFormSays() {
+    void meanTimeOnOneCoreMatchesTheoryOfMm1() {
         assertEquals(1 / (1 - 0.7), meanTime(1, 0.7, 200_000), 0.12); // M/M/1: 1 / (1 - rho)
     }
 
     @Test
-    void severalCoresWaitAsErlangSays() {
-        double a = 0.8 * 4;
-        double all = 1 + a + a * a / 2 + a * a * a / 6;
-        double queued = Math.pow(a, 4) / 24 / (1 - 0.8);
+    void meanTimeOnSeveralCoresMatchesErlangC() {
+        double offeredLoad = 0.8 * 4;
+        double all = 1 + offeredLoad + offeredLoad * offeredLoad / 2 + offeredLoad * offeredLoad * offeredLoad / 6;
+        double queued = Math.pow(offeredLoad, 4) / 24 / (1 - 0.8);
         double wait = queued / (all + queued) / (4 * (1 - 0.8)); // M/M/c, Erlang C
         assertEquals(1 + wait, meanTime(4, 0.8, 200_000), 0.08);
     }
 
     @Test
-    void aColdRunnerIsSlowAndWarmsUpEvenly() {
+    void capacityOfColdRunnerGrowsLinearly() {
         RunnerModel runner = new RunnerModel(
                 Make.plain(1, 4).warming(0.25, Duration.ofSeconds(4)),
                 null,
@@ -110,47 +109,48 @@
                 new SplittableRandom(1),
                 this);
         runner.start(ms(0));
-        runner.offer(ms(0), work("a", 1));
+        runner.offer(ms(0), job("a", 1));
         assertEquals(0.625, runner.capacityShare(ms(2000)), 1e-9);
         runner.advance(ms(4000));
         // The integral of 0.25 + 0.75 t/4 is 1 at t = 2.23 s.
-        assertTrue(told.get(1).startsWith("a DONE 22"), told.toString());
+        assertTrue(events.get(1).startsWith("a DONE 22"), events.toString());
     }
 
     @Test
-    void aColdRunnerFallsOverWhenPushedAndStaysDown() {
+    void overloadedColdRunnerCrashesUntilRestart() {
         RunnerModel runner = runner(Make.plain(1, 100).warming(0.25, Duration.ofSeconds(4)));
         runner.start(ms(0));
-        // N = 2 x 0.25 x 1 s / 0.4 s = 1.25, so that 7 are borne; a long one is one, as nobody was told its size
+        // N = 2 x 0.25 x 1 s / 0.4 s = 1.25, so that the limit is 7 jobs; the long one counts once, since its size
+        // isn't known
         for (int i = 0; i < 7; i++) {
-            assertEquals(OfferResult.ACCEPTED, runner.offer(ms(1), work(i == 0 ? "a" : "b" + i, i == 0 ? 40 : 0.1)));
+            assertEquals(OfferResult.ACCEPTED, runner.offer(ms(1), job(i == 0 ? "a" : "b" + i, i == 0 ? 40 : 0.1)));
         }
-        assertEquals(OfferResult.CRASHED, runner.offer(ms(2), work("c", 0.1)));
+        assertEquals(OfferResult.CRASHED, runner.offer(ms(2), job("c", 0.1)));
         assertFalse(runner.isUp());
-        assertTrue(told.contains("a LOST 2"), told.toString());
+        assertTrue(events.contains("a LOST 2"), events.toString());
         runner.start(ms(9000));
         assertTrue(runner.isUp());
     }
 
     @Test
-    void aWarmOneBearsTheSamePush() {
+    void warmRunnerHasNoColdLimit() {
         RunnerModel runner = runner(Make.plain(1, 100));
-        assertEquals(OfferResult.ACCEPTED, runner.offer(ms(1), work("a", 4)));
-        assertEquals(OfferResult.ACCEPTED, runner.offer(ms(2), work("b", 4)));
+        assertEquals(OfferResult.ACCEPTED, runner.offer(ms(1), job("a", 4)));
+        assertEquals(OfferResult.ACCEPTED, runner.offer(ms(2), job("b", 4)));
     }
 
     @Test
-    void itTurnsAwayBeyondItsQueue() {
+    void rejectsJobsWhenTheQueueIsFull() {
         RunnerModel runner = runner(Make.plain(1, 1));
-        runner.offer(ms(0), work("a", 1));
-        runner.offer(ms(0), work("b", 1));
-        assertEquals(OfferResult.FULL, runner.offer(ms(0), work("c", 1)));
+        runner.offer(ms(0), job("a", 1));
+        runner.offer(ms(0), job("b", 1));
+        assertEquals(OfferResult.FULL, runner.offer(ms(0), job("c", 1)));
         runner.advance(ms(1000));
-        assertEquals(OfferResult.ACCEPTED, runner.offer(ms(1000), work("c", 1)));
+        assertEquals(OfferResult.ACCEPTED, runner.offer(ms(1000), job("c", 1)));
     }
 
     @Test
-    void jobsBeyondItsCoresShareThem() {
+    void moreRunningJobsThanCoresShareTheCores() {
         Make make = new Make(
                 "m",
                 1,
@@ -168,8 +168,8 @@
                 ms(500),
                 true);
         RunnerModel runner = runner(make);
-        runner.offer(ms(0), work("a", 0.5));
-        runner.offer(ms(0), work("b", 1));
+        runner.offer(ms(0), job("a", 0.5));
+        runner.offer(ms(0), job("b", 1));
         runner.advance(ms(2000));
         assertEquals(
                 List.of(
@@ -180,114 +180,114 @@
                         "a DONE 1000",
                         "b at 50% 1000",
                         "b DONE 1500"),
-                told);
+                events);
     }
 
     @Test
-    void slowedInTheMiddleItEndsLaterByThatMuch() {
+    void slowdownDuringAJobDelaysItsEnd() {
         RunnerModel runner = runner(Make.plain(1, 4));
-        runner.offer(ms(0), work("a", 1));
+        runner.offer(ms(0), job("a", 1));
         runner.setCondition(ms(500), new RunnerCondition(4, false, 0, 0, 0, 1, 0, 0, 1));
         runner.advance(ms(5000));
-        assertEquals("a DONE 2500", told.get(1));
+        assertEquals("a DONE 2500", events.get(1));
     }
 
     @Test
-    void stalledItDoesNothingUntilItIsOver() {
+    void stalledRunnerMakesNoProgress() {
         RunnerModel runner = runner(Make.plain(1, 4));
-        runner.offer(ms(0), work("a", 1));
+        runner.offer(ms(0), job("a", 1));
         runner.setCondition(ms(500), new RunnerCondition(1, true, 0, 0, 0, 1, 0, 0, 1));
-        runner.offer(ms(600), work("b", 1));
+        runner.offer(ms(600), job("b", 1));
         runner.setCondition(ms(3000), RunnerCondition.NORMAL);
         runner.advance(ms(9000));
-        assertEquals(List.of("a started 0", "a DONE 3500", "b started 3500", "b DONE 4500"), told);
+        assertEquals(List.of("a started 0", "a DONE 3500", "b started 3500", "b DONE 4500"), events);
     }
 
     @Test
-    void aDrainingRunnerHandsBackWhatHasNotBegun() {
+    void drainingRunnerReturnsWaitingJobs() {
         RunnerModel runner = runner(Make.plain(1, 4));
-        runner.offer(ms(0), work("a", 1));
-        runner.offer(ms(0), work("b", 1));
+        runner.offer(ms(0), job("a", 1));
+        runner.offer(ms(0), job("b", 1));
         runner.drain(ms(10), true);
-        assertEquals(OfferResult.DRAINING, runner.offer(ms(11), work("c", 1)));
+        assertEquals(OfferResult.DRAINING, runner.offer(ms(11), job("c", 1)));
         runner.advance(ms(2000));
-        assertEquals(List.of("a started 0", "b RETURNED 10", "a DONE 1000"), told);
+        assertEquals(List.of("a started 0", "b RETURNED 10", "a DONE 1000"), events);
     }
 
     @Test
-    void aReceiptDropsARepeatWithinItsWindowOnly() {
+    void duplicatesAreRecognisedWithinTheWindowOnly() {
         workload.dedupWindow = Duration.ofSeconds(2);
         RunnerModel runner = runner(Make.plain(1, 4));
         RunnerJob first = new RunnerJob("a", "r", workload, 1, 0);
         RunnerJob repeat = new RunnerJob("b", "r", workload, 1, 0);
-        RunnerJob late = new RunnerJob("c", "r", workload, 1, 0);
+        RunnerJob afterWindow = new RunnerJob("c", "r", workload, 1, 0);
         runner.offer(ms(0), first);
         runner.offer(ms(1500), repeat);
-        runner.offer(ms(3000), late);
+        runner.offer(ms(3000), afterWindow);
         runner.advance(ms(9000));
         assertFalse(first.isDuplicate());
         assertTrue(repeat.isDuplicate());
-        assertFalse(late.isDuplicate());
+        assertFalse(afterWindow.isDuplicate());
     }
 
     @Test
-    void aReceiptIsKnownWithinItsWorkloadsGroupOnly() {
+    void duplicatesAreRecognisedWithinTheDedupScopeOnly() {
         workload.dedupWindow = Duration.ofSeconds(2);
         workload.dedupScope = Workload.DedupScope.CELL;
         RunnerJob first = new RunnerJob("a", "r", workload, 0.1, 0);
-        RunnerJob elsewhere = new RunnerJob("a", "r", workload, 0.1, 0);
+        RunnerJob inOtherCell = new RunnerJob("a", "r", workload, 0.1, 0);
         runner(Make.plain(1, 4)).offer(ms(0), first);
-        receipts = new ReceiptStore.ByScope(all, new ReceiptStore(), new ReceiptStore());
-        runner(Make.plain(1, 4)).offer(ms(200), elsewhere);
-        assertFalse(elsewhere.isDuplicate());
+        receipts = new ReceiptStore.ByScope(sharedReceipts, new ReceiptStore(), new ReceiptStore());
+        runner(Make.plain(1, 4)).offer(ms(200), inOtherCell);
+        assertFalse(inOtherCell.isDuplicate());
         workload.dedupScope = Workload.DedupScope.ALL;
         runner(Make.plain(1, 4)).offer(ms(0), new RunnerJob("b", "s", workload, 0.1, 0));
-        receipts = new ReceiptStore.ByScope(all, new ReceiptStore(), new ReceiptStore());
-        RunnerJob again = new RunnerJob("b", "s", workload, 0.1, 0);
-        runner(Make.plain(1, 4)).offer(ms(200), again);
-        assertTrue(again.isDuplicate());
+        receipts = new ReceiptStore.ByScope(sharedReceipts, new ReceiptStore(), new ReceiptStore());
+        RunnerJob inSameScope = new RunnerJob("b", "s", workload, 0.1, 0);
+        runner(Make.plain(1, 4)).offer(ms(200), inSameScope);
+        assertTrue(inSameScope.isDuplicate());
     }
 
     @Test
-    void aReportIsAsOldAsItsDelay() {
+    void reportsAreAsOldAsTheirDelay() {
         RunnerModel runner = runner(Make.plain(1, 9).reporting(ms(100), ms(50)));
-        runner.offer(ms(110), work("a", 9));
-        runner.offer(ms(110), work("b", 9));
+        runner.offer(ms(110), job("a", 9));
+        runner.offer(ms(110), job("b", 9));
         assertEquals(0, runner.report(ms(249)).queue());
         assertEquals(1, runner.report(ms(250)).queue());
     }
 
     @Test
-    void aReportAskedForWhileItTellsMakesNoEndCountTwice() {
+    void reportRequestedByListenerDoesNotRepeatEnds() {
         List<String> ends = new ArrayList<>();
         RunnerModel[] runner = new RunnerModel[1];
         runner[0] = new RunnerModel(
                 Make.plain(2, 4), null, 0, Duration.ZERO, 1, new SplittableRandom(1), new RunnerModel.JobListener() {
                     @Override
-                    public void started(Duration at, RunnerJob work) {}
+                    public void started(Duration at, RunnerJob job) {}
 
                     @Override
-                    public void progressed(Duration at, RunnerJob work, double share) {}
+                    public void progressed(Duration at, RunnerJob job, double share) {}
 
                     @Override
-                    public void ended(Duration at, RunnerJob work, RunnerModel.JobEnd how) {
+                    public void ended(Duration at, RunnerJob job, RunnerModel.JobEnd end) {
                         runner[0].report(ms(5000));
-                        ends.add(work.id);
+                        ends.add(job.id);
                     }
                 });
-        runner[0].offer(ms(0), work("a", 1));
-        runner[0].offer(ms(0), work("b", 1));
+        runner[0].offer(ms(0), job("a", 1));
+        runner[0].offer(ms(0), job("b", 1));
         runner[0].advance(ms(2000));
         assertEquals(List.of("a", "b"), ends);
     }
 
     @Test
-    void takenBackItGivesItsCoreToTheNext() {
+    void cancelledJobFreesItsCoreForTheNext() {
         RunnerModel runner = runner(Make.plain(1, 4));
-        runner.offer(ms(0), work("a", 1));
-        runner.offer(ms(0), work("b", 1));
+        runner.offer(ms(0), job("a", 1));
+        runner.offer(ms(0), job("b", 1));
         assertTrue(runner.cancel(ms(100), "a", 0));
         runner.advance(ms(2000));
-        assertEquals(List.of("a started 0", "b started 100", "b DONE 1100"), told);
+        assertEquals(List.of("a started 0", "b started 100", "b DONE 1100"), events);
     }
 }
--- a/rig/src/test/java/saltdale/rig/judge/JudgeTest.java
+++ b/rig/src/test/java/saltdale/rig/judge/JudgeTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.api.Test;
 import saltdale.model.Workload;
 
-/** What is no fault of a dispatcher that was stopped, or whose way was disturbed; and what still is. */
+/** Which events are excused for paused or killed dispatchers and disturbed links, and which are violations. */
 class JudgeTest {
     private final Workload pure = new Workload();
     private final Judge judge = new Judge(
@@ -29,62 +29,62 @@
         return Duration.ofMillis(ms);
     }
 
-    private void asked(long at, String id) {
+    private void sendRequest(long at, String id) {
         judge.requestSent(ms(at), id, pure, 0, ms(1000));
     }
 
-    private void reached(long at, String id, int runner) {
+    private void receiveAttempt(long at, String id, int runner) {
         judge.attemptReceived(ms(at), ms(at), id, runner, 0, 1);
     }
 
-    private void found(Map<Violation.Kind, Long> wanted) {
+    private void assertViolations(Map<Violation.Kind, Long> expected) {
         judge.finish();
-        assertEquals(wanted, judge.countsByKind());
+        assertEquals(expected, judge.countsByKind());
     }
 
     @Test
-    void whatEndedWhileItWasStoppedIsExcusedAndWhatCameLaterIsNot() {
-        asked(0, "a");
+    void requestsDuringAPauseAreExcusedAndLaterOnesAreNot() {
+        sendRequest(0, "a");
         judge.dispatcherPaused(ms(500), 0);
-        asked(600, "b");
+        sendRequest(600, "b");
         judge.dispatcherResumed(ms(3000), 0);
-        asked(3000, "c");
-        found(Map.of(Violation.Kind.LOST, 1L));
+        sendRequest(3000, "c");
+        assertViolations(Map.of(Violation.Kind.LOST, 1L));
     }
 
     @Test
-    void whatAStoppedOneWasToldCountsFromWhenItGoesOn() {
+    void listEntriesSentDuringAPauseCountFromItsEnd() {
         judge.dispatcherPaused(ms(0), 0);
         judge.listEntryReceived(ms(100), 0, 1, EventObserver.ListedHealth.DRAINING, null);
         judge.dispatcherResumed(ms(3000), 0);
-        asked(3100, "a");
-        reached(3200, "a", 1);
+        sendRequest(3100, "a");
+        receiveAttempt(3200, "a", 1);
         judge.answerReceived(ms(3300), "a", EventObserver.FinalAnswer.SHED, null);
-        asked(3600, "b");
-        reached(3700, "b", 1);
+        sendRequest(3600, "b");
+        receiveAttempt(3700, "b", 1);
         judge.answerReceived(ms(3800), "b", EventObserver.FinalAnswer.SHED, null);
-        found(Map.of(Violation.Kind.SENT_TO_DRAINING, 1L));
+        assertViolations(Map.of(Violation.Kind.SENT_TO_DRAINING, 1L));
     }
 
     @Test
-    void aCopyIsNoFaultOnlyOnADisturbedWay() {
-        asked(0, "a");
-        reached(10, "a", 0);
-        judge.linkChanged(ms(20), 0, 0, false); // it can't be called off there
-        reached(30, "a", 1);
+    void secondAttemptIsExcusedOnADisturbedLinkOnly() {
+        sendRequest(0, "a");
+        receiveAttempt(10, "a", 0);
+        judge.linkChanged(ms(20), 0, 0, false); // the attempt can't be cancelled there
+        receiveAttempt(30, "a", 1);
         judge.answerReceived(ms(40), "a", EventObserver.FinalAnswer.SHED, null);
         judge.linkChanged(ms(50), 0, 0, true);
-        asked(3000, "b");
-        reached(3010, "b", 0);
-        reached(3020, "b", 1);
+        sendRequest(3000, "b");
+        receiveAttempt(3010, "b", 0);
+        receiveAttempt(3020, "b", 1);
         judge.answerReceived(ms(3040), "b", EventObserver.FinalAnswer.SHED, null);
-        found(Map.of(Violation.Kind.TWO_OUT, 1L));
+        assertViolations(Map.of(Violation.Kind.TWO_OUT, 1L));
     }
 
     @Test
-    void newConnectionsClosedWithNoAnswerAreBorneOnceInTwoHundred() {
+    void oneClosedNewConnectionInTwoHundredIsAllowed() {
         for (int i = 0; i < 400; i++) {
-            asked(i, "a" + i);
+            sendRequest(i, "a" + i);
             if (i < 2) {
                 judge.newConnectionClosed(ms(i), "a" + i);
             } else {
@@ -93,10 +93,10 @@
         }
         judge.requestSent(ms(600), "killed", pure, 1, ms(1000));
         judge.newConnectionClosed(ms(600), "killed");
-        judge.dispatcherKilled(ms(601), 1); // heard after it, as it may be
-        found(Map.of());
-        asked(1000, "b");
+        judge.dispatcherKilled(ms(601), 1); // reported after the closed connection, as it can happen
+        assertViolations(Map.of());
+        sendRequest(1000, "b");
         judge.newConnectionClosed(ms(1000), "b");
-        found(Map.of(Violation.Kind.LOST, 1L));
+        assertViolations(Map.of(Violation.Kind.LOST, 1L));
     }
 }
--- a/rig/src/test/java/saltdale/rig/simulate/SimulationTest.java
+++ b/rig/src/test/java/saltdale/rig/simulate/SimulationTest.java
@@ -12,7 +12,7 @@
 import saltdale.rig.plan.Sheet;
 
 class SimulationTest {
-    private static final String ROUGH = """
+    private static final String BASE_DAY = """
             length = "8s"
             dispatchers = 3
             [fleet]
@@ -26,25 +26,25 @@
             size = {mean = "30ms"}
             """;
 
-    private static Simulation play(String text) {
+    private static Simulation simulate(String text) {
         Day day = new Day(Sheet.of("day", text));
         return new Simulation(day, ModuleDispatcher::new, new Arrivals(day.traffic, day.jobs, day.length, day.seed))
                 .run();
     }
 
-    private static String trouble(String kind, String more) {
-        return ROUGH + "[[trouble]]\nkind = \"" + kind + "\"\nat = \"2s\"\nlength = \"2s\"\n" + more;
+    private static String trouble(String kind, String settings) {
+        return BASE_DAY + "[[trouble]]\nkind = \"" + kind + "\"\nat = \"2s\"\nlength = \"2s\"\n" + settings;
     }
 
     @Test
-    void whoIsWrongInAnOverloadIsCaughtByTheLawThatItBreaks() {
+    void defectsUnderOverloadViolateTheExpectedProperty() {
         for (OverloadProof.Case each : OverloadProof.run()) {
             assertTrue(each.asExpected(), each.toString());
         }
     }
 
     @Test
-    void inTheCalmLevelsChangeNothingAndInAnOverloadTheyServeMore() {
+    void admissionLevelsMatterOnlyUnderOverload() {
         String day = """
                 seed = 4
                 length = "20s"
@@ -70,14 +70,18 @@
                 size = {kind = "exponential", mean = "1200ms"}
                 """;
         assertEquals(figures(day.formatted("0.3")), figures(day.formatted("0.3") + "[overload]\n"));
-        double off = figures(day.formatted("2.0")).get("service");
-        Map<String, Double> on = figures(day.formatted("2.0") + "[overload]\n");
-        assertTrue(on.get("service") > 1.5 * off, on.get("service") + " beside " + off);
-        assertEquals(0, on.get("rules_broken"));
-        // Guards against serving those first whose time is over: where repeats are marked they go behind first tries.
-        String late = day.formatted("3.0").replace("retries = 3", "retries = 3\nwait = \"1s\"%s") + "[overload]\n";
-        assertTrue(figures(late.formatted("\nmarks = true")).get("service")
-                > 1.2 * figures(late.formatted("")).get("service"));
+        double withoutLevels = figures(day.formatted("2.0")).get("service");
+        Map<String, Double> withLevels = figures(day.formatted("2.0") + "[overload]\n");
+        assertTrue(
+                withLevels.get("service") > 1.5 * withoutLevels,
+                withLevels.get("service") + " with levels, without: " + withoutLevels);
+        assertEquals(0, withLevels.get("rules_broken"));
+        // Guards against serving requests first that can no longer be in time: marked retries are served after first
+        // tries.
+        String overloadedDay =
+                day.formatted("3.0").replace("retries = 3", "retries = 3\nwait = \"1s\"%s") + "[overload]\n";
+        assertTrue(figures(overloadedDay.formatted("\nmarks = true")).get("service")
+                > 1.2 * figures(overloadedDay.formatted("")).get("service"));
     }
 
     private static Map<String, Double> figures(String text) {
@@ -86,22 +90,22 @@
     }
 
     @Test
-    void eachWrongDispatcherIsCaughtAndTheRightOnesPass() {
+    void judgeDetectsEachDefectAndPassesCorrectDispatchers() {
         List<JudgeProof.Case> cases = JudgeProof.run();
         assertEquals(List.of(), cases.stream().filter(c -> !c.asExpected()).toList());
         assertEquals(JudgeProof.defects().size() + 2, cases.size());
     }
 
     @Test
-    void theSameSeedGivesTheSameFigures() {
-        Simulation one = play(trouble("crash", "part = 0.3"));
-        Simulation other = play(trouble("crash", "part = 0.3"));
-        assertEquals(one.tally().figures(), other.tally().figures());
-        assertEquals(one.executedEventCount(), other.executedEventCount());
+    void sameSeedGivesSameFigures() {
+        Simulation first = simulate(trouble("crash", "part = 0.3"));
+        Simulation second = simulate(trouble("crash", "part = 0.3"));
+        assertEquals(first.tally().figures(), second.tally().figures());
+        assertEquals(first.executedEventCount(), second.executedEventCount());
     }
 
     @Test
-    void noTroubleMakesTheModuleBreakARule() {
+    void moduleViolatesNoRuleUnderAnyTrouble() {
         for (Map.Entry<String, String> each : Map.of(
                         "slow",
                         "part = 0.2",
@@ -124,31 +128,31 @@
                         "neighbour",
                         "part = 0.5\nextra = 0.3")
                 .entrySet()) {
-            Simulation sim = play(trouble(each.getKey(), each.getValue()));
+            Simulation sim = simulate(trouble(each.getKey(), each.getValue()));
             assertEquals(List.of(), sim.judge().violations(), each.getKey());
             assertTrue(sim.tally().offered() > 1500, each.getKey());
         }
     }
 
     @Test
-    void slowRunnersCostTheModuleLessThanRandomChoice() {
+    void moduleHandlesSlowRunnersBetterThanRandomSelection() {
         String day = trouble("slow", "part = 0.4\nsize = 10")
                 .replace("rate = 300", "rate = 350\nswing = 0")
                 .replace("name = \"w\"", "name = \"w\"\npromised = \"60ms\"");
-        Day read = new Day(Sheet.of("day", day));
-        Simulation random = new Simulation(
-                        read,
-                        (orders, door, chance) -> new BaselineDispatcher(
-                                orders,
-                                door,
-                                chance,
+        Day parsedDay = new Day(Sheet.of("day", day));
+        Simulation randomSelection = new Simulation(
+                        parsedDay,
+                        (settings, actions, random) -> new BaselineDispatcher(
+                                settings,
+                                actions,
+                                random,
                                 BaselineDispatcher.SelectionPolicy.RANDOM,
                                 BaselineDispatcher.Defect.NONE),
-                        new Arrivals(read.traffic, read.jobs, read.length, read.seed))
+                        new Arrivals(parsedDay.traffic, parsedDay.jobs, parsedDay.length, parsedDay.seed))
                 .run();
-        double module = play(day).tally().service();
+        double moduleService = simulate(day).tally().service();
         assertTrue(
-                module > random.tally().service() + 0.01,
-                module + " " + random.tally().service());
+                moduleService > randomSelection.tally().service() + 0.01,
+                moduleService + " " + randomSelection.tally().service());
     }
 }
