--- a/node/src/main/java/saltdale/node/ControlProcess.java
+++ b/node/src/main/java/saltdale/node/ControlProcess.java
@@ -58,8 +58,7 @@
             created = new ControlNode(
                     environment, nodeSettings, new PlatformClient(environment, settings.platformAddress), records);
         } catch (MalformedMessage e) {
-            // Records that cannot be read completely are treated as lost: this node starts as a new voter without
-            // state.
+            // Records that cannot be read completely are treated as lost: the node starts as a new, empty voter.
             environment.logRing.reportError(
                     "records on disk are unusable; starting as a new control node: " + e.getMessage());
             Map<String, byte[]> removals = new HashMap<>();
--- a/node/src/main/java/saltdale/node/Main.java
+++ b/node/src/main/java/saltdale/node/Main.java
@@ -29,11 +29,9 @@
                         + Settings.PATH_VARIABLE + " names.");
         parser.addArgument("role")
                 .choices("proxy", "control", TRAINING_ROLE)
-                .help(
-                        "proxy: forwards requests; control: holds the state, serves the operators' calls, starts and stops "
-                                + "instances; " + TRAINING_ROLE + ": runs both for a few seconds on loopback, without "
-                                + "settings, to create a "
-                                + "class-data archive (-XX:ArchiveClassesAtExit)");
+                .help("proxy: forwards requests; control: holds the state, serves the operators' calls, starts and "
+                        + "stops instances; " + TRAINING_ROLE + ": runs both for a few seconds on loopback, without "
+                        + "settings, to create a class-data archive (-XX:ArchiveClassesAtExit)");
         parser.addArgument("--trace")
                 .action(Arguments.storeTrue())
                 .help("write every log entry to standard error immediately, not only when an error occurs");
--- a/node/src/main/java/saltdale/node/PeerConnections.java
+++ b/node/src/main/java/saltdale/node/PeerConnections.java
@@ -109,6 +109,7 @@
         }
     }
 
+    /** The host is alive: its missing reply no longer counts as overdue. */
     private void messageReceived(String from) {
         OutgoingConnection outgoing = outgoingByHost.get(from);
         if (outgoing != null) {
@@ -136,8 +137,7 @@
             if (connection != null
                     && awaitingReplySince != null
                     && now.minus(awaitingReplySince).compareTo(replyTimeout) > 0) {
-                // The machine may have lost power or be partitioned off; the connection would then hang for a long
-                // time.
+                // The machine may have lost power or be partitioned off; the connection would hang for a long time.
                 Connection hung = connection;
                 connection = null;
                 hung.reset();
