--- a/node/src/test/java/saltdale/node/EndToEndTest.java
+++ b/node/src/test/java/saltdale/node/EndToEndTest.java
@@ -162,7 +162,7 @@
         @Override
         public Message apply(Message message) {
             if (message instanceof SlotRequest request) {
-                String key = request.life() + "." + request.number();
+                String key = request.incarnation() + "." + request.number();
                 openKeys.put(key, key);
             }
             if (!(message instanceof SlotReturn returned)) {
--- a/proxy/src/main/java/saltdale/proxy/OwnedServices.java
+++ b/proxy/src/main/java/saltdale/proxy/OwnedServices.java
@@ -220,7 +220,7 @@
                 continue;
             }
             PendingGrant grant = new PendingGrant(
-                    slot.instance(), slot.life(), environment.now() + slot.remainingMillis() * 1_000_000);
+                    slot.instance(), slot.incarnation(), environment.now() + slot.remainingMillis() * 1_000_000);
             if (!isOwner(slot.service()) || !applyGrant(allocator(slot.service()), slot.key(), grant)) {
                 pendingGrants.put(slot.key(), grant);
             }
