--- a/control/src/main/java/saltdale/control/DutyElection.java
+++ b/control/src/main/java/saltdale/control/DutyElection.java
@@ -55,7 +55,7 @@
     PeerContacts.Peer holderPeer() {
         ReplicatedState state = register.chosen();
         String holder = state == null ? null : state.duty(STARTING).holder();
-        for (PeerContacts.Peer peer : peers.all()) {
+        for (PeerContacts.Peer peer : peers.peers()) {
             if (peer.identity != null && peer.holderName().equals(holder)) {
                 return peer;
             }
@@ -73,8 +73,8 @@
     Proposer.Change claim(ReplicatedState state) {
         DutyLease seen = state.duty(STARTING);
         return (newest, text) -> newest.duty(STARTING).fence() != seen.fence()
-                ? Proposer.Step.stay(null)
-                : new Proposer.Step(
+                ? Proposer.ChangeResult.unchanged(null)
+                : new Proposer.ChangeResult(
                         newest.withDuty(STARTING, new DutyLease(ownName(), settings.name(), seen.fence() + 1)),
                         null,
                         Boolean.TRUE);
@@ -90,10 +90,10 @@
         DutyLease own = state.duty(STARTING);
         register.propose(
                 (newest, text) -> !own.equals(newest.duty(STARTING))
-                        ? Proposer.Step.stay(null)
-                        : new Proposer.Step(
+                        ? Proposer.ChangeResult.unchanged(null)
+                        : new Proposer.ChangeResult(
                                 newest.withDuty(STARTING, new DutyLease(null, null, own.fence())), null, Boolean.TRUE),
-                settings.heartbeat(),
+                settings.heartbeatNanos(),
                 done);
     }
 
@@ -105,9 +105,9 @@
         } else if (holder.startsWith(id + "/")) {
             return !holder.equals(ownName());
         }
-        for (PeerContacts.Peer peer : peers.all()) {
+        for (PeerContacts.Peer peer : peers.peers()) {
             if (peer.identity != null && holder.startsWith(peer.identity.id() + "/")) {
-                return !holder.equals(peer.holderName()) || isLeaseExpired(peer.heardAt);
+                return !holder.equals(peer.holderName()) || isLeaseExpired(peer.lastHeardAt);
             }
         }
         return isLeaseExpired(startedAt);
@@ -118,6 +118,7 @@
      * has no steady contact with a majority, since it could then have missed the other's heartbeats.
      */
     boolean isLeaseExpired(long heardAt) {
-        return environment.now() - Math.max(heardAt, startedAt) > settings.vacancy() && peers.hasSteadyQuorum();
+        return environment.now() - Math.max(heardAt, startedAt) > settings.vacancyTimeoutNanos()
+                && peers.hasSteadyQuorum();
     }
 }
--- a/control/src/main/java/saltdale/control/InstanceLifecycle.java
+++ b/control/src/main/java/saltdale/control/InstanceLifecycle.java
@@ -54,7 +54,7 @@
         this.platform = platform;
         this.nodeSettings = nodeSettings;
         listReader = new InstanceListReader(environment, controlNode, platform, nodeSettings, this::requestPlan);
-        workers = new WorkerTable(environment, platform, nodeSettings.heartbeat());
+        workers = new WorkerTable(environment, platform, nodeSettings.heartbeatNanos());
     }
 
     void start() {
@@ -74,10 +74,10 @@
         List<StartIntent> starts =
                 pendingStarts.values().stream().map(start -> start.intent).toList();
         if (!changing.isEmpty()) {
-            controlNode.tellControlNodes(new InstanceUpdates(changing));
+            controlNode.sendToControlNodes(new InstanceUpdates(changing));
         }
         if (!starts.isEmpty()) {
-            controlNode.tellControlNodes(new StartIntents(starts, List.of()));
+            controlNode.sendToControlNodes(new StartIntents(starts, List.of()));
         }
     }
 
@@ -91,7 +91,7 @@
     void requestPlan() {
         if (!planRequested) {
             planRequested = true;
-            environment.after(Math.max(0, lastPlanAt + minPlanIntervalNanos() - environment.now()), () -> {
+            environment.schedule(Math.max(0, lastPlanAt + minPlanIntervalNanos() - environment.now()), () -> {
                 planRequested = false;
                 reconcile();
             });
@@ -99,16 +99,16 @@
     }
 
     private long minPlanIntervalNanos() {
-        return nodeSettings.heartbeat() / 48;
+        return nodeSettings.heartbeatNanos() / 48;
     }
 
     private void runPeriodically() {
         reconcile();
-        environment.after(nodeSettings.heartbeat() / 12, this::runPeriodically);
+        environment.schedule(nodeSettings.heartbeatNanos() / 12, this::runPeriodically);
     }
 
     private void reconcile() {
-        if (!controlNode.holds()) {
+        if (!controlNode.holdsDuty()) {
             fence = -1;
             return;
         }
@@ -116,14 +116,14 @@
         // A new duty holder repeats the requests of the previous one, and so learns their results.
         if (fence != controlNode.fence()) {
             fence = controlNode.fence();
-            scaler = new Scaler(nodeSettings.heartbeat() * 7 / 2, now);
+            scaler = new Scaler(nodeSettings.heartbeatNanos() * 7 / 2, now);
             pendingStarts.values().forEach(start -> start.inFlight = false);
             workers.expire();
             controlNode.instances().all().stream()
                     .filter(r -> r.phase() == Instance.Phase.LEAVING && !listReader.isDraining(r.id()))
                     .forEach(r -> leavingSince.putIfAbsent(r.id(), now));
         }
-        if (now - lastAnnouncementAt > nodeSettings.heartbeat()) {
+        if (now - lastAnnouncementAt > nodeSettings.heartbeatNanos()) {
             lastAnnouncementAt = now;
             announcePending();
         }
@@ -135,11 +135,11 @@
                         || controlNode.instances().get(id).phase() == Instance.Phase.GONE);
         pendingStarts
                 .values()
-                .removeIf(start -> !start.inFlight && now - start.updatedAt > 20 * nodeSettings.heartbeat());
+                .removeIf(start -> !start.inFlight && now - start.updatedAt > 20 * nodeSettings.heartbeatNanos());
         workers.refresh(now, controlNode.configuration() != null);
         for (PendingStart start : List.copyOf(pendingStarts.values())) {
             if (!start.inFlight
-                    && (start.attempts == 0 || now - start.updatedAt > nodeSettings.heartbeat() / 4)
+                    && (start.attempts == 0 || now - start.updatedAt > nodeSettings.heartbeatNanos() / 4)
                     && tryAcquireDutyCall(now)) {
                 requestStart(start, now);
             }
@@ -149,7 +149,7 @@
         }
         for (Map.Entry<String, Long> each : List.copyOf(leavingSince.entrySet())) {
             // By then the proxies have learned that the instance must get no more requests.
-            if (now - each.getValue() > nodeSettings.heartbeat() / 2 && tryAcquireDutyCall(now)) {
+            if (now - each.getValue() > nodeSettings.heartbeatNanos() / 2 && tryAcquireDutyCall(now)) {
                 leavingSince.put(each.getKey(), now);
                 requestStop(each.getKey());
             }
@@ -204,7 +204,7 @@
             newIntents.add(start.intent);
         }
         if (!newIntents.isEmpty()) {
-            controlNode.tellControlNodes(new StartIntents(newIntents, List.of()));
+            controlNode.sendToControlNodes(new StartIntents(newIntents, List.of()));
             for (PendingStart start : List.copyOf(pendingStarts.values())) {
                 if (!start.inFlight && start.attempts == 0 && tryAcquireDutyCall(now)) {
                     requestStart(start, now);
@@ -212,7 +212,7 @@
             }
         }
         if (!plan.starts().isEmpty() || !plan.stops().isEmpty()) {
-            environment.note("starts "
+            environment.log("starts "
                     + plan.starts().stream()
                             .map(s -> s.service() + "@" + s.zone())
                             .toList() + ", stops "
@@ -222,7 +222,7 @@
         }
         for (Instance instance : plan.stops()) {
             leavingSince.put(instance.id(), now);
-            controlNode.changed(List.of(instance.withPhase(Instance.Phase.LEAVING)), true);
+            controlNode.mergeInstances(List.of(instance.withPhase(Instance.Phase.LEAVING)), true);
         }
     }
 
@@ -240,7 +240,7 @@
                 response -> {
                     start.inFlight = false;
                     start.updatedAt = environment.now();
-                    boolean stillHolds = controlNode.holds() && controlNode.fence() == requestFence;
+                    boolean stillHolds = controlNode.holdsDuty() && controlNode.fence() == requestFence;
                     if (response == null || response.status() == 429 || response.status() >= 500) {
                         if (start.attempts > 8 && stillHolds) {
                             finish(start);
@@ -252,14 +252,14 @@
                     finish(start);
                     if (response.status() != 200 || response.body() == null) {
                         workers.startRefused();
-                        environment.note("platform refused to start " + start.intent.service() + " on "
+                        environment.log("platform refused to start " + start.intent.service() + " on "
                                 + start.intent.worker() + ": " + response.status());
                         return;
                     }
                     workers.startAccepted();
                     try {
                         Fields body = new Fields(response.body());
-                        controlNode.changed(
+                        controlNode.mergeInstances(
                                 List.of(new Instance(
                                         body.text("identifier"),
                                         start.intent.service(),
@@ -270,14 +270,14 @@
                                         start.intent.slots())),
                                 true);
                     } catch (MalformedMessage e) {
-                        environment.note("malformed response to a start: " + e.getMessage());
+                        environment.log("malformed response to a start: " + e.getMessage());
                     }
                 });
     }
 
     private void finish(PendingStart start) {
         pendingStarts.remove(start.intent.nonce());
-        controlNode.tellControlNodes(new StartIntents(List.of(), List.of(start.intent.nonce())));
+        controlNode.sendToControlNodes(new StartIntents(List.of(), List.of(start.intent.nonce())));
     }
 
     private void requestStop(String id) {
--- a/control/src/main/java/saltdale/control/InstanceListReader.java
+++ b/control/src/main/java/saltdale/control/InstanceListReader.java
@@ -54,23 +54,25 @@
         long now = environment.now();
         if (!reading && now - lastPageRequestAt < pageIntervalNanos()) {
             // The first page of a list counts towards the rate too.
-            environment.after(lastPageRequestAt + pageIntervalNanos() - now, this::read);
+            environment.schedule(lastPageRequestAt + pageIntervalNanos() - now, this::read);
             return;
         }
         // Lists of many pages must not overlap, but a page whose response never came must not block the next list.
-        if (!reading || now - lastPageRequestAt > PAGE_TIMEOUT_HEARTBEATS * nodeSettings.heartbeat()) {
+        if (!reading || now - lastPageRequestAt > PAGE_TIMEOUT_HEARTBEATS * nodeSettings.heartbeatNanos()) {
             reading = true;
             requestPage(null, new ArrayList<>(), 1, now);
         }
-        double minIntervalSeconds = controlNode.voters()
+        double minIntervalSeconds = controlNode.voterCount()
                 * (pageCount + 1)
                 / (AVERAGE_RATE_SHARE * nodeSettings.rates().listCallsPerSecond());
-        environment.after(Math.max(nodeSettings.heartbeat() / 2, (long) (minIntervalSeconds * 1e9)), this::read);
+        environment.schedule(
+                Math.max(nodeSettings.heartbeatNanos() / 2, (long) (minIntervalSeconds * 1e9)), this::read);
     }
 
     private long pageIntervalNanos() {
-        return (long)
-                (controlNode.voters() / (PEAK_RATE_SHARE * nodeSettings.rates().listCallsPerSecond()) * 1e9);
+        return (long) (controlNode.voterCount()
+                / (PEAK_RATE_SHARE * nodeSettings.rates().listCallsPerSecond())
+                * 1e9);
     }
 
     private void requestPage(String token, List<Instance> instances, int page, long requestedAt) {
@@ -91,11 +93,12 @@
                     String next = body.text("next_page_token");
                     reading = true;
                     // Spaces the pages so that bursts of all control nodes together stay within the rate limit.
-                    environment.after(pageIntervalNanos(), () -> requestPage(next, instances, page + 1, requestedAt));
+                    environment.schedule(
+                            pageIntervalNanos(), () -> requestPage(next, instances, page + 1, requestedAt));
                     return;
                 }
             } catch (MalformedMessage e) {
-                environment.note("malformed instance list from the platform: " + e.getMessage());
+                environment.log("malformed instance list from the platform: " + e.getMessage());
                 return;
             }
             pageCount = page;
@@ -116,7 +119,7 @@
                 from.text("zone"),
                 from.text("worker_machine", ""),
                 ready ? Instance.Phase.READY : Instance.Phase.LEAVING,
-                (int) Math.max(1, from.whole("concurrency_slots", 1)));
+                (int) Math.max(1, from.integer("concurrency_slots", 1)));
     }
 
     private void apply(List<Instance> list, long requestedAt) {
@@ -137,7 +140,7 @@
                 .filter(instance -> instance.phase().compareTo(Instance.Phase.LEAVING) >= 0)
                 .toList();
         if (!unavailable.isEmpty()) {
-            controlNode.tellControlNodes(new InstanceUpdates(unavailable));
+            controlNode.sendToControlNodes(new InstanceUpdates(unavailable));
         }
     }
 }
--- a/control/src/main/java/saltdale/control/WorkerTable.java
+++ b/control/src/main/java/saltdale/control/WorkerTable.java
@@ -65,7 +65,7 @@
             reportedFreeMb.clear();
             all.forEach(worker -> reportedFreeMb.put(worker.name, worker.freeMb));
         } catch (MalformedMessage e) {
-            environment.note("malformed worker list from the platform: " + e.getMessage());
+            environment.log("malformed worker list from the platform: " + e.getMessage());
         }
     }
 
--- a/control/src/main/java/saltdale/control/message/MessageCodec.java
+++ b/control/src/main/java/saltdale/control/message/MessageCodec.java
@@ -13,7 +13,7 @@
 
     /** Returns the bytes that are sent to another process. */
     public static byte[] encode(Message message) {
-        return Trees.cbor(tree(message));
+        return Trees.toCbor(tree(message));
     }
 
     /**
--- a/control/src/main/java/saltdale/control/message/SessionMessage.java
+++ b/control/src/main/java/saltdale/control/message/SessionMessage.java
@@ -223,7 +223,7 @@
                     fields.string("session"),
                     fields.string("digest"),
                     fields.integerInRange("offset", 0, Integer.MAX_VALUE),
-                    fields.integerInRange("total", 1, ConfigurationSnapshot.MOST),
+                    fields.integerInRange("total", 1, ConfigurationSnapshot.MAX_UNPACKED_BYTES),
                     fields.bytes("bytes"));
         }
     }
--- a/core/src/main/java/saltdale/decision/Dispatcher.java
+++ b/core/src/main/java/saltdale/decision/Dispatcher.java
@@ -1,8 +1,11 @@
-// All decisions of one dispatcher. An adapter builds it with the standing orders, a Door and chance, calls a
-// method for each event, from began to woken, and settle after a round's last one: only settle acts.
+// All decisions of one dispatcher. An adapter creates it, calls an event method for each event (onStart to
+// onTimer), and applyActions after the last event of a round: only that method calls DispatcherActions.
 package saltdale.decision;
 
-import static saltdale.model.Spans.*;
+import static java.lang.Double.POSITIVE_INFINITY;
+import static saltdale.model.Durations.*;
+import static saltdale.model.Outcome.*;
+import static saltdale.model.Workload.RepeatSafety.*;
 import static saltdale.probing.Payoff.smooth;
 
 import java.time.Duration;
@@ -12,748 +15,744 @@
 import saltdale.overload.*;
 import saltdale.probing.ProbeLoop;
 
-/** One dispatcher of jobs: probes runners for each job, stops at the first idle one, and weighs further attempts. */
+/** Probes runners for each request, sends it to the first idle one found, and decides on further attempts. */
 public final class Dispatcher {
-    static final double SCARCE = 0.95;  // busy share above which the busy and unsteady are needed too
-    static final double MOVABLE = 0.5;  // busy share up to which work that waits is moved
-    static final double BELIEF = 4;  // so many runs at the usual pace are believed before any is seen
-    static final double POOR = 0.3;  // a runner failing more than this share of late is set aside
-    static final double HOMES = 3;  // runners that are home to a key, and so many times its share of all
-    static final double REPEAT = 0.5;  // what a marked repeat earns beside a first try: its time is short
-    static final double DOUBT = 0.7;  // the most that a runner is passed over for the silence of its zone
-
-    StandingOrders orders;  // replaced for the length of a question by a preview alone
+    static final double SATURATION = 0.95;  // busy share above which busy and unstable runners are needed too
+    static final double MAX_BUSY_TO_MOVE = 0.5;  // busy share up to which waiting work is moved
+    static final double PRIOR_RUNS = 4;  // weight of the prior, in runs at the usual speed
+    static final double EJECT_SHARE = 0.3;  // a runner that lately failed more than this is ejected
+    static final double HOMES = 3;  // homes of a key: this many runners, plus this multiple of its share
+    static final double RETRY_VALUE = 0.5;  // value relative to a first try: a retry has little time left
+    static final double ZONE_DOUBT = 0.7;  // highest probability of avoiding a runner of an unresponsive zone
+
+    DispatcherSettings settings;  // a Preview replaces it for the duration of a query
     Preview preview = Preview.NONE;
-    private final Door door;
-    private final SplittableRandom chance;
+    private final DispatcherActions actions;
+    private final SplittableRandom random;
     final List<Runner> runners = new ArrayList<>();
     private final Map<Workload, WorkloadStats> stats = new HashMap<>();
-    private final Pace pace = new Pace(16, null);  // of all runners; within it those of each kind
-    private final Map<String, Kind> kinds = new HashMap<>();
-    private final Set<Assignment> touched = new LinkedHashSet<>();
+    private final RunTimeRatio fleetRatio = new RunTimeRatio(16, null);  // of the fleet; group of all types
+    private final Map<String, MachineTypeStats> machineTypes = new HashMap<>();
+    private final Set<Request> changed = new LinkedHashSet<>();
     final ProbeLoop probing = new ProbeLoop();
-    double waitPerLoad;  // smoothed: the wait that a load of 1 brings
-    private double meanSize, meanWorth, arrivals;  // of all that arrived
-    double unseen;  // jobs that likely reached a runner since the report that it answers with
-    private final Map<String, Double> silent = new HashMap<>();  // by zone, how much of late went unanswered
-    final Histogram further = Histogram.ofOdds(32);  // whether recent further dispatches succeeded
-    double busyElsewhere;  // λ' of the runners where no bound work may run
+    double waitPerLoad;  // seconds of wait per unit of load, smoothed
+    private double meanRunTime, meanValue, arrivalCount;  // of all requests received
+    double unreportedJobs;  // likely arrivals at a runner since the state it reports
+    private final Map<String, Double> zoneSilence = new HashMap<>();  // by zone: share of unanswered contacts
+    final Histogram retries = Histogram.ofBooleans(32);  // success of recent retries
+    double generalLambda;  // λ' of runners that accept no restricted workload
     private final Keys keys = new Keys();
-    private final Workload[] bound;  // those that may not run everywhere
+    private final Workload[] restricted;  // workloads that not every runner accepts
     private static final Workload[] NONE = {};
-    private Duration dropped, droppedAt;  // after which rest a connection was found dropped, and when
-    final Histogram connects = Histogram.ofOdds(32);  // whether recent new connections came up
+    private Duration droppedIdle, droppedAt;  // idle time of a connection found dropped, and when
+    final Histogram connects = Histogram.ofBooleans(32);  // success of recent connection attempts
     private final FleetSurvey fleet;
-    private final ColdBudget cold;
-    private final boolean noPure;
-    private Duration askAt, askGap;  // when to ask for the list (null while subscribed), and again
-    private final Levels levels;  // null where overloads are not met by them
-    private final Budget budget = new Budget();  // of further dispatches, likewise
-    private final Duration spell, memory;  // the unit of setting aside; how long what was measured counts
-
-    public Dispatcher(StandingOrders orders, Door door, SplittableRandom chance) {
-        this.orders = orders;
-        this.door = door;
-        this.chance = chance;
-        spell = orders.workloads.stream().map(w -> w.patience).reduce(orders.askWithin, Spans::least)
-                .dividedBy(4);
-        memory = most(spell, orders.warmWithin);
-        fleet = new FleetSurvey(orders, runners, memory);
-        cold = new ColdBudget(orders, fleet, stats.values(), memory, chance);
-        levels = orders.relief == null ? null : new Levels(orders.relief, memory);
-        orders.workloads.forEach(w -> stats.put(w, new WorkloadStats(levels)));
-        bound = orders.workloads.stream().filter(Workload::isBound).toArray(Workload[]::new);
-        noPure = orders.workloads.stream().noneMatch(w -> w.repeat == Workload.Repeat.PURE);
-        askGap = orders.askWithin.dividedBy(20);
-    }
-
-    public void began(Duration now) {
-        askAt = orders.mustSubscribe ? now : null;
-    }
-
-    public void listed(Duration now, List<Sighting> sightings, boolean whole, boolean cached) {
-        Set<Runner> seen = new LinkedHashSet<>();
-        for (Sighting s : sightings) {
-            seen.add(s.runner());
-            s.runner().sighted(s, kinds.computeIfAbsent(s.kind(), k -> new Kind(new Pace(64, pace))));
-            // Guards against waiting for work that a process took with it: the one there now has none.
-            s.runner().out.stream().filter(d -> s.startedAt() != null
-                    && d.sentAt.compareTo(s.startedAt()) < 0).forEach(this::takeBack);
-        }
-        runners.stream().filter(r -> whole && !seen.contains(r)).forEach(r -> r.mode = Runner.Mode.GONE);
-        seen.addAll(runners);
+    private final ColdBudget coldBudget;
+    private final boolean nonePure;  // no workload is pure
+    private Duration subscribeAt, subscribeDelay;  // next subscription (null while subscribed); retry delay
+    private final AdmissionControl admission;  // null without overload settings
+    private final RetryBudget retryBudget = new RetryBudget();  // used with overload settings only
+    private final Duration backoff, timeConstant;  // unit of back-off delays; decay of measurements
+
+    public Dispatcher(DispatcherSettings settings, DispatcherActions actions, SplittableRandom random) {
+        this.settings = settings;
+        this.actions = actions;
+        this.random = random;
+        backoff = settings.workloads.stream().map(w -> w.clientTimeout)
+                .reduce(settings.subscribeWithin, Durations::min).dividedBy(4);
+        timeConstant = max(backoff, settings.warmUpTime);
+        fleet = new FleetSurvey(settings, runners, timeConstant);
+        coldBudget = new ColdBudget(settings, fleet, stats.values(), timeConstant, random);
+        admission = settings.overload == null ? null : new AdmissionControl(settings.overload, timeConstant);
+        settings.workloads.forEach(w -> stats.put(w, new WorkloadStats(admission)));
+        restricted = settings.workloads.stream().filter(Workload::isRestricted).toArray(Workload[]::new);
+        nonePure = settings.workloads.stream().noneMatch(w -> w.repeatSafety == PURE);
+        subscribeDelay = settings.subscribeWithin.dividedBy(20);
+    }
+
+    public void onStart(Duration now) {
+        subscribeAt = settings.subscribes ? now : null;
+    }
+
+    /** A runner list has arrived: complete or a change, from the service or a cache. */
+    public void onRunnerList(Duration now, List<RunnerListEntry> entries, boolean complete, boolean cached) {
+        Set<Runner> listed = new LinkedHashSet<>();
+        for (RunnerListEntry entry : entries) {
+            listed.add(entry.runner());
+            entry.runner().update(entry, machineTypes.computeIfAbsent(entry.machineType(),
+                    name -> new MachineTypeStats(new RunTimeRatio(64, fleetRatio))));
+            // Attempts sent before the runner process restarted are lost: don't wait for them.
+            entry.runner().inFlight.stream().filter(attempt -> entry.startedAt() != null
+                    && attempt.sentAt.compareTo(entry.startedAt()) < 0).forEach(this::withdraw);
+        }
+        runners.stream().filter(r -> complete && !listed.contains(r)).forEach(r -> r.mode = Runner.Mode.GONE);
+        listed.addAll(runners);
         runners.clear();
-        runners.addAll(seen);
+        runners.addAll(listed);
         runners.removeIf(r -> r.mode == Runner.Mode.GONE);
-        if (!cached && orders.mustSubscribe) {
-            askAt = null;
-            askGap = orders.askWithin.dividedBy(20);
+        if (!cached && settings.subscribes) {
+            subscribeAt = null;
+            subscribeDelay = settings.subscribeWithin.dividedBy(20);
         }
     }
 
-    /** Learnt of one, held against its zone too: each of us meets a runner seldom, but a lost zone often. */
-    private void unheard(Duration now, Runner r) {
-        r.unheard(now, spell);
-        silent.merge(r.zone, smooth(0, 1), (share, first) -> smooth(share, 1));
+    /** Also counts against the zone: a dispatcher contacts one runner rarely, but a lost zone often. */
+    private void recordNoResponse(Duration now, Runner r) {
+        r.recordNoResponse(now, backoff);
+        zoneSilence.merge(r.zone, smooth(0, 1), (old, first) -> smooth(old, 1));
     }
 
-    private void takeBack(Dispatch d) {
-        d.cancelWanted = true;
-        touched.add(d.assignment);
+    private void withdraw(Attempt attempt) {
+        attempt.cancelPlanned = true;
+        changed.add(attempt.request);
     }
 
-    public void listFailed(Duration now) {  // jitter, and a gap that doubles, spare the small list service
-        askAt = now.plus(ofSecs(secs(askGap) * (0.5 + chance.nextDouble())));
-        askGap = least(askGap.multipliedBy(2), orders.askWithin.dividedBy(2));
+    public void onRunnerListFailure(Duration now) {  // jitter, doubling delays: spare the small list service
+        subscribeAt = now.plus(ofSeconds(seconds(subscribeDelay) * (0.5 + random.nextDouble())));
+        subscribeDelay = min(subscribeDelay.multipliedBy(2), settings.subscribeWithin.dividedBy(2));
     }
 
-    public void arrived(Duration now, Assignment a) {
-        WorkloadStats seen = stats.get(a.workload);
-        seen.patience = most(seen.patience, a.patience());
-        if (a.hint != null) {
-            seen.saw(secs(a.hint));
-        }
-        meanSize += (size(a) - meanSize) / Math.min(++arrivals, 99);
-        meanWorth += (worth(a) - meanWorth) / Math.min(arrivals, 99);
-        a.luck = chance.nextDouble();
-        if (a.key != 0) {
-            keys.add(a.key);
-        }
-        if (levels != null && a.workload.lateImportance == 0 && crowdedOut(now, a)) {
-            answer(a, soon(a));
+    public void onRequest(Duration now, Request req) {
+        WorkloadStats stat = stats.get(req.workload);
+        stat.maxClientTimeout = max(stat.maxClientTimeout, req.clientTimeout());
+        if (req.runTimeHint != null) { stat.addRunTime(seconds(req.runTimeHint)); }
+        meanRunTime += (runTime(req) - meanRunTime) / Math.min(++arrivalCount, 99);
+        meanValue += (value(req) - meanValue) / Math.min(arrivalCount, 99);
+        req.randomDraw = random.nextDouble();
+        if (req.affinityKey != 0) { keys.add(req.affinityKey); }
+        if (admission != null && req.workload.lateImportance == 0 && isCrowdedOut(now, req)) {
+            respond(req, retryAfter(req));
         } else {
-            consider(now, a);
+            decide(now, req);
         }
     }
 
-    // Guards against an overload in which what earns least for its work keeps out all that earns more.
-    private boolean crowdedOut(Duration now, Assignment a) {
-        Workload w = a.workload;
-        WorkloadStats seen = stats.get(w);
-        double earns = earns(w);
-        double slack = secs(w.promised) + (w.stretch - 1) * seen.usual;
-        double work = seen.ended == 0 ? seen.unit() : size(a);
-        levels.offered(now, kind(a), work, isRepeat(a) ? REPEAT * earns : earns, slack, seen.ended);
-        return levels.turnsAway(now, kind(a), a.luck);
+    // Prevents work of low value per second from displacing more valuable work during an overload.
+    private boolean isCrowdedOut(Duration now, Request req) {
+        Workload w = req.workload;
+        WorkloadStats stat = stats.get(w);
+        double value = valuePerSecond(w);
+        double slack = seconds(w.targetLatency) + (w.latencyStretch - 1) * stat.meanRunTime;
+        double workSeconds = stat.sampleCount == 0 ? stat.runTimeOrDefault() : runTime(req);
+        admission.recordArrival(now, admissionClass(req), workSeconds,
+                isMarkedRetry(req) ? RETRY_VALUE * value : value, slack, stat.sampleCount);
+        return admission.shouldReject(now, admissionClass(req), req.randomDraw);
     }
 
-    private boolean isRepeat(Assignment a) {
-        return orders.repeatsMarked && a.repeated;
+    private boolean isMarkedRetry(Request req) {
+        return settings.retriesMarked && req.markedAsRetry;
     }
 
-    private Levels.Kind kind(Assignment a) {
-        return isRepeat(a) ? stats.get(a.workload).again : stats.get(a.workload).kind;
+    private AdmissionControl.AdmissionClass admissionClass(Request req) {
+        return isMarkedRetry(req) ? stats.get(req.workload).retries : stats.get(req.workload).firstTries;
     }
 
-    private void judged(Duration now, Assignment a, boolean missed) {
-        if (levels != null) {
-            levels.judged(now, kind(a), missed);
-        }
+    private void recordCompletion(Duration now, Request req, boolean missed) {
+        if (admission != null) { admission.recordCompletion(now, admissionClass(req), missed); }
     }
 
-    /** When what is shed may come back: spread over the time in which it can still be served. */
-    private Duration soon(Assignment a) {
-        return ofSecs(aim(a) * a.luck / 4);
+    /** The Retry-After for a shed request: spread over the time in which it can still be served. */
+    private Duration retryAfter(Request req) {
+        return ofSeconds(targetSeconds(req) * req.randomDraw / 4);
     }
 
-    /** How overloads are met; null where that is not asked for. */
-    public Levels levels() {
-        return levels;
+    public AdmissionControl admissionControl() {  // null without overload settings
+        return admission;
     }
 
-    public void started(Duration now, Dispatch d) {
-        begun(now, d);
-        progressed(now, d);
-        consider(now, d.assignment);
+    public void onStarted(Duration now, Attempt attempt) {
+        recordStart(now, attempt);
+        onProgress(now, attempt);
+        decide(now, attempt.request);
     }
 
-    public void progressed(Duration now, Dispatch d) {
-        if (d.startedAt == null) {  // no start is told: it was at most one period ago
-            begun(most(d.sentAt, now.minus(orders.progressEvery)), d);
+    public void onProgress(Duration now, Attempt attempt) {
+        if (attempt.startedAt == null) {  // no start was reported: at most one progress interval ago
+            recordStart(max(attempt.sentAt, now.minus(settings.progressInterval)), attempt);
         }
-        d.heardAt = now;
-        d.runner.heard();
+        attempt.lastProgressAt = now;
+        attempt.runner.recordResponse();
     }
 
-    /** The wait that a load of 1 brings: as seen, until then as slots and the mean size tell. */
+    /** Seconds of wait per unit of load: as measured; until then estimated from slots and mean run time. */
     private double waitPerLoad(Runner r) {
-        double likely = waitPerLoad > 0 || r.of.slots == 0 ? waitPerLoad : meanSize / r.of.slots;
-        // Guards against a start in an overload: with no wait known nothing is late, and queues fill at once.
-        return likely == 0 && levels != null ? secs(spell) / 2 / Math.max(1, r.of.slots) : likely;
+        double wait = waitPerLoad > 0 || r.typeStats.slots == 0 ? waitPerLoad
+                : meanRunTime / r.typeStats.slots;
+        // For a start during an overload: with no known wait, nothing counts as late and queues fill at once.
+        return wait == 0 && admission != null ? seconds(backoff) / 2 / Math.max(1, r.typeStats.slots) : wait;
     }
 
-    private void begun(Duration at, Dispatch d) {
-        d.startedAt = at;
-        double perLoad = waitPerLoad(d.runner), waited = secs(at.minus(d.sentAt));
-        if (d.load == 0 && perLoad > 0 && Double.isNaN(d.runner.report.queue())) {
-            // Guards against reports so old that each draws all: what a job waited for where it was found
-            // idle had come unseen. A start known by progress alone is off by half a period.
-            double ahead = waited - (orders.tellsStart ? 0 : secs(orders.progressEvery) / 2);
-            unseen += Math.min(1, Math.max(0, ahead / perLoad / 4));
+    private void recordStart(Duration at, Attempt attempt) {
+        attempt.startedAt = at;
+        double perLoad = waitPerLoad(attempt.runner), waited = seconds(at.minus(attempt.sentAt));
+        if (attempt.runnerLoad == 0 && perLoad > 0 && Double.isNaN(attempt.runner.report.queue())) {
+            // Outdated reports attract all dispatchers. What a job waits for on a runner found idle arrived
+            // after the report. A start known from progress alone is half an interval off on average.
+            double ahead = waited - (settings.reportsStart ? 0 : seconds(settings.progressInterval) / 2);
+            unreportedJobs += Math.min(1, Math.max(0, ahead / perLoad / 4));
         }
-        waitPerLoad = d.load < 0.5 ? waitPerLoad : smooth(perLoad, waited / d.load);
+        waitPerLoad = attempt.runnerLoad < 0.5 ? waitPerLoad : smooth(perLoad, waited / attempt.runnerLoad);
     }
 
-    public void streaming(Duration now, Dispatch d) {
-        d.assignment.stream = d;
-        touched.add(d.assignment);
+    public void onStreaming(Duration now, Attempt attempt) {
+        attempt.request.streamingAttempt = attempt;
+        changed.add(attempt.request);
     }
 
-    public void ended(Duration now, Dispatch d, Outcome outcome, boolean over, LoadReport report) {
-        Assignment a = d.assignment;
-        d.outcome = outcome;
-        d.unproven = outcome == Outcome.TURNED_AWAY && orders.fullProvesNothing;
-        d.runner.out.remove(d);
-        d.runner.report = report == null ? d.runner.report : report;
-        learn(now, d);
-        if (over) {
-            close(a);
-        } else if (!a.closed && a.pending() == null && a.wantedRunner == null) {
-            furtherOrAnswer(now, a);
+    /** An attempt has ended; {@code done}: the client has its final response. */
+    public void onAttemptEnd(Duration now, Attempt ended, Outcome outcome, boolean done, LoadReport report) {
+        Request req = ended.request;
+        ended.outcome = outcome;
+        ended.ambiguousRejection = outcome == TURNED_AWAY && settings.lateRejections;
+        ended.runner.inFlight.remove(ended);
+        ended.runner.report = report == null ? ended.runner.report : report;
+        recordResult(now, ended);
+        if (done) {
+            close(req);
+        } else if (!req.closed && req.pendingAttempt() == null && req.plannedRunner == null) {
+            retryOrRespond(now, req);
         }
-        touched.add(a);
+        changed.add(req);
     }
 
-    public void probed(Duration now, Runner r, boolean answered, Duration took, LoadReport report) {
-        Assignment a = r.asking.poll();
-        while (a != null && a.asked != r) {  // it no longer waited
-            a = r.asking.poll();
+    public void onProbeResult(Duration now, Runner r, boolean answered, Duration rtt, LoadReport report) {
+        Request req = r.probeWaiters.poll();
+        while (req != null && req.probeTarget != r) {  // that request stopped waiting
+            req = r.probeWaiters.poll();
         }
-        double load = Double.POSITIVE_INFINITY;
-        boolean idle = false;
+        double load = POSITIVE_INFINITY;
+        boolean isIdle = false;
         if (!answered) {
-            unheard(now, r);
+            recordNoResponse(now, r);
         } else {
-            r.heard();
-            silent.remove(r.zone);  // it is not cut off, whatever holds for others in it
+            r.recordResponse();
+            zoneSilence.remove(r.zone);  // the zone is reachable, whatever holds for other runners in it
             r.report = report == null ? LoadReport.NONE : report;
-            r.of.sawFree(r.report);
-            r.known = true;
-            unseen *= 0.99;
+            r.typeStats.recordSlots(r.report);
+            r.contacted = true;
+            unreportedJobs *= 0.99;
             load = load(r);
-            idle = idle(now, r, a == null ? 1 : a.slots);
-            preview.probed(now, a, r);
-            probing.sawProbe(idle, load, secs(took));
-            if (levels != null) {
-                levels.waits(now, probing.meanQueue * waitPerLoad);
-            }
-            busyElsewhere = r.takesAny(bound) ? busyElsewhere : smooth(busyElsewhere, idle ? 0 : 1);
-            r.busyAt = idle ? null : now;
-        }
-        if (a != null) {
-            a.asked = null;
-            double toll = toll(now, a, r);
-            if (!a.closed && idle && sendable(now, a, r) && toll <= a.leastCost()) {
-                take(now, a, r, 0);
-            } else if (!a.closed) {
-                // Guards against chance sends that gather in a cold queue: those go to an idle runner alone.
-                boolean over = orders.warmth(now, r) < 1 && cold.room(now, r) < work(a);
-                a.found(r, over ? Double.POSITIVE_INFINITY : weighed(now, r, load, idle), toll);
-                search(now, a);
+            isIdle = isIdle(now, r, req == null ? 1 : req.slots);
+            preview.onProbeResult(now, req, r);
+            probing.recordProbe(isIdle, load, seconds(rtt));
+            if (admission != null) { admission.recordWait(now, probing.meanQueue * waitPerLoad); }
+            generalLambda = r.acceptsAny(restricted) ? generalLambda : smooth(generalLambda, isIdle ? 0 : 1);
+            r.foundBusyAt = isIdle ? null : now;
+        }
+        if (req != null) {
+            req.probeTarget = null;
+            double extra = extraLoad(now, req, r);
+            if (!req.closed && isIdle && canSend(now, req, r) && extra <= req.lowestCost()) {
+                choose(now, req, r, 0);
+            } else if (!req.closed) {
+                // Random sends beyond a cold runner's budget go to idle runners only, or they would queue up.
+                boolean over = settings.warmth(now, r) < 1 && coldBudget.remaining(now, r) < work(req);
+                req.addProbeResult(r, over ? POSITIVE_INFINITY : adjustedLoad(now, r, load, isIdle), extra);
+                search(now, req);
             }
         }
     }
 
-    double weighed(Duration now, Runner r, double load, boolean idle) {
-        return Math.max(load, idle ? 0 : 0.5) * pace(now, r) / pace.of(BELIEF, BELIEF);  // slots may be full
+    double adjustedLoad(Duration now, Runner r, double load, boolean isIdle) {  // 0.5: slots may be full
+        return Math.max(load, isIdle ? 0 : 0.5) * ratio(now, r) / fleetRatio.estimate(PRIOR_RUNS, PRIOR_RUNS);
     }
 
-    public void close(Assignment a) {
-        a.closed = true;
-        touched.add(a);
+    /** The request needs no response any more: it was answered or its client has gone. */
+    public void close(Request req) {
+        req.closed = true;
+        changed.add(req);
     }
 
-    public void woken(Duration now, Object what) {
-        if (what instanceof Assignment a) {
-            a.timerAt = null;
-            consider(now, a);
+    public void onTimer(Duration now, Object timerTarget) {
+        if (timerTarget instanceof Request req) {
+            req.timerAt = null;
+            decide(now, req);
         }
     }
 
-    private void consider(Duration now, Assignment a) {
-        Dispatch out = a.pending();
-        Duration lastCall = least(a.deadline, orders.endsAt).minus(orders.round.multipliedBy(4));  // ours
-        a.wantedLook = null;
-        if (a.stream != null || a.closed) {
-            return;
-        }
-        look(a, lastCall);
-        if (reached(now, lastCall)) {
-            answer(a, null);
-        } else if (a.asked != null || out == null && a.wantedRunner == null) {
-            search(now, a);
-        } else if (out != null) {
-            watch(now, a, out);
+    private void decide(Duration now, Request req) {
+        Attempt pending = req.pendingAttempt();
+        Duration last = min(req.deadline, settings.shutdownAt).minus(settings.roundInterval.multipliedBy(4));
+        req.plannedCheckAt = null;
+        if (req.streamingAttempt != null || req.closed) { return; }
+        checkAt(req, last);  // leaves time for the dispatcher's own response
+        if (reached(now, last)) {
+            respond(req, null);
+        } else if (req.probeTarget != null || pending == null && req.plannedRunner == null) {
+            search(now, req);
+        } else if (pending != null) {
+            watch(now, req, pending);
         }
     }
 
-    private void search(Duration now, Assignment a) {
-        if (a.asked != null) {
-            Duration limit = a.askedAt.plus(probeLimit(a));
+    private void search(Duration now, Request req) {
+        if (req.probeTarget != null) {
+            Duration limit = req.probeSentAt.plus(probeTimeout(req));
             if (!reached(now, limit)) {
-                look(a, limit);
+                checkAt(req, limit);
                 return;
             }
-            a.found(a.asked, 2 * probing.meanQueue + 1, toll(now, a, a.asked));  // guards against a halt here
-            unheard(now, a.asked);
-            a.asked = null;
-        }
-        while (a.probed.isEmpty() || probing.worthAnother(a.probed.size(), Collections.min(a.loads))) {
-            Runner next = pick(now, a);
+            req.addProbeResult(req.probeTarget, 2 * probing.meanQueue + 1,
+                    extraLoad(now, req, req.probeTarget));
+            recordNoResponse(now, req.probeTarget);  // go on without it: the search must not halt
+            req.probeTarget = null;
+        }
+        while (req.probedRunners.isEmpty()
+                || probing.worthAnother(req.probedRunners.size(), Collections.min(req.probedLoads))) {
+            Runner next = pickRunner(now, req);
             if (next == null) {
                 break;
-            } else if (orders.probes) {
-                a.wantedProbe = next;
-                look(a, now.plus(probeLimit(a)));
+            } else if (settings.mayProbe) {
+                req.plannedProbe = next;
+                checkAt(req, now.plus(probeTimeout(req)));
                 return;
-            } else if (idle(now, next, a.slots)) {
-                take(now, a, next, 0);
+            } else if (isIdle(now, next, req.slots)) {
+                choose(now, req, next, 0);
                 return;
             }
-            a.found(next, load(next), toll(now, a, next));
+            req.addProbeResult(next, load(next), extraLoad(now, req, next));
         }
         int best = -1, ties = 0;
-        for (int i = 0; i < a.probed.size(); i++) {
-            double cost = a.costs.get(i), gap = best < 0 ? -1 : cost - a.costs.get(best);
-            Runner r = a.probed.get(i);
-            if (cost < Double.POSITIVE_INFINITY && gap <= 0 && sendable(now, a, r) && !r.isSilent(now)) {
+        for (int i = 0; i < req.probedRunners.size(); i++) {
+            double cost = req.probedCosts.get(i), gap = best < 0 ? -1 : cost - req.probedCosts.get(best);
+            Runner r = req.probedRunners.get(i);
+            if (cost < POSITIVE_INFINITY && gap <= 0 && canSend(now, req, r) && !r.isUnresponsive(now)) {
                 ties = gap < 0 ? 1 : ties + 1;
-                best = chance.nextInt(ties) == 0 ? i : best;
+                best = random.nextInt(ties) == 0 ? i : best;
             }
         }
-        if (a.secondLook) {
-            a.secondLook = false;
-            look(a, now.plus(a.lookGap));
+        if (req.seekingAlternative) {
+            req.seekingAlternative = false;
+            checkAt(req, now.plus(req.recheckDelay));
         } else if (best >= 0) {
-            preview.chosen(now, a);
-            take(now, a, a.probed.get(best), a.loads.get(best));
-        } else if (a.workload.repeat != Workload.Repeat.PURE && a.mayHaveRun()
-                && runners.stream().noneMatch(r -> repeatable(now, a, r))) {
-            answer(a, null);  // guards against holding until its patience ends what nothing may follow
+            preview.onRunnerChosen(now, req);
+            choose(now, req, req.probedRunners.get(best), req.probedLoads.get(best));
+        } else if (req.workload.repeatSafety != PURE && req.mayHaveRun()
+                && runners.stream().noneMatch(r -> mayRepeat(now, req, r))) {
+            respond(req, null);  // no repeat is allowed: don't hold it until the client times out
         } else {
-            a.forgetSearch();  // nobody may be sent to just now: hold it, and begin again before long
-            a.luck = chance.nextDouble();
-            look(a, now.plus(a.workload.promised.dividedBy(4)));
+            req.clearSearch();  // no runner is eligible now: hold the request and search again soon
+            req.randomDraw = random.nextDouble();
+            checkAt(req, now.plus(req.workload.targetLatency.dividedBy(4)));
         }
     }
 
     double load(Runner r) {
         if (!Double.isNaN(r.report.queue())) {
-            // Guards against late reports: as many of each other dispatcher's jobs may wait there as of ours.
-            return Math.max(r.report.queue(), orders.tellsStart ? r.waiting() * orders.dispatchers : 0);
+            // Reports lag: each other dispatcher may have as many unreported jobs waiting there as this one.
+            return Math.max(r.report.queue(),
+                    settings.reportsStart ? r.notStartedCount() * settings.dispatcherCount : 0);
         }
-        double held = r.report.inFlight(), free = r.report.freeSlots();
-        if (Double.isNaN(held) && orders.liveWeights && r.of.slots > 0 && r.power > 0) {
-            held = (r.of.size / r.power - 1) * r.of.slots;
+        double inFlight = r.report.inFlight(), free = r.report.freeSlots();
+        if (Double.isNaN(inFlight) && settings.loadBasedWeights && r.typeStats.slots > 0 && r.weight > 0) {
+            inFlight = (r.typeStats.maxWeight / r.weight - 1) * r.typeStats.slots;
         }
-        return (free < unseen ? unseen - free : 0)
-                + (Double.isNaN(held) ? r.known ? r.out.size() : fleet.meanOut
-                : Math.max(Math.max(held, r.out.size()) - r.of.slots, 0));
+        return (free < unreportedJobs ? unreportedJobs - free : 0)
+                + (Double.isNaN(inFlight) ? r.contacted ? r.inFlight.size() : fleet.meanInFlight
+                : Math.max(Math.max(inFlight, r.inFlight.size()) - r.typeStats.slots, 0));
     }
 
-    /** Idle: nothing queued, and enough free slots for this job where they are reported. */
-    boolean idle(Duration now, Runner r, double slots) {
-        if (orders.tellsStart && r.waitsSince(now.minus(fewRoundTrips()))) {
-            return false;  // guards against late or untrue reports: the word of a start takes no longer
+    /** Whether nothing is queued and enough slots are free for this job, where free slots are reported. */
+    boolean isIdle(Duration now, Runner r, double slots) {
+        if (settings.reportsStart && r.hasNotStartedSince(now.minus(fewRoundTrips()))) {
+            return false;  // the report is late or wrong: a start is reported sooner than that
         }
-        double ours = orders.tellsStart ? r.slotsWaiting() : 0;  // whether the report has seen it or not
+        double ownSlots = settings.reportsStart ? r.notStartedSlots() : 0;  // the report may lack them
         if (Double.isNaN(r.report.freeSlots())) {
-            return Double.isNaN(r.report.queue()) ? load(r) < 0.5 : r.report.queue() + ours < 0.5;
-        }
-        return !(r.report.queue() >= 0.5) && r.report.freeSlots() - ours - unseen >= slots - 0.25;
-    }
-
-    // A random runner to probe next, new to this assignment: before all in good standing (at first, any will
-    // do), quick enough to run it in time, not likely busy or silent, of our own zone until a crossing counts
-    // less than the least found; last, slower ones are passed over by their pace.
-    private Runner pick(Duration now, Assignment a) {
-        fleet.take(now);
-        boolean mostAside = 2 * fleet.aside > fleet.ready;  // then it is not them, and nobody is passed over
-        stats.get(a.workload).sought.add(now, work(a), memory);
-        // Homes of what it concerns are probed first: where all of us send it, what it needs is likely kept.
-        Workload[] before = yieldsTo(a);
-        Duration keeps = keeps(now);
-        double homes = a.key == 0 ? 1 : HOMES * (1 / fleet.ready + keys.share(a.key));
-        double aim = aim(a), size = size(a);
-        double least = a.probed.isEmpty() ? 0 : a.leastCost();
+            return Double.isNaN(r.report.queue()) ? load(r) < 0.5 : r.report.queue() + ownSlots < 0.5;
+        }
+        return !(r.report.queue() >= 0.5) && r.report.freeSlots() - ownSlots - unreportedJobs >= slots - 0.25;
+    }
+
+    // A random runner to probe next, not yet probed for this request. Ranks by, most significant first:
+    // trusted (required after the first probe), fast enough for the target latency, home of the key, likely
+    // idle and responsive, extra load (zone, connection) up to the lowest cost found; slower ones less often.
+    private Runner pickRunner(Duration now, Request req) {
+        fleet.update(now);
+        boolean mostEjected = 2 * fleet.ejectedCount > fleet.readyCount;  // cause lies elsewhere: avoid none
+        stats.get(req.workload).searchedWork.add(now, work(req), timeConstant);
+        // Homes of its key come first: all dispatchers send the key there, so its data is likely cached.
+        Workload[] first = yieldsTo(req);
+        Duration maxIdleTime = maxIdleTime(now);
+        double homes = req.affinityKey == 0 ? 1
+                : HOMES * (1 / fleet.readyCount + keys.share(req.affinityKey));
+        double target = targetSeconds(req), runTime = runTime(req);
+        double lowestCost = req.probedRunners.isEmpty() ? 0 : req.lowestCost();
         Runner best = null;
-        int leastRank = a.probed.isEmpty() && !a.secondLook ? 64 : 32;
-        for (int i = 0; i < runners.size() && leastRank > 0; i++) {
-            Collections.swap(runners, i, i + chance.nextInt(runners.size() - i));  // draws without lists
+        int bestRank = req.probedRunners.isEmpty() && !req.seekingAlternative ? 64 : 32;
+        for (int i = 0; i < runners.size() && bestRank > 0; i++) {
+            Collections.swap(runners, i, i + random.nextInt(runners.size() - i));  // draws without allocation
             Runner r = runners.get(i);
-            if (!a.probed.contains(r) && sendable(now, a, r)) {
-                boolean trusted = (r.trickle == null || mostAside || mayTry(a) && reached(now, r.trickleAt))
-                        && !r.refuses(now, a.workload) && !r.isSilent(now) && !a.sentTo(r);
-                // Guards against asking again what is busy still, unless nearly all are.
-                boolean unlikely = chance.nextDouble() < DOUBT * silent.getOrDefault(r.zone, 0.0)
-                        || r.busyAt != null && probing.runningTime > 0 && probing.lambdaSeen <= SCARCE
-                        && chance.nextDouble() < Math.exp(-secs(now.minus(r.busyAt)) / probing.runningTime);
-                // Guards against finding out who errs by what may then go to few others: pure work does it.
-                unlikely |= r.takesAny(before) || fleet.aside > 0 && a.workload.repeat != Workload.Repeat.PURE
-                        && (r.failures.count() == 0 || r.failures.last() > POOR);
-                double takes = pace(now, r), toll = toll(a, r, aim - takes * size, keeps, now);
-                int rank = (trusted ? 0 : 32) + (aim >= takes * size ? 0 : 16)
-                        + (a.key == 0 || Keys.isHome(a.key, r.hash, homes) ? 0 : 8)
-                        + (unlikely ? 4 : 0) + (toll > least ? 2 : 0)
-                        + (chance.nextDouble() * takes > pace.of(BELIEF, BELIEF) ? 1 : 0);
-                best = rank < leastRank ? r : best;
-                leastRank = Math.min(rank, leastRank);
+            if (!req.probedRunners.contains(r) && canSend(now, req, r)) {
+                boolean trusted = (r.trialInterval == null || mostEjected
+                        || mayTrial(req) && reached(now, r.nextTrialAt)) && !r.isRejecting(now, req.workload)
+                        && !r.isUnresponsive(now) && !req.wasSentTo(r);
+                // Avoids probing runners that are probably still busy, unless nearly all are.
+                boolean unlikely = random.nextDouble() < ZONE_DOUBT * zoneSilence.getOrDefault(r.zone, 0.0)
+                    || r.foundBusyAt != null && probing.runTime > 0 && probing.observedLambda <= SATURATION
+                    && random.nextDouble() < Math.exp(-seconds(now.minus(r.foundBusyAt)) / probing.runTime);
+                // Only pure work tests for failing runners: after a failure other work may go to few runners.
+                unlikely |= r.acceptsAny(first) || fleet.ejectedCount > 0 && req.workload.repeatSafety != PURE
+                        && (r.failures.count() == 0 || r.failures.lastBin() > EJECT_SHARE);
+                double ratio = ratio(now, r);
+                double extraLoad = extraLoad(req, r, target - ratio * runTime, maxIdleTime, now);
+                int rank = (trusted ? 0 : 32) + (target >= ratio * runTime ? 0 : 16)
+                        + (req.affinityKey == 0 || Keys.isHome(req.affinityKey, r.hash, homes) ? 0 : 8)
+                        + (unlikely ? 4 : 0) + (extraLoad > lowestCost ? 2 : 0)
+                        + (random.nextDouble() * ratio > fleetRatio.estimate(PRIOR_RUNS, PRIOR_RUNS) ? 1 : 0);
+                best = rank < bestRank ? r : best;
+                bestRank = Math.min(rank, bestRank);
             }
         }
         return best;
     }
 
-    /** Guards against filling the only places of bound work that earns more, while the rest has room. */
-    private Workload[] yieldsTo(Assignment a) {
-        return a.workload.isBound() || bound.length == 0 || busyElsewhere >= SCARCE ? NONE
-                : Stream.of(bound).filter(w -> earns(w) > earns(a.workload)).toArray(Workload[]::new);
+    /** More valuable restricted workloads, whose only runners it must not fill while others have room. */
+    private Workload[] yieldsTo(Request req) {
+        return req.workload.isRestricted() || restricted.length == 0 || generalLambda >= SATURATION ? NONE
+                : Stream.of(restricted).filter(w -> valuePerSecond(w) > valuePerSecond(req.workload))
+                        .toArray(Workload[]::new);
     }
 
-    /** What a second of its work earns in time. */
-    private double earns(Workload w) {
-        return w.importance * (orders.importanceByWork ? 1 : 1 / stats.get(w).unit());
+    /** The value of a second of its work when served in time. */
+    private double valuePerSecond(Workload w) {
+        return w.importance * (settings.importanceByWork ? 1 : 1 / stats.get(w).runTimeOrDefault());
     }
 
-    // The load that a crossing to another zone and a new connection count as: the wait whose risk of being
-    // late costs as much, in the tariffs' own units, so that long work crosses before short work of the same
-    // workload does; and the wait for connections that fail first, by the share that failed of late.
-    double toll(Duration now, Assignment a, Runner r) {
-        return toll(a, r, slack(now, a, r), keeps(now), now);
+    // The load equivalent of leaving the zone and of opening a connection: the wait whose risk of lateness
+    // costs as much, in units of the prices, so that of one workload long jobs cross zones before short ones;
+    // plus the wait for connections that fail first, from the share of recent failures.
+    double extraLoad(Duration now, Request req, Runner r) {
+        return extraLoad(req, r, slack(now, req, r), maxIdleTime(now), now);
     }
 
-    private double toll(Assignment a, Runner r, double slack, Duration keeps, Duration now) {
+    private double extraLoad(Request req, Runner r, double slack, Duration maxIdleTime, Duration now) {
         double perLoad = waitPerLoad(r);
-        boolean opens = !r.isConnected(now, keeps);
-        double price = (r.zone.equals(orders.zone) ? 0 : orders.crossZonePrice)
-                + (opens ? orders.handshakePrice : 0);
-        double fails = opens ? (connects.count() - connects.last()) / (connects.last() + 1) : 0;
-        if (perLoad == 0 || price == 0 && fails == 0) {
-            return 0;
-        }
-        double lost = Math.max(1e-9, orders.whole * (1 - a.workload.lateImportance) * worth(a) / meanWorth);
-        return (price / lost * Math.max(0, slack) + fails * secs(orders.connectTime)) / perLoad;
-    }
-
-    // How long a connection that rests is kept. Guards against ones dropped unseen: what is sent on one
-    // is reset, and may have run. Once that was seen we close earlier, by less as time goes on.
-    private Duration keeps(Duration now) {
-        return dropped == null ? orders.idleClose
-                : least(orders.idleClose, ofSecs(secs(dropped) / Fading.part(now, droppedAt, memory)));
-    }
-
-    /** Guards against trickles that end jobs: failures cost least at first sendings of what may run twice. */
-    private boolean mayTry(Assignment a) {
-        return a.dispatches.isEmpty() && (a.workload.repeat == Workload.Repeat.PURE || noPure);
-    }
-
-    private boolean sendable(Duration now, Assignment a, Runner r) {
-        return r.ready() && a.workload.mayRunOn(r)
-                && repeatable(now, a, r) && cold.allows(now, r, work(a), a.luck);
-    }
-
-    /** Rule 2: what may have run goes again only where a repeat is harmless. */
-    boolean repeatable(Duration now, Assignment a, Runner r) {
-        Workload w = a.workload;
-        if (w.repeat == Workload.Repeat.PURE || !a.mayHaveRun()) {
-            return true;
-        }
-        Duration forgotten = now.minus(w.window).plus(orders.round.multipliedBy(4));
-        return w.repeat == Workload.Repeat.RECEIPTED && a.dispatches.stream().filter(Dispatch::mayHaveRun)
-                .allMatch(d -> w.sameGroup(r, d.runner) && !reached(forgotten, d.sentAt));
-    }
-
-    /** Rule 2: a shed reply says that trying again is harmless. */
-    boolean mayShed(Assignment a) {
-        Workload w = a.workload;
-        return w.repeat == Workload.Repeat.PURE || !a.mayHaveRun()
-                || w.repeat == Workload.Repeat.RECEIPTED && w.group == Workload.Group.ALL;
-    }
-
-    private void take(Duration now, Assignment a, Runner r, double load) {
-        Dispatch out = a.pending();
-        touched.add(a);
-        if (a.secondLook && out != null) {  // it waits or is silent, and this runner is idle: move or copy it
-            out.cancelWanted = out.startedAt == null || !orders.parallel;
-        } else if (mayShed(a)) {  // guards against an overload in which all end late
-            preview.taking(now, a, r);
-            if (late(now, a, r, load)) {
-                judged(now, a, true);
-                answer(a, levels == null ? ofSecs(load * waitPerLoad(r)) : soon(a));
+        boolean opens = !r.hasIdleConnection(now, maxIdleTime);
+        double price = (r.zone.equals(settings.zone) ? 0 : settings.crossZonePrice)
+                + (opens ? settings.handshakePrice : 0);
+        double failures = opens ? (connects.count() - connects.lastBin()) / (connects.lastBin() + 1) : 0;
+        if (perLoad == 0 || price == 0 && failures == 0) { return 0; }
+        double loss = Math.max(1e-9,
+                settings.goalWeight * (1 - req.workload.lateImportance) * value(req) / meanValue);
+        return (price / loss * Math.max(0, slack) + failures * seconds(settings.connectTimeout)) / perLoad;
+    }
+
+    // How long an idle connection is kept. An attempt sent on a silently dropped connection is reset and may
+    // have run. Once that was observed, connections are closed earlier; the effect decays over time.
+    private Duration maxIdleTime(Duration now) {
+        return droppedIdle == null ? settings.idleTimeout : min(settings.idleTimeout,
+                ofSeconds(seconds(droppedIdle) / DecayingSum.decayFactor(now, droppedAt, timeConstant)));
+    }
+
+    /** Whether it may test an ejected runner: a failure costs least on a first attempt that may run twice. */
+    private boolean mayTrial(Request req) {
+        return req.attempts.isEmpty() && (req.workload.repeatSafety == PURE || nonePure);
+    }
+
+    private boolean canSend(Duration now, Request req, Runner r) {
+        return r.isReady() && req.workload.mayRunOn(r)
+                && mayRepeat(now, req, r) && coldBudget.allows(now, r, work(req), req.randomDraw);
+    }
+
+    /** Rule 2: a request that may have run is sent again only where a repeat is harmless. */
+    boolean mayRepeat(Duration now, Request req, Runner r) {
+        Workload w = req.workload;
+        if (w.repeatSafety == PURE || !req.mayHaveRun()) { return true; }
+        Duration windowStart = now.minus(w.dedupWindow).plus(settings.roundInterval.multipliedBy(4));
+        return w.repeatSafety == RECEIPTED && req.attempts.stream().filter(Attempt::mayHaveRun)
+                .allMatch(a -> w.sharesDedupScope(r, a.runner) && !reached(windowStart, a.sentAt));
+    }
+
+    /** Rule 2: a shed response tells the client that a retry is harmless. */
+    boolean mayShed(Request req) {
+        Workload w = req.workload;
+        return w.repeatSafety == PURE || !req.mayHaveRun()
+                || w.repeatSafety == RECEIPTED && w.dedupScope == Workload.DedupScope.ALL;
+    }
+
+    private void choose(Duration now, Request req, Runner r, double load) {
+        Attempt pending = req.pendingAttempt();
+        changed.add(req);
+        if (req.seekingAlternative && pending != null) {  // waiting or stalled, r is idle: move or copy it
+            pending.cancelPlanned = pending.startedAt == null || !settings.parallelAttempts;
+        } else if (mayShed(req)) {  // so that not all work ends late in an overload
+            preview.onLatenessCheck(now, req, r);
+            if (isLate(now, req, r, load)) {
+                recordCompletion(now, req, true);
+                respond(req, admission == null ? ofSeconds(load * waitPerLoad(r)) : retryAfter(req));
                 return;
             }
         }
-        a.secondLook = false;
-        a.wantedRunner = r;
-        a.wantedLoad = load;
+        req.seekingAlternative = false;
+        req.plannedRunner = r;
+        req.plannedLoad = load;
     }
 
-    boolean late(Duration now, Assignment a, Runner r, double load) {
-        double wait = (load + toll(now, a, r)) * waitPerLoad(r);
-        double slack = slack(now, a, r);
-        double bears = levels == null ? slack
-                : levels.bears(kind(a), slack, orders.repeatsMarked && !a.repeated);
-        // Guards against an overload that lasts, in which all is late: what late work takes earns more in
-        // time, so of it that part is shed which it would not earn.
-        double earns = a.workload.lateImportance;
-        boolean keepsTime = earns == 0 || probing.lambdaSeen > SCARCE && a.luck >= earns;
-        return keepsTime && secs(elapsed(now, a)) + wait > bears
-                || secs(orders.endsAt.minus(now)) < wait + pace(now, r) * size(a);  // we end before it
+    boolean isLate(Duration now, Request req, Runner r, double load) {
+        double wait = (load + extraLoad(now, req, r)) * waitPerLoad(r);
+        double slack = slack(now, req, r);
+        double maxWait = admission == null ? slack : admission.maxWaitSeconds(admissionClass(req), slack,
+                settings.retriesMarked && !req.markedAsRetry);
+        // In a lasting overload all work is late, and capacity earns more on punctual work: late work is shed
+        // with the probability of the value that it would lose.
+        double lateShare = req.workload.lateImportance;
+        boolean strict = lateShare == 0 || probing.observedLambda > SATURATION && req.randomDraw >= lateShare;
+        return strict && seconds(elapsed(now, req)) + wait > maxWait  // or the dispatcher stops first
+                || seconds(settings.shutdownAt.minus(now)) < wait + ratio(now, r) * runTime(req);
     }
 
-    /** How long this client has waited over all its tries: what a later try lacks, but not a first one. */
-    private Duration elapsed(Duration now, Assignment a) {
-        boolean first = orders.repeatsMarked && !a.repeated;
-        return now.minus(first ? a.arrivedAt : a.deadline.minus(stats.get(a.workload).patience));
+    /** How long the client has waited over all its tries; for a known first try since its arrival. */
+    private Duration elapsed(Duration now, Request req) {
+        boolean firstTry = settings.retriesMarked && !req.markedAsRetry;
+        return now.minus(firstTry ? req.arrivedAt
+                : req.deadline.minus(stats.get(req.workload).maxClientTimeout));
     }
 
-    private double slack(Duration now, Assignment a, Runner r) {
-        return aim(a) - pace(now, r) * size(a);
+    private double slack(Duration now, Request req, Runner r) {
+        return targetSeconds(req) - ratio(now, r) * runTime(req);
     }
 
-    private double worth(Assignment a) {
-        double size = a.hint == null ? stats.get(a.workload).unit() : size(a);
-        return Math.max(1e-9, a.workload.importance * (orders.importanceByWork ? size : 1));
+    private double value(Request req) {
+        double runTime = req.runTimeHint == null ? stats.get(req.workload).runTimeOrDefault() : runTime(req);
+        return Math.max(1e-9, req.workload.importance * (settings.importanceByWork ? runTime : 1));
     }
 
-    private double aim(Assignment a) {
-        // Guards against work for clients who wait less than the promised time, by habit or on one bad day.
-        return Math.min(secs(a.workload.promised) + a.workload.stretch * size(a),
-                secs(elapsed(a.deadline, a).minus(orders.round)));
+    private double targetSeconds(Request req) {
+        // No work for clients that time out before the target latency, always or once.
+        return Math.min(seconds(req.workload.targetLatency) + req.workload.latencyStretch * runTime(req),
+                seconds(elapsed(req.deadline, req).minus(settings.roundInterval)));
     }
 
-    /** How long runs take there beside what is expected: the fleet's, its kind's in that, its own in that. */
-    double pace(Duration now, Runner r) {
-        return r.pace.of(BELIEF / Fading.part(now, r.pacedAt, memory), BELIEF);
+    /** Actual relative to expected run time: the fleet's ratio, times its machine type's, times its own. */
+    double ratio(Duration now, Runner r) {
+        return r.runTimeRatio.estimate(
+                PRIOR_RUNS / DecayingSum.decayFactor(now, r.ratioUpdatedAt, timeConstant), PRIOR_RUNS);
     }
 
-    /** The running time to expect at speed 1: the workload's mean; beside it a rough hint counts half. */
-    private double size(Assignment a) {
-        double usual = stats.get(a.workload).usual;
-        return a.hint == null ? usual : Math.sqrt(usual * secs(a.hint));
+    /** The expected run time at speed 1: the workload's mean; an inexact hint has half the weight. */
+    private double runTime(Request req) {
+        double mean = stats.get(req.workload).meanRunTime;
+        return req.runTimeHint == null ? mean : Math.sqrt(mean * seconds(req.runTimeHint));
     }
 
-    private void answer(Assignment a, Duration pause) {
-        a.wantedAnswer = mayShed(a) ? Assignment.Answer.SHED : Assignment.Answer.GIVEN_UP;
-        a.wantedPause = orders.pauses && pause != null ? least(pause, orders.longestPause) : null;
-        touched.add(a);
+    private void respond(Request req, Duration delay) {
+        req.plannedResponse = mayShed(req) ? Request.LocalResponse.SHED : Request.LocalResponse.GIVEN_UP;
+        req.plannedRetryAfter = settings.sendsRetryAfter && delay != null
+                ? min(delay, settings.maxRetryAfter) : null;
+        changed.add(req);
     }
 
-    /** After a failure: again, rationed once under half of the recent further ones succeeded; or answered. */
-    private void furtherOrAnswer(Duration now, Assignment a) {
-        double odds = (further.last() + 1) / (further.count() + 1);
-        boolean moved = a.last().outcome == Outcome.CANCELLED;  // that is no failure, and no load more
-        if (a.dispatches.size() >= orders.mostDispatches || !moved && !mayFollow(2 * odds)) {
-            answer(a, null);
+    /** After a failure: retries, limited while under half of recent retries succeed, or responds. */
+    private void retryOrRespond(Duration now, Request req) {
+        double successRate = (retries.lastBin() + 1) / (retries.count() + 1);
+        boolean moved = req.lastAttempt().outcome == CANCELLED;  // neither a failure nor additional load
+        if (req.attempts.size() >= settings.maxAttempts || !moved && !mayRetry(2 * successRate)) {
+            respond(req, null);
         } else {
-            a.forgetSearch();
-            consider(now, a);
+            req.clearSearch();
+            decide(now, req);
         }
     }
 
-    private boolean mayFollow(double odds) {
-        boolean lucky = chance.nextDouble() <= odds;
-        return levels == null || odds >= 1 ? lucky : budget.further();
+    private boolean mayRetry(double probability) {
+        boolean drawn = random.nextDouble() <= probability;
+        return admission == null || probability >= 1 ? drawn : retryBudget.tryAcquire();
     }
 
-    private void watch(Duration now, Assignment a, Dispatch out) {
-        boolean waiting = out.startedAt == null;
-        double left = slack(now, a, out.runner) - secs(elapsed(now, a));
-        if (waiting && orders.tellsStart && a.workload.lateImportance == 0 && mayShed(a)) {
-            look(a, now.plus(ofSecs(Math.max(0, left))));
-            if (left <= 0) {  // guards against spending an overload on what is worth nothing any more
-                answer(a, null);
+    private void watch(Duration now, Request req, Attempt pending) {
+        boolean waiting = pending.startedAt == null;
+        double slackLeft = slack(now, req, pending.runner) - seconds(elapsed(now, req));
+        if (waiting && settings.reportsStart && req.workload.lateImportance == 0 && mayShed(req)) {
+            checkAt(req, now.plus(ofSeconds(Math.max(0, slackLeft))));
+            if (slackLeft <= 0) {  // too late to be of any value: don't spend capacity on it
+                respond(req, null);
                 return;
             }
         }
-        if (a.dispatches.size() >= orders.mostDispatches || out.cancelWanted || out != a.last()
-                || a.workload.repeat == Workload.Repeat.EFFECTFUL || !orders.cancels
-                || !waiting && orders.progressEvery.isZero()) {
+        if (req.attempts.size() >= settings.maxAttempts || pending.cancelPlanned
+                || pending != req.lastAttempt() || req.workload.repeatSafety == EFFECTFUL
+                || !settings.mayCancel || !waiting && settings.progressInterval.isZero()) {
             return;
         }
-        Duration limit = !waiting ? out.heardAt
-                : out.sentAt.plus(most(ofSecs(2 * out.load * waitPerLoad), a.workload.promised.dividedBy(2)));
-        limit = limit.plus(orders.progressEvery.multipliedBy(waiting && orders.tellsStart ? 0 : 3))
-                .plus(a.lookGap == null ? Duration.ZERO : a.lookGap);
+        Duration limit = !waiting ? pending.lastProgressAt : pending.sentAt.plus(max(
+                ofSeconds(2 * pending.runnerLoad * waitPerLoad), req.workload.targetLatency.dividedBy(2)));
+        limit = limit.plus(settings.progressInterval.multipliedBy(waiting && settings.reportsStart ? 0 : 3))
+                .plus(req.recheckDelay == null ? Duration.ZERO : req.recheckDelay);
         if (!reached(now, limit)) {
-            look(a, limit);
+            checkAt(req, limit);
             return;
         }
-        if (!waiting) {
-            mark(now, out.runner, true);
-        }
-        if (out.runner.isUnheard() && a.workload.repeat == Workload.Repeat.PURE) {
-            takeBack(out);  // guards against waiting for an idle runner while the one it is at says nothing
+        if (!waiting) { recordHealth(now, pending.runner, true); }
+        if (pending.runner.hasNotResponded() && req.workload.repeatSafety == PURE) {
+            withdraw(pending);  // its runner does not respond: don't wait until an idle one is found
             return;
         }
-        a.lookGap = now.minus(out.sentAt);
-        if (probing.lambdaSeen > MOVABLE) {  // guards against running twice what goes on where called off
-            look(a, now.plus(a.lookGap));
+        req.recheckDelay = now.minus(pending.sentAt);
+        if (probing.observedLambda > MAX_BUSY_TO_MOVE) {  // a cancelled attempt may run on: avoid double work
+            checkAt(req, now.plus(req.recheckDelay));
             return;
         }
-        a.forgetSearch();
-        a.secondLook = true;
-        search(now, a);
+        req.clearSearch();
+        req.seekingAlternative = true;
+        search(now, req);
     }
 
-    private void learn(Duration now, Dispatch d) {
-        Assignment a = d.assignment;
-        if (d != a.dispatches.get(0) && d.outcome != Outcome.CANCELLED) {  // to be moved is no failure
-            further.add(d.outcome == Outcome.FULFILLED);
+    private void recordResult(Duration now, Attempt ended) {
+        Request req = ended.request;
+        if (ended != req.attempts.get(0) && ended.outcome != CANCELLED) {  // a moved attempt is no failure
+            retries.add(ended.outcome == FULFILLED);
         }
-        if (EnumSet.of(Outcome.FULFILLED, Outcome.ERROR, Outcome.TURNED_AWAY).contains(d.outcome)) {
-            d.runner.rests(now, orders.idleClose);
+        if (EnumSet.of(FULFILLED, ERROR, TURNED_AWAY).contains(ended.outcome)) {
+            ended.runner.addIdleConnection(now, settings.idleTimeout);
         }
-        if (d.rested == null && d.outcome != Outcome.CANCELLED && d.outcome != Outcome.NEVER_SENT) {
-            connects.add(d.outcome != Outcome.NOT_CONNECTED);
+        if (ended.connectionIdleTime == null && ended.outcome != CANCELLED && ended.outcome != NEVER_SENT) {
+            connects.add(ended.outcome != NOT_CONNECTED);
         }
-        if (d.outcome == Outcome.BROKEN && d.rested != null && d.startedAt == null
-                && !reached(now, d.sentAt.plus(fewRoundTrips()))) {
-            dropped = most(d.rested, orders.round);
+        if (ended.outcome == BROKEN && ended.connectionIdleTime != null && ended.startedAt == null
+                && !reached(now, ended.sentAt.plus(fewRoundTrips()))) {
+            droppedIdle = max(ended.connectionIdleTime, settings.roundInterval);
             droppedAt = now;
         }
-        switch (d.outcome) {
+        switch (ended.outcome) {
             case FULFILLED -> {
-                // Where its start was not told, the wait that was foreseen for it is taken off.
-                boolean guessed = d.startedAt == null && d.load >= 0.5;
-                Duration from = guessed ? d.sentAt.plus(ofSecs(d.load * waitPerLoad(d.runner)))
-                        : d.startedAt == null ? d.sentAt : d.startedAt;
-                double run = secs(most(now.minus(from), orders.round));  // a start may be told with the end
-                WorkloadStats seen = stats.get(a.workload);
-                if (a.hint == null) {
-                    seen.saw(seen.ended == 0 ? run : Math.min(run, 4 * seen.usual));  // tails mislead means
+                // Without a reported start the expected wait is subtracted; it may be reported with the end.
+                boolean startUnknown = ended.startedAt == null && ended.runnerLoad >= 0.5;
+                Duration start = startUnknown
+                        ? ended.sentAt.plus(ofSeconds(ended.runnerLoad * waitPerLoad(ended.runner)))
+                        : ended.startedAt == null ? ended.sentAt : ended.startedAt;
+                double actual = seconds(max(now.minus(start), settings.roundInterval));
+                WorkloadStats stat = stats.get(req.workload);
+                if (req.runTimeHint == null) {  // capped: outliers distort the mean
+                    stat.addRunTime(stat.sampleCount == 0 ? actual : Math.min(actual, 4 * stat.meanRunTime));
                 }
-                probing.ended(run);
-                if (!guessed) {
-                    d.runner.pace.add(Math.min(run, 4 * size(a) * pace(now, d.runner)), size(a), BELIEF);
-                    d.runner.pacedAt = now;
+                probing.recordRunTime(actual);
+                if (!startUnknown) {
+                    ended.runner.runTimeRatio.add(Math.min(actual,
+                            4 * runTime(req) * ratio(now, ended.runner)), runTime(req), PRIOR_RUNS);
+                    ended.runner.ratioUpdatedAt = now;
                 }
-                if (orders.warmth(now, d.runner) >= 1) {
-                    fleet.workDone.add(now, d.work, memory);
+                if (settings.warmth(now, ended.runner) >= 1) {
+                    fleet.warmWorkDone.add(now, ended.work, timeConstant);
                 }
-                d.runner.fulfilled(a.workload);
-                judged(now, a, secs(now.minus(a.arrivedAt)) > aim(a));
-                mark(now, d.runner, false);
+                ended.runner.recordSuccess(req.workload);
+                recordCompletion(now, req, seconds(now.minus(req.arrivedAt)) > targetSeconds(req));
+                recordHealth(now, ended.runner, false);
             }
-            case TURNED_AWAY -> d.runner.turnedAway(now, d, spell);
-            case ERROR, BROKEN, TIMED_OUT -> mark(now, d.runner, true);
+            case TURNED_AWAY -> ended.runner.recordRejection(now, ended, backoff);
+            case ERROR, BROKEN, TIMED_OUT -> recordHealth(now, ended.runner, true);
             case NOT_CONNECTED -> {
-                // Guards against setting aside all while no connection comes up: then it is not that runner.
-                if (connects.count() - connects.last() <= POOR * (connects.count() + BELIEF)) {
-                    mark(now, d.runner, true);
-                    unheard(now, d.runner);
+                // While connections fail everywhere, this runner is not the cause: don't eject all runners.
+                if (connects.count() - connects.lastBin() <= EJECT_SHARE * (connects.count() + PRIOR_RUNS)) {
+                    recordHealth(now, ended.runner, true);
+                    recordNoResponse(now, ended.runner);
                 }
             }
         }
     }
 
-    /** Notes how a dispatch went; a runner that fails often is set aside, with a trickle that doubles. */
-    private void mark(Duration now, Runner r, boolean failed) {
+    /** Counts a success or failure; a runner that fails often is ejected, with doubling trial intervals. */
+    private void recordHealth(Duration now, Runner r, boolean failed) {
         r.failures.add(failed);
-        boolean poor = r.failures.last() >= 2 && r.failures.last() > POOR * r.failures.count();
-        boolean back = !failed && r.trickle != null && r.trickle.compareTo(spell.dividedBy(8)) <= 0;
-        if (back) {
-            r.failures.clear();
-        }
-        r.trickle = r.trickle == null ? poor ? spell : null : back ? null
-                : failed ? least(r.trickle.multipliedBy(2), spell.multipliedBy(4)) : r.trickle.dividedBy(2);
-        r.trickleAt = failed && r.trickle != null ? now.plus(r.trickle) : r.trickleAt;
+        boolean fails = r.failures.lastBin() >= 2 && r.failures.lastBin() > EJECT_SHARE * r.failures.count();
+        boolean recovered = !failed && r.trialInterval != null
+                && r.trialInterval.compareTo(backoff.dividedBy(8)) <= 0;
+        if (recovered) { r.failures.clear(); }
+        r.trialInterval = r.trialInterval == null ? fails ? backoff : null : recovered ? null : failed ?
+                min(r.trialInterval.multipliedBy(2), backoff.multipliedBy(4)) : r.trialInterval.dividedBy(2);
+        r.nextTrialAt = failed && r.trialInterval != null ? now.plus(r.trialInterval) : r.nextTrialAt;
     }
 
-    private double work(Assignment a) {
-        return a.slots * stats.get(a.workload).unit();
+    private double work(Request req) {
+        return req.slots * stats.get(req.workload).runTimeOrDefault();
     }
 
-    // ---- The one place that acts: the difference between what is wanted and what is.
-
-    public void settle(Duration now) {
-        if (askAt != null) {
-            if (reached(now, askAt)) {
-                door.subscribe(true);
-                askAt = now.plus(orders.askWithin.dividedBy(2));  // asked again should no answer come
+    /** Ends a round of events: compares the planned state with the actual one and acts on the difference. */
+    public void applyActions(Duration now) {
+        if (subscribeAt != null) {
+            if (reached(now, subscribeAt)) {
+                actions.subscribe(true);
+                subscribeAt = now.plus(settings.subscribeWithin.dividedBy(2));  // repeated if no answer comes
             }
-            door.wake(askAt.minus(now), this);
+            actions.setTimer(subscribeAt.minus(now), this);
         }
-        List.copyOf(touched).forEach(a -> settle(now, a));
-        touched.clear();
+        List.copyOf(changed).forEach(req -> applyActions(now, req));
+        changed.clear();
     }
 
-    private void settle(Duration now, Assignment a) {
-        if (!a.closed && a.wantedAnswer != null) {
-            close(a);
-            if (a.wantedAnswer == Assignment.Answer.SHED) {
-                door.shed(a, a.wantedPause);
+    private void applyActions(Duration now, Request req) {
+        if (!req.closed && req.plannedResponse != null) {
+            close(req);
+            if (req.plannedResponse == Request.LocalResponse.SHED) {
+                actions.shed(req, req.plannedRetryAfter);
             } else {
-                door.giveUp(a);
+                actions.giveUp(req);
             }
         }
-        for (Dispatch d : a.dispatches) {
-            boolean wanted = d == a.stream || a.stream == null && !a.closed && !d.cancelWanted;
-            if (!wanted && !d.cancelSent && d.outcome == null && orders.cancels) {
-                d.cancelSent = true;
-                door.cancel(d);
+        for (Attempt attempt : req.attempts) {
+            boolean needed = attempt == req.streamingAttempt
+                    || req.streamingAttempt == null && !req.closed && !attempt.cancelPlanned;
+            if (!needed && !attempt.cancelSent && attempt.outcome == null && settings.mayCancel) {
+                attempt.cancelSent = true;
+                actions.cancel(attempt);
             }
         }
-        if (a.closed) {
-            return;
-        }
-        if (a.wantedRunner != null && (orders.parallel || a.pending() == null)) {
-            Runner r = a.wantedRunner;
-            a.wantedRunner = null;
-            if (sendable(now, a, r)) {  // re-checked: list, window or budget may have changed since
-                dispatch(now, a, r);
+        if (req.closed) { return; }
+        if (req.plannedRunner != null && (settings.parallelAttempts || req.pendingAttempt() == null)) {
+            Runner r = req.plannedRunner;
+            req.plannedRunner = null;
+            if (canSend(now, req, r)) {  // checked again: list, window or budget may have changed
+                dispatch(now, req, r);
             } else {
-                a.forgetSearch();
-                consider(now, a);
+                req.clearSearch();
+                decide(now, req);
             }
         }
-        if (a.wantedProbe != null) {
-            a.asked = a.wantedProbe;
-            a.askedAt = now;
-            a.wantedProbe = null;
-            a.asked.asking.add(a);
-            door.probe(a.asked);
+        if (req.plannedProbe != null) {
+            req.probeTarget = req.plannedProbe;
+            req.probeSentAt = now;
+            req.plannedProbe = null;
+            req.probeTarget.probeWaiters.add(req);
+            actions.probe(req.probeTarget);
         }
-        if (a.wantedLook != null && (a.timerAt == null || a.wantedLook.compareTo(a.timerAt) < 0)) {
-            a.timerAt = a.wantedLook;
-            door.wake(most(Duration.ZERO, a.wantedLook.minus(now)), a);
+        if (req.plannedCheckAt != null
+                && (req.timerAt == null || req.plannedCheckAt.compareTo(req.timerAt) < 0)) {
+            req.timerAt = req.plannedCheckAt;
+            actions.setTimer(max(Duration.ZERO, req.plannedCheckAt.minus(now)), req);
         }
     }
 
-    private void dispatch(Duration now, Assignment a, Runner r) {
-        Dispatch d = new Dispatch(a, r, now, work(a), a.wantedLoad);
-        if (orders.warmth(now, r) < 1) {
-            r.coldSends.add(d);
-        }
-        if (r.isConnected(now, keeps(now))) {
-            d.rested = r.rested(now);
-            r.takesConnection();
-        } else if (r.isConnected(now, orders.idleClose)) {
-            r.closes();
-            door.closeIdle(r);
-        }
-        if (a.dispatches.isEmpty()) {
-            budget.first();
+    private void dispatch(Duration now, Request req, Runner r) {
+        Attempt attempt = new Attempt(req, r, now, work(req), req.plannedLoad);
+        if (settings.warmth(now, r) < 1) { r.coldAttempts.add(attempt); }
+        if (r.hasIdleConnection(now, maxIdleTime(now))) {
+            attempt.connectionIdleTime = r.connectionIdleTime(now);
+            r.takeIdleConnection();
+        } else if (r.hasIdleConnection(now, settings.idleTimeout)) {
+            r.clearIdleConnections();
+            actions.closeIdleConnections(r);
         }
-        a.dispatches.add(d);
-        r.out.add(d);
-        r.known = true;
-        r.trickleAt = r.trickle == null ? r.trickleAt : now.plus(r.trickle);
-        a.lookGap = null;
-        door.dispatch(d, null);
-        consider(now, a);
+        if (req.attempts.isEmpty()) { retryBudget.recordFirstAttempt(); }
+        req.attempts.add(attempt);
+        r.inFlight.add(attempt);
+        r.contacted = true;
+        r.nextTrialAt = r.trialInterval == null ? r.nextTrialAt : now.plus(r.trialInterval);
+        req.recheckDelay = null;
+        actions.dispatch(attempt, null);
+        decide(now, req);
     }
 
-    private Duration probeLimit(Assignment a) {
-        Duration part = a.workload.promised.dividedBy(4);
-        return probing.roundTrip == 0 ? part : least(part, fewRoundTrips());
+    private Duration probeTimeout(Request req) {
+        Duration quarter = req.workload.targetLatency.dividedBy(4);
+        return probing.roundTrip == 0 ? quarter : min(quarter, fewRoundTrips());
     }
 
     private Duration fewRoundTrips() {
-        return ofSecs(3 * probing.roundTrip).plus(orders.round.multipliedBy(2));
+        return ofSeconds(3 * probing.roundTrip).plus(settings.roundInterval.multipliedBy(2));
     }
 
-    private void look(Assignment a, Duration at) {
-        touched.add(a);
-        a.wantedLook = a.wantedLook == null ? at : least(at, a.wantedLook);
+    private void checkAt(Request req, Duration time) {
+        changed.add(req);
+        req.plannedCheckAt = req.plannedCheckAt == null ? time : min(time, req.plannedCheckAt);
     }
 }
--- a/core/src/main/java/saltdale/decision/WorkloadStats.java
+++ b/core/src/main/java/saltdale/decision/WorkloadStats.java
@@ -1,35 +1,37 @@
 package saltdale.decision;
 
 import java.time.Duration;
-import saltdale.model.Fading;
-import saltdale.overload.Levels;
+import saltdale.model.DecayingSum;
+import saltdale.overload.AdmissionControl;
 
-/** What one dispatcher has seen of one workload. */
+/** Statistics of one workload at one dispatcher. */
 final class WorkloadStats {
-    /** The mean size in seconds, over how many that were hinted, else have ended. */
-    double usual;
+    /** The mean run time in seconds, from hints where there are any, else from completed attempts. */
+    double meanRunTime;
 
-    double ended;
-    /** Work that runners were picked for. */
-    final Fading sought = new Fading();
-    /** The longest a client has come with: that of a first try. */
-    Duration patience = Duration.ZERO;
-    /** Among the others, where overloads are met by levels: its first tries and its marked repeats. */
-    final Levels.Kind kind;
+    /** The number of run times in the mean. */
+    double sampleCount;
+    /** Work for which a runner was searched, in slot seconds. */
+    final DecayingSum searchedWork = new DecayingSum();
+    /** The longest client timeout seen: that of a first try. */
+    Duration maxClientTimeout = Duration.ZERO;
+    /** The class of its first tries in admission control; null without overload settings. */
+    final AdmissionControl.AdmissionClass firstTries;
 
-    final Levels.Kind again;
+    /** The class of its marked retries in admission control; null without overload settings. */
+    final AdmissionControl.AdmissionClass retries;
 
-    WorkloadStats(Levels levels) {
-        kind = levels == null ? null : levels.add();
-        again = levels == null ? null : levels.add();
+    WorkloadStats(AdmissionControl admission) {
+        firstTries = admission == null ? null : admission.addClass();
+        retries = admission == null ? null : admission.addClass();
     }
 
-    void saw(double size) {
-        usual += (size - usual) / Math.min(++ended, 99);
+    void addRunTime(double runTimeSeconds) {
+        meanRunTime += (runTimeSeconds - meanRunTime) / Math.min(++sampleCount, 99);
     }
 
-    /** The mean size; a second until one is known. */
-    double unit() {
-        return ended == 0 ? 1 : usual;
+    /** The mean run time in seconds; 1 until one is known. */
+    double runTimeOrDefault() {
+        return sampleCount == 0 ? 1 : meanRunTime;
     }
 }
--- a/daemon/src/main/java/saltdale/routing/Router.java
+++ b/daemon/src/main/java/saltdale/routing/Router.java
@@ -13,37 +13,38 @@
 import java.util.logging.Logger;
 import saltdale.decision.Dispatcher;
 import saltdale.decision.Preview;
-import saltdale.model.Assignment;
-import saltdale.model.Dispatch;
-import saltdale.model.Door;
+import saltdale.model.Attempt;
+import saltdale.model.DispatcherActions;
+import saltdale.model.DispatcherSettings;
+import saltdale.model.Durations;
 import saltdale.model.LoadReport;
 import saltdale.model.Outcome;
+import saltdale.model.Request;
 import saltdale.model.Runner;
-import saltdale.model.Spans;
-import saltdale.model.StandingOrders;
-import saltdale.orders.Reports;
-import saltdale.overload.Levels;
+import saltdale.overload.AdmissionControl;
 import saltdale.protocol.Head;
-import saltdale.protocol.HostList;
+import saltdale.protocol.HostListUpdate;
 import saltdale.protocol.HttpParser;
-import saltdale.protocol.News;
-import saltdale.serving.Visit;
+import saltdale.protocol.JobUpdate;
+import saltdale.serving.ServerConnection;
+import saltdale.settings.LoadReportColumns;
 import saltdale.transport.Connection;
-import saltdale.transport.Loop;
-import saltdale.transport.Pool;
-import saltdale.transport.Sockets;
+import saltdale.transport.ConnectionPool;
+import saltdale.transport.EventLoop;
+import saltdale.transport.SocketBudget;
 
 /** Stands between the decisions and the sockets: ids become objects, events calls, and actions messages. */
-public final class Router implements Door, Visit.Host {
+public final class Router implements DispatcherActions, ServerConnection.Handler {
     private static final Logger LOG = Logger.getLogger(Router.class.getName());
     private static final double IDLE_PART = 0.8; // of the idle time after which a runner closes a connection
     private static final byte[] NOTHING = new byte[0];
-    private static final HttpParser.Limits REQUESTS = new HttpParser.Limits(HttpParser.MOST_HEAD, HttpParser.MOST_BODY);
+    private static final HttpParser.Limits REQUESTS =
+            new HttpParser.Limits(HttpParser.MAX_HEAD_BYTES, HttpParser.MAX_REQUEST_BODY_BYTES);
     private static final Duration WHOLE_WITHIN = Duration.ofMillis(2500); // for a request to come
 
-    private final Loop loop;
-    private final Sockets sockets;
-    private final StandingOrders orders;
+    private final EventLoop loop;
+    private final SocketBudget sockets;
+    private final DispatcherSettings orders;
     private final Intake intake;
     private final Ending ending;
     private final Counters counters = new Counters();
@@ -51,17 +52,17 @@
     private final Discovery discovery;
     private final Dispatcher dispatcher;
     private final Map<String, Held> heldById = new HashMap<>();
-    private final Map<Assignment, Held> held = new HashMap<>();
-    private final Set<Visit> clients = new HashSet<>();
+    private final Map<Request, Held> held = new HashMap<>();
+    private final Set<ServerConnection> clients = new HashSet<>();
     private final List<Runnable> acts = new ArrayList<>();
     private boolean eventful;
     private Preview preview;
     private long levelChanges;
 
     public Router(
-            Loop loop,
-            Sockets sockets,
-            StandingOrders orders,
+            EventLoop loop,
+            SocketBudget sockets,
+            DispatcherSettings orders,
             Duration idleClose,
             InetSocketAddress lists,
             long startMillis,
@@ -71,11 +72,11 @@
         this.orders = orders;
         this.intake = new Intake(orders);
         this.ending = new Ending(loop, sockets, orders);
-        Duration idleLimit = Spans.ofSecs(Spans.secs(idleClose) * IDLE_PART);
+        Duration idleLimit = Durations.ofSeconds(Durations.seconds(idleClose) * IDLE_PART);
         fleet = new Fleet(
-                to -> new Pool(loop, sockets, to, orders.connectTime, idleLimit),
+                to -> new ConnectionPool(loop, sockets, to, orders.connectTimeout, idleLimit),
                 startMillis,
-                Spans.most(orders.warmWithin, orders.longestPatience()));
+                Durations.max(orders.warmUpTime, orders.maxClientTimeout()));
         discovery = new Discovery(
                 loop,
                 sockets,
@@ -83,7 +84,7 @@
                 counters,
                 chance.split(),
                 list -> listed(list, false),
-                orders.mustSubscribe ? this::listFailed : null);
+                orders.subscribes ? this::listFailed : null);
         dispatcher = new Dispatcher(orders, this, chance);
     }
 
@@ -93,25 +94,25 @@
     }
 
     /** Begins with the list as it was last known; null where there is none. */
-    public void begin(HostList known) {
-        dispatcher.began(loop.now());
+    public void begin(HostListUpdate known) {
+        dispatcher.onStart(loop.now());
         if (known != null) {
             discovery.knows(known.seq);
             listed(known, true);
         }
-        if (!orders.mustSubscribe) {
+        if (!orders.subscribes) {
             discovery.follow();
         }
         eventful();
     }
 
     @Override
-    public Loop loop() {
+    public EventLoop loop() {
         return loop;
     }
 
     @Override
-    public Sockets sockets() {
+    public SocketBudget socketBudget() {
         return sockets;
     }
 
@@ -126,26 +127,26 @@
 
     /** How long a runner may take to answer what it answers at once. */
     Duration answerLimit() {
-        return orders.connectTime;
+        return orders.connectTimeout;
     }
 
     @Override
-    public boolean closes(int status) {
+    public boolean closesAfter(int status) {
         return ending.closes(status);
     }
 
     @Override
-    public HttpParser.Limits limits() {
+    public HttpParser.Limits requestLimits() {
         return REQUESTS;
     }
 
     @Override
-    public Duration wholeWithin() {
+    public Duration requestTimeout() {
         return WHOLE_WITHIN;
     }
 
     @Override
-    public void refused(boolean tooSlow) {
+    public void requestRejected(boolean tooSlow) {
         if (tooSlow) {
             counters.tooSlow++;
         } else {
@@ -154,17 +155,17 @@
     }
 
     public String counted() {
-        Levels levels = dispatcher.levels();
-        return counters.lines(heldById.size(), sockets.open(), loop.exceptions())
+        AdmissionControl levels = dispatcher.admissionControl();
+        return counters.lines(heldById.size(), sockets.openCount(), loop.exceptionCount())
                 + (levels == null
                         ? ""
-                        : "overload_level " + levels.level() + "\noverload_level_changes " + levels.changes()
-                                + "\noverload_turned_away " + levels.turnedAway() + "\n")
+                        : "overload_level " + levels.level() + "\noverload_level_changes " + levels.changeCount()
+                                + "\noverload_turned_away " + levels.rejectedCount() + "\n")
                 + (preview == null ? "" : preview.lines());
     }
 
     /** Counts from now on where these settings would have decided otherwise; what is decided stays as it is. */
-    public void preview(StandingOrders other) {
+    public void preview(DispatcherSettings other) {
         preview = new Preview(dispatcher, other);
     }
 
@@ -179,15 +180,15 @@
         if (eventful) {
             eventful = false;
             try {
-                dispatcher.settle(loop.now());
+                dispatcher.applyActions(loop.now());
                 tellLevel();
             } finally {
                 List<Runnable> wished = List.copyOf(acts);
                 acts.clear();
-                wished.forEach(loop::guarded);
+                wished.forEach(loop::runGuarded);
             }
             if (eventful) {
-                loop.soon(() -> {});
+                loop.defer(() -> {});
             }
         }
         ending.look(clients, held.isEmpty());
@@ -195,36 +196,36 @@
 
     /** Each change of the level stands in the log with its reason; the terms bound how often that can be. */
     private void tellLevel() {
-        Levels levels = dispatcher.levels();
-        if (levels != null && levels.changes() != levelChanges) {
-            levelChanges = levels.changes();
-            LOG.info(() -> "overload: " + levels.reason());
+        AdmissionControl levels = dispatcher.admissionControl();
+        if (levels != null && levels.changeCount() != levelChanges) {
+            levelChanges = levels.changeCount();
+            LOG.info(() -> "overload: " + levels.lastChange());
         }
     }
 
     // ---- From clients.
 
     public void accepted(Connection connection, boolean full) {
-        clients.add(new Visit(this, connection, full));
+        clients.add(new ServerConnection(this, connection, full));
     }
 
     @Override
-    public void left(Visit client) {
+    public void connectionClosed(ServerConnection client) {
         clients.remove(client);
     }
 
     @Override
-    public void requested(Visit client, Head head, byte[] body) {
+    public void handleRequest(ServerConnection client, Head head, byte[] body) {
         switch (head.path()) {
-            case "/up" -> own(client, head, "GET", () -> client.answer(!ending.hasBegun() ? 200 : 503, "", NOTHING));
+            case "/up" -> own(client, head, "GET", () -> client.respond(!ending.hasBegun() ? 200 : 503, "", NOTHING));
             case "/counters" ->
-                own(client, head, "GET", () -> client.answer(200, "", counted().strip()));
+                own(client, head, "GET", () -> client.respond(200, "", counted().strip()));
             case "/_jobs/news" -> own(client, head, "POST", () -> news(client, body));
             default -> assignment(client, head, body);
         }
     }
 
-    private void own(Visit client, Head head, String method, Runnable what) {
+    private void own(ServerConnection client, Head head, String method, Runnable what) {
         if (head.method().equals(method)) {
             what.run();
         } else {
@@ -232,30 +233,30 @@
         }
     }
 
-    private void turnDown(Visit client, Intake.Refusal refusal) {
+    private void turnDown(ServerConnection client, Intake.Refusal refusal) {
         counters.badRequests++;
-        client.answer(refusal.status(), refusal.header(), refusal.why());
+        client.respond(refusal.status(), refusal.header(), refusal.why());
     }
 
-    private void assignment(Visit client, Head head, byte[] body) {
+    private void assignment(ServerConnection client, Head head, byte[] body) {
         Intake.Refusal refusal = intake.refusal(head, heldById::containsKey);
         if (refusal != null) {
             turnDown(client, refusal);
             return;
-        } else if (client.isOneTooMany()) {
+        } else if (client.isOverLimit()) {
             // Guards against requests that wait unread in the kernel until their clients give up. Nothing has run.
             counters.turnedAway++;
-            client.answer(503, "", NOTHING);
+            client.respond(503, "", NOTHING);
             return;
         }
-        Assignment a = intake.assignment(head, loop.now().minus(loop.stood()));
+        Request a = intake.assignment(head, loop.now().minus(loop.stallDuration()));
         Held taken = new Held(Intake.id(head), a, head, body, client);
         heldById.put(taken.id, taken);
         held.put(a, taken);
-        client.held = taken;
+        client.currentRequest = taken;
         counters.taken++;
-        taken.patience = loop.after(a.deadline.minus(loop.now()), () -> outOfTime(taken));
-        dispatcher.arrived(loop.now(), a);
+        taken.patience = loop.schedule(a.deadline.minus(loop.now()), () -> outOfTime(taken));
+        dispatcher.onRequest(loop.now(), a);
         eventful();
     }
 
@@ -267,8 +268,8 @@
     }
 
     @Override
-    public void abandoned(Visit client) {
-        if (client.held instanceof Held served) {
+    public void requestAborted(ServerConnection client) {
+        if (client.currentRequest instanceof Held served) {
             clientGone(served);
         }
     }
@@ -282,16 +283,16 @@
     }
 
     private void answer(Held to, int status, String more, byte[] body) {
-        Visit client = to.client;
+        ServerConnection client = to.client;
         to.client = null;
         if (client != null) {
-            client.answer(status, more, body);
+            client.respond(status, more, body);
         }
         forgetIfOver(to);
     }
 
     private void forgetIfOver(Held done) {
-        if (done.assignment.isOver() && done.client == null && held.remove(done.assignment) != null) {
+        if (done.assignment.isFinished() && done.client == null && held.remove(done.assignment) != null) {
             heldById.remove(done.id);
             done.patience.cancel();
         }
@@ -304,24 +305,24 @@
         if (!ending.hasBegun()) {
             LOG.info(() -> "told to end; " + heldById.size() + " assignments held");
             ending.begin();
-            held.keySet().forEach(a -> dispatcher.woken(loop.now(), a));
+            held.keySet().forEach(a -> dispatcher.onTimer(loop.now(), a));
             eventful();
         }
     }
 
     // ---- From runners.
 
-    private void news(Visit client, byte[] body) {
-        News news = News.read(body);
+    private void news(ServerConnection client, byte[] body) {
+        JobUpdate news = JobUpdate.parse(body);
         if (news == null) {
             counters.badCallBacks++;
-            client.answer(400, "", "no job's news");
+            client.respond(400, "", "no job's news");
             return;
         }
         counters.callBacks++;
-        client.answer(204, "", NOTHING);
-        Target target = fleet.named(news.from);
-        Held about = heldById.get(news.id);
+        client.respond(204, "", NOTHING);
+        Target target = fleet.named(news.runner);
+        Held about = heldById.get(news.jobId);
         Sending sending = target == null || about == null ? null : about.outAt(target);
         if (sending == null) {
             counters.callBacksUnmatched++;
@@ -331,10 +332,10 @@
         switch (news.state) {
             case STARTED -> {
                 if (sending.dispatch.startedAt == null) { // a runner tells again what we did not seem to hear
-                    dispatcher.started(loop.now(), sending.dispatch);
+                    dispatcher.onStarted(loop.now(), sending.dispatch);
                 }
             }
-            case RUNNING -> dispatcher.progressed(loop.now(), sending.dispatch);
+            case RUNNING -> dispatcher.onProgress(loop.now(), sending.dispatch);
             case FAILED -> sending.end(Outcome.ERROR, report);
             case RETURNED -> sending.end(Outcome.TURNED_AWAY, report);
             case LOST -> sending.end(Outcome.BROKEN, report);
@@ -351,7 +352,7 @@
         Held of = sending.held();
         counters.ended(outcome);
         boolean served = outcome == Outcome.FULFILLED && !of.assignment.closed;
-        dispatcher.ended(loop.now(), sending.dispatch, outcome, of.assignment.closed || served, report);
+        dispatcher.onAttemptEnd(loop.now(), sending.dispatch, outcome, of.assignment.closed || served, report);
         eventful();
         if (served) {
             counters.fulfilled++;
@@ -363,13 +364,13 @@
 
     /** The report of these values; null where there are none. */
     static LoadReport report(Map<String, Double> values) {
-        return values == null ? null : Reports.of(name -> values.getOrDefault(name, Double.NaN));
+        return values == null ? null : LoadReportColumns.toLoadReport(name -> values.getOrDefault(name, Double.NaN));
     }
 
     // ---- From discovery.
 
-    private void listed(HostList list, boolean cached) {
-        dispatcher.listed(loop.now(), fleet.sightings(loop.now(), list), list.whole, cached);
+    private void listed(HostListUpdate list, boolean cached) {
+        dispatcher.onRunnerList(loop.now(), fleet.sightings(loop.now(), list), list.complete, cached);
         eventful();
     }
 
@@ -379,21 +380,21 @@
     }
 
     private void listFailed() {
-        dispatcher.listFailed(loop.now());
+        dispatcher.onRunnerListFailure(loop.now());
         eventful();
     }
 
     // ---- The door: what is wished is noted, and carried out when the dispatcher has settled.
 
     @Override
-    public void dispatch(Dispatch dispatch, Duration timeOut) {
-        Held of = held.get(dispatch.assignment);
+    public void dispatch(Attempt dispatch, Duration timeOut) {
+        Held of = held.get(dispatch.request);
         Sending sending = new Sending(this, of, dispatch, fleet.of(dispatch.runner));
         of.sendings.add(sending);
         counters.dispatches++;
         acts.add(() -> {
             // By the clock, not the turn's time: guards against a process that was stopped in the midst of a turn.
-            long left = dispatch.assignment.deadline.minus(loop.clock()).toMillis();
+            long left = dispatch.request.deadline.minus(loop.elapsed()).toMillis();
             if (left > 0) {
                 sending.begin(left, timeOut);
             } else {
@@ -403,24 +404,24 @@
     }
 
     @Override
-    public void cancel(Dispatch dispatch) {
-        Sending sending = held.get(dispatch.assignment).of(dispatch);
+    public void cancel(Attempt dispatch) {
+        Sending sending = held.get(dispatch.request).of(dispatch);
         counters.cancels++;
         acts.add(() -> sending.stop(Outcome.CANCELLED));
     }
 
     @Override
-    public void shed(Assignment assignment, Duration pause) {
+    public void shed(Request assignment, Duration pause) {
         Held of = held.get(assignment);
         counters.shed++;
         String advice = pause == null || pause.isZero()
                 ? ""
-                : String.format(Locale.ROOT, "Retry-After: %.3f\r\n", Spans.secs(pause));
+                : String.format(Locale.ROOT, "Retry-After: %.3f\r\n", Durations.seconds(pause));
         acts.add(() -> answer(of, 503, advice, NOTHING));
     }
 
     @Override
-    public void giveUp(Assignment assignment) {
+    public void giveUp(Request assignment) {
         Held of = held.get(assignment);
         counters.givenUp++;
         acts.add(() -> answer(of, 502, "", NOTHING));
@@ -435,14 +436,14 @@
 
     void probed(Target target, Map<String, Double> values, Duration took) {
         counters.probesUnanswered += values == null ? 1 : 0;
-        dispatcher.probed(loop.now(), target.runner, values != null, took, report(values));
+        dispatcher.onProbeResult(loop.now(), target.runner, values != null, took, report(values));
         eventful();
     }
 
     @Override
-    public void wake(Duration after, Object what) {
-        loop.after(after, () -> {
-            dispatcher.woken(loop.now(), what);
+    public void setTimer(Duration after, Object what) {
+        loop.schedule(after, () -> {
+            dispatcher.onTimer(loop.now(), what);
             eventful();
         });
     }
@@ -453,7 +454,7 @@
     }
 
     @Override
-    public void readList() {
+    public void requestRunnerList() {
         acts.add(() -> discovery.read(came -> {
             if (!came) {
                 listFailed();
@@ -462,7 +463,7 @@
     }
 
     @Override
-    public void closeIdle(Runner runner) {
+    public void closeIdleConnections(Runner runner) {
         acts.add(() -> {
             Target target = fleet.of(runner);
             if (target != null) {
@@ -472,12 +473,12 @@
     }
 
     @Override
-    public void tell(int number, String message) {
+    public void sendToPeer(int number, String message) {
         // The protocol on sockets carries no messages between dispatchers.
     }
 
     @Override
-    public void report(String line) {
+    public void log(String line) {
         LOG.info(line);
     }
 }
--- a/net/src/main/java/saltdale/protocol/JsonReader.java
+++ b/net/src/main/java/saltdale/protocol/JsonReader.java
@@ -5,90 +5,98 @@
 import java.util.Arrays;
 import java.util.regex.Pattern;
 
-/** Takes single values out of one JSON text; what is not asked for is checked and skipped. */
+/**
+ * A pull parser for a single JSON text.
+ * Values that the caller does not need are skipped after a check of their syntax.
+ */
 final class JsonReader {
-    /** The text is no JSON, or not of the shape that was asked for. */
-    static final class Malformed extends Exception {
+    /** Thrown if the text is not valid JSON, or does not have the requested structure. */
+    static final class MalformedJsonException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Malformed(String what) {
-            super(what, null, false, false);
+        MalformedJsonException(String message) {
+            super(message, null, false, false);
         }
     }
 
-    /** Takes or skips the value of one member. */
-    interface Member {
-        void take(String name) throws Malformed;
+    /** Reads or skips the value of one object member. */
+    interface MemberHandler {
+        void readMember(String name) throws MalformedJsonException;
     }
 
-    /** Takes or skips one element. */
-    interface Element {
-        void take() throws Malformed;
+    /** Reads or skips one array element. */
+    interface ElementHandler {
+        void readElement() throws MalformedJsonException;
     }
 
-    private static final int DEEPEST = 32;
+    private static final int MAX_DEPTH = 32;
     private static final Pattern NUMBER = Pattern.compile("-?(0|[1-9]\\d*)(\\.\\d+)?([eE][+-]?\\d+)?");
 
     private final byte[] text;
-    private int at;
+    private int position;
     private int depth;
 
     JsonReader(byte[] text) {
         this.text = text;
     }
 
-    void object(Member member) throws Malformed {
-        open('{');
-        for (boolean more = next() != '}'; more; ) {
-            String name = string();
+    /** Reads an object; the handler must read or skip the value of each member. */
+    void readObject(MemberHandler handler) throws MalformedJsonException {
+        openBracket('{');
+        for (boolean more = peekToken() != '}'; more; ) {
+            String name = readString();
             expect(':');
-            member.take(name);
-            more = goesOn('}');
+            handler.readMember(name);
+            more = hasMore('}');
         }
-        close('}');
+        closeBracket('}');
     }
 
-    void array(Element element) throws Malformed {
-        open('[');
-        for (boolean more = next() != ']'; more; ) {
-            element.take();
-            more = goesOn(']');
+    /** Reads an array; the handler must read or skip each element. */
+    void readArray(ElementHandler handler) throws MalformedJsonException {
+        openBracket('[');
+        for (boolean more = peekToken() != ']'; more; ) {
+            handler.readElement();
+            more = hasMore(']');
         }
-        close(']');
+        closeBracket(']');
     }
 
-    String string() throws Malformed {
-        return new String(bytes(), StandardCharsets.UTF_8);
+    String readString() throws MalformedJsonException {
+        return new String(readStringBytes(), StandardCharsets.UTF_8);
     }
 
-    /** A string's text in UTF-8, its escapes undone. */
-    byte[] bytes() throws Malformed {
+    /** Reads a string and returns its unescaped text in UTF-8. */
+    byte[] readStringBytes() throws MalformedJsonException {
         expect('"');
-        int from = at;
-        while (at < text.length && text[at] != '"' && text[at] != '\\' && (text[at] & 0xff) >= ' ') {
-            at++;
-        }
-        if (at < text.length && text[at] == '"') {
-            return Arrays.copyOfRange(text, from, at++);
-        }
-        ByteArrayOutputStream out = new ByteArrayOutputStream(2 * (at - from) + 16);
-        out.write(text, from, at - from);
+        int start = position;
+        while (position < text.length
+                && text[position] != '"'
+                && text[position] != '\\'
+                && (text[position] & 0xff) >= ' ') {
+            position++;
+        }
+        if (position < text.length && text[position] == '"') {
+            return Arrays.copyOfRange(text, start, position++);
+        }
+        ByteArrayOutputStream out = new ByteArrayOutputStream(2 * (position - start) + 16);
+        out.write(text, start, position - start);
         while (true) {
-            int b = take();
+            int b = nextByte();
             if (b == '"') {
                 return out.toByteArray();
             } else if (b == '\\') {
-                unescape(out);
+                readEscape(out);
             } else if (b < ' ') {
-                throw new Malformed("a bare control character in a string");
+                throw new MalformedJsonException("unescaped control character in a string");
             } else {
                 out.write(b);
             }
         }
     }
 
-    private void unescape(ByteArrayOutputStream out) throws Malformed {
-        int b = take();
+    private void readEscape(ByteArrayOutputStream out) throws MalformedJsonException {
+        int b = nextByte();
         switch (b) {
             case '"', '\\', '/' -> out.write(b);
             case 'b' -> out.write('\b');
@@ -97,142 +105,143 @@
             case 'r' -> out.write('\r');
             case 't' -> out.write('\t');
             case 'u' -> {
-                int code = hex();
+                int code = readHex4();
                 if (Character.isHighSurrogate((char) code)
-                        && at + 1 < text.length
-                        && text[at] == '\\'
-                        && text[at + 1] == 'u') {
-                    int mark = at;
-                    at += 2;
-                    int low = hex();
+                        && position + 1 < text.length
+                        && text[position] == '\\'
+                        && text[position + 1] == 'u') {
+                    int afterHigh = position;
+                    position += 2;
+                    int low = readHex4();
                     if (Character.isLowSurrogate((char) low)) {
                         code = Character.toCodePoint((char) code, (char) low);
                     } else {
-                        at = mark;
+                        position = afterHigh;
                     }
                 }
                 byte[] utf8 = new String(Character.toChars(code)).getBytes(StandardCharsets.UTF_8);
                 out.write(utf8, 0, utf8.length);
             }
-            default -> throw new Malformed("no such escape");
+            default -> throw new MalformedJsonException("unknown escape sequence");
         }
     }
 
-    private int hex() throws Malformed {
+    private int readHex4() throws MalformedJsonException {
         int code = 0;
         for (int i = 0; i < 4; i++) {
-            int digit = Character.digit(take(), 16);
+            int digit = Character.digit(nextByte(), 16);
             if (digit < 0) {
-                throw new Malformed("an escape is malformed");
+                throw new MalformedJsonException("malformed \\u escape sequence");
             }
             code = 16 * code + digit;
         }
         return code;
     }
 
-    double number() throws Malformed {
-        next();
-        int from = at;
-        while (at < text.length && "+-.eE0123456789".indexOf(text[at]) >= 0) {
-            at++;
+    double readNumber() throws MalformedJsonException {
+        peekToken();
+        int start = position;
+        while (position < text.length && "+-.eE0123456789".indexOf(text[position]) >= 0) {
+            position++;
         }
-        String number = new String(text, from, at - from, StandardCharsets.ISO_8859_1);
+        String number = new String(text, start, position - start, StandardCharsets.ISO_8859_1);
         if (!NUMBER.matcher(number).matches()) {
-            throw new Malformed("not a number");
+            throw new MalformedJsonException("malformed number");
         }
         double value = Double.parseDouble(number);
         if (Double.isInfinite(value)) {
-            throw new Malformed("a number too large to be one");
+            throw new MalformedJsonException("number is out of range");
         }
         return value;
     }
 
-    boolean flag() throws Malformed {
-        boolean yes = next() == 't';
-        word(yes ? "true" : "false");
-        return yes;
+    boolean readBoolean() throws MalformedJsonException {
+        boolean value = peekToken() == 't';
+        readLiteral(value ? "true" : "false");
+        return value;
     }
 
-    /** Whether null comes, which is then taken. */
-    boolean isNull() throws Malformed {
-        boolean none = next() == 'n';
-        if (none) {
-            word("null");
+    /** Returns whether the next value is null, and reads it if so. */
+    boolean consumeNull() throws MalformedJsonException {
+        boolean isNull = peekToken() == 'n';
+        if (isNull) {
+            readLiteral("null");
         }
-        return none;
+        return isNull;
     }
 
-    void skip() throws Malformed {
-        switch (next()) {
-            case '{' -> object(name -> skip());
-            case '[' -> array(this::skip);
-            case '"' -> bytes();
-            case 't', 'f' -> flag();
-            case 'n' -> word("null");
-            default -> number();
+    /** Checks the syntax of the next value and skips it. */
+    void skipValue() throws MalformedJsonException {
+        switch (peekToken()) {
+            case '{' -> readObject(name -> skipValue());
+            case '[' -> readArray(this::skipValue);
+            case '"' -> readStringBytes();
+            case 't', 'f' -> readBoolean();
+            case 'n' -> readLiteral("null");
+            default -> readNumber();
         }
     }
 
-    /** Nothing but white space is left. */
-    void end() throws Malformed {
-        while (at < text.length) {
-            if (" \t\r\n".indexOf(text[at++]) < 0) {
-                throw new Malformed("something stands behind the value");
+    /** Checks that only white space follows. */
+    void expectEnd() throws MalformedJsonException {
+        while (position < text.length) {
+            if (" \t\r\n".indexOf(text[position++]) < 0) {
+                throw new MalformedJsonException("unexpected text after the value");
             }
         }
     }
 
-    private void open(char bracket) throws Malformed {
+    private void openBracket(char bracket) throws MalformedJsonException {
         expect(bracket);
-        if (++depth > DEEPEST) {
-            throw new Malformed("nested too deeply");
+        if (++depth > MAX_DEPTH) {
+            throw new MalformedJsonException("nested too deeply");
         }
     }
 
-    private void close(char bracket) throws Malformed {
+    private void closeBracket(char bracket) throws MalformedJsonException {
         expect(bracket);
         depth--;
     }
 
-    /** After a member or element: true, with the comma taken, where another one follows. */
-    private boolean goesOn(char bracket) throws Malformed {
-        if (next() == bracket) {
+    /** After a member or element: returns whether another one follows, and consumes the comma if so. */
+    private boolean hasMore(char closingBracket) throws MalformedJsonException {
+        if (peekToken() == closingBracket) {
             return false;
         }
         expect(',');
         return true;
     }
 
-    private void word(String word) throws Malformed {
-        for (int i = 0; i < word.length(); i++) {
-            if (take() != word.charAt(i)) {
-                throw new Malformed("no such value");
+    private void readLiteral(String literal) throws MalformedJsonException {
+        for (int i = 0; i < literal.length(); i++) {
+            if (nextByte() != literal.charAt(i)) {
+                throw new MalformedJsonException("unknown literal");
             }
         }
     }
 
-    private void expect(char wanted) throws Malformed {
-        if (next() != wanted) {
-            throw new Malformed("expected " + wanted);
+    private void expect(char expected) throws MalformedJsonException {
+        if (peekToken() != expected) {
+            throw new MalformedJsonException("expected " + expected);
         }
-        at++;
+        position++;
     }
 
-    private int take() throws Malformed {
-        if (at >= text.length) {
-            throw new Malformed("cut short");
+    private int nextByte() throws MalformedJsonException {
+        if (position >= text.length) {
+            throw new MalformedJsonException("unexpected end of the text");
         }
-        return text[at++] & 0xff;
+        return text[position++] & 0xff;
     }
 
-    /** The next character that is no white space; it stays. */
-    private int next() throws Malformed {
-        while (at < text.length && " \t\r\n".indexOf(text[at]) >= 0) {
-            at++;
+    /** Skips white space and returns the next character without consuming it. */
+    private int peekToken() throws MalformedJsonException {
+        while (position < text.length && " \t\r\n".indexOf(text[position]) >= 0) {
+            position++;
         }
-        if (at >= text.length) {
-            throw new Malformed("cut short");
+        if (position >= text.length) {
+            throw new MalformedJsonException("unexpected end of the text");
         }
-        return text[at] & 0xff;
+        return text[position] & 0xff;
     }
 }
--- /dev/null
+++ b/net/src/main/java/saltdale/serving/ServerConnection.java
@@ -0,0 +1,276 @@
+package saltdale.serving;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.time.Duration;
+import saltdale.protocol.Head;
+import saltdale.protocol.HttpParser;
+import saltdale.protocol.HttpWriter;
+import saltdale.transport.Connection;
+import saltdale.transport.EventLoop;
+import saltdale.transport.SocketBudget;
+import saltdale.transport.Timer;
+
+/** The server side of an HTTP connection; it serves the requests on the connection one after the other. */
+public final class ServerConnection implements Connection.Handler {
+    /** Handles the requests of server connections and provides their settings. */
+    public interface Handler {
+        /** Returns the event loop on which the connections run. */
+        EventLoop loop();
+
+        /** Returns the budget that the connections are accepted from. */
+        SocketBudget socketBudget();
+
+        /**
+         * Handles a complete request. It is answered immediately or later, by {@link ServerConnection#respond} or
+         * {@link ServerConnection#forwardResponse}.
+         */
+        void handleRequest(ServerConnection connection, Head head, byte[] body);
+
+        /** The connection is closed; if a request was being served, {@link #requestAborted} follows. */
+        void connectionClosed(ServerConnection connection);
+
+        /** The client closed the connection while its request was being served. */
+        void requestAborted(ServerConnection connection);
+
+        /** Returns whether the connection is to be closed after a response with this status. */
+        boolean closesAfter(int status);
+
+        /** Returns the limits for the next request; called before each one. */
+        HttpParser.Limits requestLimits();
+
+        /**
+         * Returns how long a request may take to arrive, measured from its first byte, or for the first request from
+         * the start of the connection.
+         */
+        Duration requestTimeout();
+
+        /**
+         * Returns how long a connection may be idle between two requests, or null if idle connections are closed only
+         * when sockets run out.
+         */
+        default Duration idleTimeout() {
+            return null;
+        }
+
+        /** A request was malformed or took too long to arrive. */
+        default void requestRejected(boolean timedOut) {}
+    }
+
+    private static final byte[] EMPTY_BODY = new byte[0];
+    private static final ByteBuffer EMPTY_BUFFER = ByteBuffer.allocate(0);
+
+    private final Handler handler;
+    private final Connection connection;
+    private final boolean overLimit;
+    private final HttpParser parser = new HttpParser(HttpParser.Kind.REQUEST);
+    private final Runnable closeAction = this::closeIfNotServing;
+    private ByteBuffer unparsed = EMPTY_BUFFER; // received bytes that are not parsed yet
+    private boolean parsing;
+    private boolean serving;
+    private boolean keepsAlive;
+    private boolean continueSent; // for the current request
+    private boolean newClient = true; // no request has been accepted on this connection yet
+    private int consecutiveRejections;
+    private Timer timer; // for the request that is arriving, or for the idle time between two requests
+    private boolean idleTimerRunning;
+    /** The handler's object for the request being served, or null if none is. */
+    public Object currentRequest;
+
+    /** Starts serving an accepted connection; with {@code overLimit}, it is closed after its first response. */
+    public ServerConnection(Handler handler, Connection connection, boolean overLimit) {
+        this.handler = handler;
+        this.connection = connection;
+        this.overLimit = overLimit;
+        connection.setHandler(this);
+        parser.setLimits(handler.requestLimits());
+        timer = handler.loop().schedule(handler.requestTimeout(), this::onRequestTimeout);
+        handler.socketBudget().markIdle(SocketBudget.IdleRank.NEW_CLIENT, closeAction);
+    }
+
+    /** Returns the numeric IP address of the client, or null if it is no longer known. */
+    public String peerAddress() {
+        return connection.peerAddress();
+    }
+
+    /** Returns whether the connection exceeds the client limit, so that it may only be rejected. */
+    public boolean isOverLimit() {
+        return overLimit;
+    }
+
+    /** Returns whether no request is being served or has begun to arrive. */
+    public boolean isIdle() {
+        return !serving && parser.isAtStart();
+    }
+
+    /** Returns whether the last response has been written; otherwise closing the connection would truncate it. */
+    public boolean isFlushed() {
+        return connection.isFlushed();
+    }
+
+    /** Closes the connection unless a request is being served. A request that has partly arrived is discarded. */
+    public void closeIfNotServing() {
+        if (!serving) {
+            releaseAndNotify();
+            connection.close();
+        }
+    }
+
+    @Override
+    public void received(ByteBuffer bytes) {
+        ByteBuffer joined = ByteBuffer.allocate(unparsed.remaining() + bytes.remaining());
+        unparsed = joined.put(unparsed).put(bytes).flip();
+        if (serving && unparsed.remaining() > HttpParser.MAX_REQUEST_BODY_BYTES) {
+            connection.setReadEnabled(false);
+        }
+        processInput();
+    }
+
+    /** Parses received bytes, one request at a time. This is a loop so that pipelined requests do not recurse. */
+    private void processInput() {
+        if (parsing) {
+            return;
+        }
+        parsing = true;
+        while (!serving && unparsed.hasRemaining()) {
+            parse();
+        }
+        unparsed = unparsed.hasRemaining() ? unparsed : EMPTY_BUFFER;
+        parsing = false;
+        if (isIdle()) {
+            handler.socketBudget()
+                    .markIdle(
+                            newClient ? SocketBudget.IdleRank.NEW_CLIENT : SocketBudget.IdleRank.IDLE_CLIENT,
+                            closeAction);
+            if (timer == null && handler.idleTimeout() != null) {
+                idleTimerRunning = true;
+                timer = handler.loop().schedule(handler.idleTimeout(), this::onIdleTimeout);
+            }
+        }
+    }
+
+    private void onIdleTimeout() {
+        idleTimerRunning = false;
+        timer = null;
+        closeIfNotServing();
+    }
+
+    /** Prevents clients from occupying a connection without a request, or with one that never ends. */
+    private void onRequestTimeout() {
+        timer = null;
+        handler.requestRejected(true);
+        if (parser.isAtStart()) {
+            closeIfNotServing();
+        } else {
+            reject(408, "request took too long to arrive");
+        }
+    }
+
+    private void reject(int status, String message) {
+        handler.requestRejected(false);
+        keepsAlive = false;
+        startServing();
+        respond(status, "", message);
+    }
+
+    /** Called when a request is complete, or is about to be rejected before it is. */
+    private void startServing() {
+        serving = true;
+        handler.socketBudget().markBusy(closeAction);
+        if (timer != null) {
+            timer.cancel();
+            timer = null;
+        }
+    }
+
+    private void parse() {
+        if (idleTimerRunning) {
+            idleTimerRunning = false;
+            timer.cancel();
+            timer = null;
+        }
+        if (timer == null) {
+            timer = handler.loop().schedule(handler.requestTimeout(), this::onRequestTimeout);
+            if (!newClient) {
+                handler.socketBudget().markBusy(closeAction);
+            }
+        }
+        parser.parse(unparsed);
+        if (parser.isMalformed()) {
+            reject(parser.errorStatus(), parser.errorMessage());
+        } else if (parser.isComplete()) {
+            startServing();
+            Head head = parser.head();
+            keepsAlive = head.keepsAlive() && head.isHttp11();
+            byte[] body = parser.body();
+            parser.startNextMessage();
+            parser.setLimits(handler.requestLimits());
+            continueSent = false;
+            handler.handleRequest(this, head, body);
+        } else if (parser.head() != null && parser.head().expectsContinue() && !continueSent) {
+            continueSent = true;
+            connection.send(HttpWriter.continueResponse());
+        }
+    }
+
+    /**
+     * Sends a response with a text body to the request being served.
+     * {@code more} holds complete header lines or is empty.
+     */
+    public void respond(int status, String more, String text) {
+        respond(status, more, text.isEmpty() ? EMPTY_BODY : (text + "\n").getBytes(StandardCharsets.UTF_8));
+    }
+
+    /** Sends a response to the request being served and continues with the next request. */
+    public void respond(int status, String more, byte[] body) {
+        boolean rejected = status >= 400 && status < 500;
+        // Limits a client to one bad request per iteration of the event loop instead of hundreds: an ordinary client
+        // sends one request at a time.
+        boolean close = !keepsAlive || overLimit || handler.closesAfter(status) || rejected && unparsed.hasRemaining();
+        sendResponse(HttpWriter.response(status, more, body.length, close), body, status, close);
+    }
+
+    /** Forwards the response of a runner to the request being served, whatever its status is. */
+    public void forwardResponse(Head head, byte[] body) {
+        boolean close = !keepsAlive || overLimit || handler.closesAfter(200);
+        sendResponse(HttpWriter.forwardedResponse(head, body.length, close), body, 200, close);
+    }
+
+    private void sendResponse(byte[] head, byte[] body, int status, boolean close) {
+        currentRequest = null;
+        boolean rejected = status >= 400 && status < 500;
+        connection.send(ByteBuffer.wrap(head), ByteBuffer.wrap(body));
+        if (close) {
+            releaseAndNotify();
+            connection.closeGracefully();
+            return;
+        }
+        serving = false;
+        newClient &= status >= 400;
+        consecutiveRejections = rejected ? Math.min(consecutiveRejections + 1, 7) : 0;
+        connection.setReadEnabled(!rejected);
+        if (rejected) { // slows down a client that repeats a rejected request as fast as it can send it
+            handler.loop()
+                    .schedule(Duration.ofMillis(5L << consecutiveRejections), () -> connection.setReadEnabled(true));
+        }
+        processInput();
+    }
+
+    private void releaseAndNotify() {
+        if (timer != null) {
+            timer.cancel();
+            timer = null;
+        }
+        handler.socketBudget().markBusy(closeAction);
+        handler.connectionClosed(this);
+    }
+
+    @Override
+    public void disconnected(String cause) {
+        releaseAndNotify();
+        if (currentRequest != null) {
+            handler.requestAborted(this);
+            currentRequest = null;
+        }
+    }
+}
--- /dev/null
+++ b/net/src/main/java/saltdale/transport/EventLoop.java
@@ -0,0 +1,207 @@
+package saltdale.transport;
+
+import java.io.IOException;
+import java.nio.ByteBuffer;
+import java.nio.channels.SelectableChannel;
+import java.nio.channels.SelectionKey;
+import java.nio.channels.Selector;
+import java.time.Duration;
+import java.util.ArrayDeque;
+import java.util.Queue;
+import java.util.concurrent.ConcurrentLinkedQueue;
+import java.util.logging.Level;
+import java.util.logging.Logger;
+
+/**
+ * A single-threaded event loop. Each iteration waits for ready channels and due timers, dispatches all ready channels,
+ * runs deferred tasks and due timers, and finally runs the end-of-iteration task once.
+ */
+public final class EventLoop {
+    /** Handles the events of a registered channel. */
+    interface ChannelHandler {
+        /** The channel is ready for at least one of the operations of its key. */
+        void onReady(SelectionKey key) throws IOException;
+
+        /** A task of this handler threw an exception; only this handler's channel is to be closed. */
+        void onFailure(Exception cause);
+    }
+
+    private static final Logger LOG = Logger.getLogger(EventLoop.class.getName());
+    // The longest wait of one iteration while there is traffic.
+    private static final long MAX_ACTIVE_WAIT_NANOS = 100_000_000;
+    // There is traffic until this long after a channel was last ready.
+    private static final long ACTIVE_PERIOD_NANOS = 1_000_000_000;
+    // If an iteration starts later than this after the end of its wait, the process was stalled.
+    private static final long STALL_THRESHOLD_NANOS = 50_000_000;
+    private static final int MAX_CATCH_UP_SELECTS = 32;
+    private final Selector selector;
+    private final long originNanos = System.nanoTime();
+    private final TimerQueue timers = new TimerQueue();
+    private final Queue<Runnable> deferredTasks = new ArrayDeque<>();
+    private final Queue<Runnable> externalTasks = new ConcurrentLinkedQueue<>();
+    /** Shared by all connections: the bytes of one read must be consumed before the next read. */
+    final ByteBuffer readBuffer = ByteBuffer.allocateDirect(1 << 16);
+
+    private long nowNanos;
+    private long lastReadyNanos; // when a channel was last ready
+    private long stallNanos;
+    private boolean running = true;
+    private long exceptionCount;
+
+    /** Creates an event loop with its own selector; it does nothing until {@link #run} or {@link #runOnce}. */
+    public EventLoop() throws IOException {
+        selector = Selector.open();
+    }
+
+    /** Returns the start time of the current iteration, as the time since the loop was created. */
+    public Duration now() {
+        return Duration.ofNanos(nowNanos);
+    }
+
+    /**
+     * Returns for how long the process was stalled before this iteration (stopped, or without CPU time), or zero after
+     * an ordinary wait. Input that is read after a stall may have arrived at any time during it.
+     */
+    public Duration stallDuration() {
+        return Duration.ofNanos(stallNanos);
+    }
+
+    /** Returns the exact current time since the loop was created; it advances within an iteration. */
+    public Duration elapsed() {
+        return Duration.ofNanos(System.nanoTime() - originNanos);
+    }
+
+    /** Returns how many tasks have thrown an exception; each one affected only its own channel or task. */
+    public long exceptionCount() {
+        return exceptionCount;
+    }
+
+    /** Schedules a task to run once the delay has passed since the start of the current iteration. */
+    public Timer schedule(Duration delay, Runnable task) {
+        return timers.add(nowNanos + Math.max(0, delay.toNanos()), task);
+    }
+
+    /** Runs the task in the next iteration; an exception is reported to the handler. */
+    void defer(ChannelHandler handler, Runnable task) {
+        deferredTasks.add(() -> runGuarded(handler, task::run));
+    }
+
+    /** Runs the task in the next iteration. */
+    public void defer(Runnable task) {
+        deferredTasks.add(task);
+    }
+
+    /** Runs the task in the next iteration. This is the only method that other threads may call. */
+    public void execute(Runnable task) {
+        externalTasks.add(task);
+        selector.wakeup();
+    }
+
+    /** Returns whether {@link #stop} has not been called yet. */
+    public boolean isRunning() {
+        return running;
+    }
+
+    /** Makes {@link #run} return after the current iteration. */
+    public void stop() {
+        running = false;
+    }
+
+    SelectionKey register(SelectableChannel channel, int interestOps, ChannelHandler handler) throws IOException {
+        channel.configureBlocking(false);
+        return channel.register(selector, interestOps, handler);
+    }
+
+    /** Runs iterations until the loop is stopped; {@code iterationEnd} runs at the end of each one. */
+    public void run(Runnable iterationEnd) throws IOException {
+        while (running) {
+            runOnce(iterationEnd);
+        }
+    }
+
+    /** Runs one iteration: waits until something is ready or due, and handles all of it. */
+    public void runOnce(Runnable iterationEnd) throws IOException {
+        long latestWakeupNanos = select();
+        long previousNanos = nowNanos;
+        nowNanos = System.nanoTime() - originNanos;
+        stallNanos = nowNanos - latestWakeupNanos > STALL_THRESHOLD_NANOS ? nowNanos - previousNanos : 0;
+        dispatchReadyChannels();
+        // After a stall, reads all pending input before any timer or decision. Otherwise the loop would take its own
+        // stall for silence of its peers, and would serve clients that have disconnected in the meantime.
+        for (int i = 0; stallNanos > 0 && i < MAX_CATCH_UP_SELECTS && selector.selectNow() > 0; i++) {
+            dispatchReadyChannels();
+        }
+        for (int i = deferredTasks.size(); i > 0; i--) {
+            runGuarded(deferredTasks.poll());
+        }
+        for (Runnable task = externalTasks.poll(); task != null; task = externalTasks.poll()) {
+            runGuarded(task);
+        }
+        for (Timer next = timers.pollDue(nowNanos); next != null; next = timers.pollDue(nowNanos)) {
+            runGuarded(next.task);
+        }
+        runGuarded(iterationEnd);
+    }
+
+    private void dispatchReadyChannels() {
+        lastReadyNanos = selector.selectedKeys().isEmpty() ? lastReadyNanos : nowNanos;
+        for (SelectionKey key : selector.selectedKeys()) {
+            ChannelHandler handler = (ChannelHandler) key.attachment();
+            runGuarded(handler, () -> {
+                if (key.isValid()) {
+                    handler.onReady(key);
+                }
+            });
+        }
+        selector.selectedKeys().clear();
+    }
+
+    /**
+     * Waits for ready channels until the next timer is due. Returns the latest time at which the wait should have
+     * ended, or Long.MAX_VALUE if it was unlimited.
+     */
+    private long select() throws IOException {
+        long startNanos = System.nanoTime() - originNanos;
+        long waitNanos = timers.nextDueNanos() == Long.MAX_VALUE ? Long.MAX_VALUE : timers.nextDueNanos() - startNanos;
+        if (startNanos - lastReadyNanos < ACTIVE_PERIOD_NANOS) {
+            waitNanos = Math.min(waitNanos, MAX_ACTIVE_WAIT_NANOS);
+        }
+        if (!deferredTasks.isEmpty() || waitNanos <= 0) {
+            waitNanos = 0;
+            selector.selectNow();
+        } else {
+            selector.select(waitNanos == Long.MAX_VALUE ? 0 : (waitNanos + 999_999) / 1_000_000);
+        }
+        return waitNanos == Long.MAX_VALUE
+                ? waitNanos
+                : Math.min(startNanos, nowNanos + MAX_ACTIVE_WAIT_NANOS) + waitNanos;
+    }
+
+    /** A task of a channel handler, which may fail with an I/O error. */
+    private interface Task {
+        void run() throws IOException;
+    }
+
+    private void runGuarded(ChannelHandler handler, Task task) {
+        try {
+            task.run();
+        } catch (IOException | RuntimeException e) {
+            recordException(e);
+            runGuarded(() -> handler.onFailure(e));
+        }
+    }
+
+    /** Runs the task; an exception is logged and counted and does not affect anything else. */
+    public void runGuarded(Runnable task) {
+        try {
+            task.run();
+        } catch (RuntimeException e) {
+            recordException(e);
+        }
+    }
+
+    private void recordException(Exception e) {
+        exceptionCount++;
+        LOG.log(Level.SEVERE, "uncaught exception in a task of the event loop", e);
+    }
+}
--- a/net/src/main/java/saltdale/transport/Listener.java
+++ b/net/src/main/java/saltdale/transport/Listener.java
@@ -8,106 +8,117 @@
 import java.nio.channels.SocketChannel;
 import java.time.Duration;
 
-/** Takes in connections at one address. */
-public final class Listener implements Loop.Ready {
-    /** Who a new connection is handed to; {@code full} where there is only room to turn it away. */
-    public interface Taker {
-        void take(Connection connection, boolean full);
+/** Accepts TCP connections on one address, within the limits of a {@link SocketBudget}. */
+public final class Listener implements EventLoop.ChannelHandler {
+    /** Receives accepted connections. */
+    public interface AcceptHandler {
+        /**
+         * Takes over an accepted connection and sets its handler. With {@code overLimit}, the client limit is reached
+         * and the connection may only be rejected.
+         */
+        void accepted(Connection connection, boolean overLimit);
     }
 
     private static final int BACKLOG = 1024;
-    private static final Duration PAUSE = Duration.ofMillis(100);
+    private static final Duration ACCEPT_PAUSE = Duration.ofMillis(100);
 
-    private final Loop loop;
-    private final Sockets sockets;
+    private final EventLoop loop;
+    private final SocketBudget sockets;
     private final ServerSocketChannel channel;
     private final SelectionKey key;
-    private final Taker taker;
-    private boolean held;
+    private final AcceptHandler acceptHandler;
+    private boolean paused;
 
-    public Listener(Loop loop, Sockets sockets, InetSocketAddress at, Taker taker) throws IOException {
-        this(loop, sockets, at, BACKLOG, taker);
+    /** Listens on {@code address} with the default backlog. */
+    public Listener(EventLoop loop, SocketBudget sockets, InetSocketAddress address, AcceptHandler acceptHandler)
+            throws IOException {
+        this(loop, sockets, address, BACKLOG, acceptHandler);
     }
 
-    /** {@code backlog}: connections that the kernel may hold ready before they are taken in. */
-    public Listener(Loop loop, Sockets sockets, InetSocketAddress at, int backlog, Taker taker) throws IOException {
+    /** Listens on {@code address}; the kernel queues up to {@code backlog} connections that are not yet accepted. */
+    public Listener(
+            EventLoop loop, SocketBudget sockets, InetSocketAddress address, int backlog, AcceptHandler acceptHandler)
+            throws IOException {
         this.loop = loop;
         this.sockets = sockets;
-        this.taker = taker;
+        this.acceptHandler = acceptHandler;
         channel = ServerSocketChannel.open();
         channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-        channel.bind(at, backlog);
+        channel.bind(address, backlog);
         key = loop.register(channel, SelectionKey.OP_ACCEPT, this);
-        sockets.onGiveBack(this::resume);
+        sockets.setReleaseListener(this::resume);
     }
 
     @Override
-    public void ready(SelectionKey ready) throws IOException {
-        while (sockets.couldTurnAway()) {
+    public void onReady(SelectionKey ready) throws IOException {
+        while (sockets.canAcquireForRejection()) {
             SocketChannel accepted = channel.accept();
             if (accepted == null) {
                 return;
             }
-            boolean full = !sockets.takeForClient();
-            if (full) {
-                sockets.takeToTurnAway();
+            boolean overLimit = !sockets.acquireForClient();
+            if (overLimit) {
+                sockets.acquireForRejection();
             }
             try {
-                taker.take(Connection.accepted(loop, sockets, accepted), full);
+                acceptHandler.accepted(Connection.accepted(loop, sockets, accepted), overLimit);
             } catch (IOException e) {
-                sockets.gaveBack(); // it ended before it was ours
+                sockets.release(); // the connection ended before it could be registered
                 accepted.close();
             }
         }
-        rest();
+        pauseBriefly();
     }
 
-    /** Guards against an accept that fails again and again, as without descriptors: it rests a little. */
+    /** Pauses accepting after a failure (such as a lack of descriptors), so that it is not retried in a tight loop. */
     @Override
-    public void failed(Exception cause) {
-        rest();
+    public void onFailure(Exception cause) {
+        pauseBriefly();
     }
 
-    /** Until a descriptor is given back, or others have become idle; guards against a spinning accept. */
-    private void rest() {
+    /**
+     * Stops accepting until a descriptor is released, or for {@link #ACCEPT_PAUSE}, after which other connections may
+     * have become idle. This prevents a tight loop around accept.
+     */
+    private void pauseBriefly() {
         key.interestOps(0);
-        loop.after(PAUSE, this::resume);
+        loop.schedule(ACCEPT_PAUSE, this::resume);
     }
 
     private void resume() {
-        if (key.isValid() && !held) {
+        if (key.isValid() && !paused) {
             key.interestOps(SelectionKey.OP_ACCEPT);
         }
     }
 
-    /** Takes in nobody until told to go on: what comes waits in the kernel. */
-    public void hold(boolean wanted) {
-        held = wanted;
-        if (held && key.isValid()) {
+    /** Pauses or resumes accepting; while it is paused, new connections wait in the kernel. */
+    public void setPaused(boolean pause) {
+        paused = pause;
+        if (paused && key.isValid()) {
             key.interestOps(0);
         } else {
             resume();
         }
     }
 
-    /** Takes in all that has come, then listens no more. */
-    public void finish() {
+    /** Accepts all connections that wait in the kernel, then stops listening. */
+    public void acceptPendingAndClose() {
         try {
-            ready(key);
+            onReady(key);
             close();
         } catch (IOException e) {
-            key.cancel(); // the process ends, and the kernel closes what it holds
+            key.cancel(); // the process is about to exit, and the kernel closes the remaining descriptors
         }
     }
 
-    /** Listens no more; what was taken in stays open. */
+    /** Stops listening; accepted connections stay open. */
     public void close() throws IOException {
         key.cancel();
         channel.close();
     }
 
-    /** Where it listens. */
-    public InetSocketAddress address() throws IOException {
+    /** Returns the address that the socket is bound to. */
+    public InetSocketAddress localAddress() throws IOException {
         return (InetSocketAddress) channel.getLocalAddress();
     }
 }
--- a/net/src/main/java/saltdale/transport/Timer.java
+++ b/net/src/main/java/saltdale/transport/Timer.java
@@ -1,25 +1,29 @@
 package saltdale.transport;
 
-/** One thing to be done at its time; it can be taken back until then. */
+/** A task scheduled on the event loop; it can be cancelled until it runs. */
 public final class Timer implements Comparable<Timer> {
-    private final Timers timers;
-    final long at;
-    private final long number;
-    final Runnable what;
+    private final TimerQueue timers;
+    final long dueNanos;
+    private final long sequence;
+    final Runnable task;
 
-    Timer(Timers timers, long at, long number, Runnable what) {
+    Timer(TimerQueue timers, long dueNanos, long sequence, Runnable task) {
         this.timers = timers;
-        this.at = at;
-        this.number = number;
-        this.what = what;
+        this.dueNanos = dueNanos;
+        this.sequence = sequence;
+        this.task = task;
     }
 
+    /** Prevents the task from running; has no effect once it has run. */
     public void cancel() {
         timers.remove(this);
     }
 
+    /** Orders timers by due time, and those due at the same time by the order in which they were scheduled. */
     @Override
     public int compareTo(Timer other) {
-        return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
+        return dueNanos != other.dueNanos
+                ? Long.compare(dueNanos, other.dueNanos)
+                : Long.compare(sequence, other.sequence);
     }
 }
--- a/node/src/test/java/saltdale/node/ChainModel.java
+++ b/node/src/test/java/saltdale/node/ChainModel.java
@@ -31,7 +31,7 @@
     }
 
     private static final Set<Integer> PROMISES = Set.of(408, 421, 429, 503);
-    private static final long SLACK = Environment.millis(250); // past a route's timeout
+    private static final long SLACK = Environment.millisToNanos(250); // past a route's timeout
 
     /** A request of a client, and all that became of it. */
     private static final class ClientRequest {
@@ -58,7 +58,7 @@
             this.process = process;
             sentAt = at;
             HttpParser parser = new HttpParser(HttpParser.Kind.REQUEST);
-            parser.take(ByteBuffer.wrap(("POST " + path + " HTTP/1.1\r\nHost: h.example\r\nX-Saltdale-Attempt-Id: "
+            parser.parse(ByteBuffer.wrap(("POST " + path + " HTTP/1.1\r\nHost: h.example\r\nX-Saltdale-Attempt-Id: "
                             + attemptId + "\r\nContent-Length: 0\r\n\r\n")
                     .getBytes(StandardCharsets.ISO_8859_1)));
             head = parser.head();
@@ -133,7 +133,7 @@
 
     /** So many requests a second for a while, each to any proxy of the first {@code proxies} that is ready. */
     void load(double perSecond, long millis, int proxies) {
-        for (long at = 0; at < Environment.millis(millis); at += (long) (1e9 / perSecond)) {
+        for (long at = 0; at < Environment.millisToNanos(millis); at += (long) (1e9 / perSecond)) {
             cluster.schedule(at + cluster.random().nextLong(1_000_000), () -> {
                 Environment process = cluster.readyProcess(cluster.random().nextInt(proxies));
                 if (process != null) {
@@ -151,15 +151,15 @@
         Arrays.fill(body, (byte) ('a' + number % 26));
         ClientRequest client = new ClientRequest(path, attemptId(number), body, route, process, cluster.now());
         byPath.put(path, client);
-        long left = Environment.millis(300 + cluster.random().nextInt(3000));
+        long left = Environment.millisToNanos(300 + cluster.random().nextInt(3000));
         cluster.deliver(process, () -> {
-            Request request = cluster.proxy(process).arrived(client.attemptId, route, left, "10.9.9.9", client);
+            Request request = cluster.proxy(process).handleRequest(client.attemptId, route, left, "10.9.9.9", client);
             if (happens(leaves)) {
                 cluster.schedule(
                         cluster.random().nextLong(200_000_000L),
                         () -> cluster.deliver(process, () -> {
                             client.left = client.answers == 0;
-                            cluster.proxy(process).left(request);
+                            cluster.proxy(process).clientDisconnected(request);
                         }));
             }
         });
@@ -190,7 +190,7 @@
         if (PROMISES.contains(status) && client.runs > 0) {
             fault(client.path + " is refused with " + status + " and has run");
         }
-        boolean late = cluster.now() - client.sentAt > Environment.millis(client.route.timeoutMs()) + SLACK;
+        boolean late = cluster.now() - client.sentAt > Environment.millisToNanos(client.route.timeoutMs()) + SLACK;
         if (late && !client.troubled) {
             fault(client.path + " is held past its route's timeout");
         }
@@ -244,15 +244,15 @@
         }
 
         @Override
-        public void carry(Attempt attempt) {
+        public void send(Attempt attempt) {
             ClientRequest client = (ClientRequest) attempt.request.clientContext;
             UpstreamConnections to = connections.computeIfAbsent(
-                    attempt.instance, id -> new ChainConnection.Connections(ChainModel.this, process, id));
+                    attempt.instanceId, id -> new ChainConnection.Connections(ChainModel.this, process, id));
             UpstreamExchange exchange = exchanges.of(attempt, to, (which, end) -> {
-                if (end != Attempt.End.ANSWERED) {
+                if (end != Attempt.Outcome.ANSWERED) {
                     open.remove(attempt);
                 }
-                cluster.proxy(process).ended(attempt, end);
+                cluster.proxy(process).attemptEnded(attempt, end);
             });
             open.put(attempt, exchange);
             long left = Math.max(1, (attempt.deadline - cluster.now()) / 1_000_000);
@@ -265,27 +265,28 @@
         }
 
         @Override
-        public void deliver(Attempt attempt) {
+        public void deliverAnswer(Attempt attempt) {
             UpstreamExchange exchange = open.remove(attempt);
             String body = new String(exchange.body, StandardCharsets.ISO_8859_1);
             answered((ClientRequest) attempt.request.clientContext, exchange.head.status(), body);
         }
 
         @Override
-        public void refuse(Request request, int status, long pauseMillis, String why) {
+        public void sendError(Request request, int status, long pauseMillis, String why) {
             answered((ClientRequest) request.clientContext, status, "");
         }
 
         @Override
-        public void tryConnection(String id, String address) {
+        public void testConnection(String id, String address) {
             cluster.schedule(
                     2 * cluster.randomDelayNanos(),
                     () -> cluster.deliver(
-                            process, () -> cluster.proxy(process).tried(id, cluster.acceptsConnections(id))));
+                            process,
+                            () -> cluster.proxy(process).connectionTested(id, cluster.acceptsConnections(id))));
         }
 
         @Override
-        public void forget(String id) {
+        public void forgetInstance(String id) {
             ChainConnection.Connections known = connections.remove(id);
             if (known != null) {
                 known.closeIdle();
--- a/node/src/test/java/saltdale/node/UpstreamExchangeTest.java
+++ b/node/src/test/java/saltdale/node/UpstreamExchangeTest.java
@@ -25,9 +25,9 @@
 import saltdale.protocol.HttpParser;
 import saltdale.proxy.Attempt;
 import saltdale.proxy.Attempts;
-import saltdale.transport.Loop;
-import saltdale.transport.Pool;
-import saltdale.transport.Sockets;
+import saltdale.transport.ConnectionPool;
+import saltdale.transport.EventLoop;
+import saltdale.transport.SocketBudget;
 
 /**
  * What is made of the bytes that an instance sends: nothing reaches a client but the instance's whole answer to its
@@ -43,33 +43,34 @@
     private UpstreamExchange exchange;
 
     /** The end of an exchange with an instance that reads the request, writes this and closes. */
-    private Attempt.End end(String answer) throws Exception {
+    private Attempt.Outcome end(String answer) throws Exception {
         try (ServerSocket instance = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             CompletableFuture<String> read = CompletableFuture.supplyAsync(() -> serve(instance, answer));
-            Loop loop = new Loop();
-            Attempt.End end = exchange(loop, connections(loop, instance), Attempts.of("me", "127.0.0.1:1"));
+            EventLoop loop = new EventLoop();
+            Attempt.Outcome end = exchange(loop, connections(loop, instance), Attempts.of("me", "127.0.0.1:1"));
             sent = read.get(10, TimeUnit.SECONDS);
             return end;
         }
     }
 
-    private static PooledConnections connections(Loop loop, ServerSocket instance) {
-        return new PooledConnections(new Pool(
+    private static PooledConnections connections(EventLoop loop, ServerSocket instance) {
+        return new PooledConnections(new ConnectionPool(
                 loop,
-                new Sockets(loop, 16),
+                new SocketBudget(loop, 16),
                 (InetSocketAddress) instance.getLocalSocketAddress(),
                 Duration.ofSeconds(2),
                 Duration.ofSeconds(2)));
     }
 
-    private Attempt.End exchange(Loop loop, UpstreamConnections connections, Attempt attempt) throws IOException {
+    private Attempt.Outcome exchange(EventLoop loop, UpstreamConnections connections, Attempt attempt)
+            throws IOException {
         HttpParser parser = new HttpParser(HttpParser.Kind.REQUEST);
-        parser.take(ByteBuffer.wrap(REQUEST.getBytes(StandardCharsets.ISO_8859_1)));
-        List<Attempt.End> ends = new ArrayList<>();
+        parser.parse(ByteBuffer.wrap(REQUEST.getBytes(StandardCharsets.ISO_8859_1)));
+        List<Attempt.Outcome> ends = new ArrayList<>();
         exchange = new UpstreamExchange(attempt, connections, (which, how) -> ends.add(how));
         assertThat(exchange.begin(parser.head(), parser.body(), 700), is(true));
         while (ends.isEmpty()) {
-            loop.turn(() -> {});
+            loop.runOnce(() -> {});
         }
         assertThat("told once", ends.size(), is(1));
         return ends.get(0);
@@ -91,13 +92,13 @@
                 "ANSWERED; true; HTTP/1.1 100 Go on||"
                         + "HTTP/1.1 200 OK|X-Saltdale-Attempt-Id: me|X-Saltdale-Runner-Seal: s|Content-Length: 2||ok"
             })
-    void aLateRefusalIsNotTakenForOurs(Attempt.End expected, boolean idempotent, String second) throws Exception {
+    void aLateRefusalIsNotTakenForOurs(Attempt.Outcome expected, boolean idempotent, String second) throws Exception {
         String first = "HTTP/1.1 200 OK|X-Saltdale-Attempt-Id: first|X-Saltdale-Runner-Seal: s|Content-Length: 0||";
         try (ServerSocket instance = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             CompletableFuture<String> served = CompletableFuture.supplyAsync(() -> serve(instance, first, second));
-            Loop loop = new Loop();
+            EventLoop loop = new EventLoop();
             PooledConnections connections = connections(loop, instance);
-            assertThat(exchange(loop, connections, Attempts.of("first", "127.0.0.1:1")), is(Attempt.End.ANSWERED));
+            assertThat(exchange(loop, connections, Attempts.of("first", "127.0.0.1:1")), is(Attempt.Outcome.ANSWERED));
             Attempt attempt = Attempts.of("me", "127.0.0.1:1", idempotent);
             assertThat(exchange(loop, connections, attempt), is(expected));
             served.get(10, TimeUnit.SECONDS);
@@ -113,11 +114,11 @@
                 serve(instance, answer, "unused");
                 return serve(instance, answer);
             });
-            Loop loop = new Loop();
+            EventLoop loop = new EventLoop();
             PooledConnections connections = connections(loop, instance);
             for (int i = 0; i < 2; i++) {
                 Attempt attempt = Attempts.of("me", "127.0.0.1:1");
-                assertThat(exchange(loop, connections, attempt), is(Attempt.End.ANSWERED));
+                assertThat(exchange(loop, connections, attempt), is(Attempt.Outcome.ANSWERED));
             }
             served.get(10, TimeUnit.SECONDS);
         }
@@ -170,9 +171,9 @@
                 "TURNED_AWAY; HTTP/1.1 429 Busy|X-Saltdale-Attempt-Id: me|X-Saltdale-Not-Executed: 1|Content-Length: 0||",
                 "MISDIRECTED; HTTP/1.1 421 Not me|X-Saltdale-Runner-Id: i-2|Content-Length: 0||"
             })
-    void onlyAWholeAnswerToThisRequestIsOne(Attempt.End expected, String answer) throws Exception {
+    void onlyAWholeAnswerToThisRequestIsOne(Attempt.Outcome expected, String answer) throws Exception {
         assertThat(end(answer), is(expected));
-        if (expected == Attempt.End.ANSWERED && answer.contains("200")) {
+        if (expected == Attempt.Outcome.ANSWERED && answer.contains("200")) {
             assertThat(new String(exchange.body, StandardCharsets.ISO_8859_1), is("ok"));
         }
     }
--- a/proxy/src/test/java/saltdale/control/FaultyOrderHandling.java
+++ b/proxy/src/test/java/saltdale/control/FaultyOrderHandling.java
@@ -13,8 +13,11 @@
             return (environment, settings, register, peers) ->
                     new ConfigurationService(environment, settings, register, peers) {
                         @Override
-                        Proposer.Step step(ConfigurationOrder order, ReplicatedState newest, byte[] text) {
-                            return order.base() < oldestOf64(newest) ? refusal(412) : super.step(order, newest, text);
+                        Proposer.ChangeResult applyUpdate(
+                                ConfigurationUpdate order, ReplicatedState newest, byte[] text) {
+                            return order.baseRevision() < oldestOf64(newest)
+                                    ? refusal(412)
+                                    : super.applyUpdate(order, newest, text);
                         }
                     };
         }
@@ -45,11 +48,12 @@
             return (environment, settings, register, peers) ->
                     new ConfigurationService(environment, settings, register, peers) {
                         @Override
-                        Proposer.Step step(ConfigurationOrder order, ReplicatedState newest, byte[] text) {
+                        Proposer.ChangeResult applyUpdate(
+                                ConfigurationUpdate order, ReplicatedState newest, byte[] text) {
                             try {
-                                boolean isNewer =
-                                        order.amends() || order.appliedTo(null).revision() > newest.revision();
-                                return isNewer ? super.step(order, newest, text) : refusal(400);
+                                boolean isNewer = order.isAmendment()
+                                        || order.applyTo(null).revision() > newest.revision();
+                                return isNewer ? super.applyUpdate(order, newest, text) : refusal(400);
                             } catch (InvalidConfiguration e) {
                                 return refusal(400);
                             }
@@ -65,11 +69,12 @@
             Environment environment, ControlNodeSettings settings, Platform platform, Map<String, byte[]> records)
             throws MalformedMessage {
         return new ControlNode(
-                environment, settings, platform, records, new ControlNode.Parts(service(), VoterChanges::new));
+                environment, settings, platform, records, new ControlNode.Components(service(), VoterChanges::new));
     }
 
-    private static Proposer.Step refusal(int status) {
-        return Proposer.Step.stay(new ConfigurationService.Reply(status, "refused by a deliberate fault", null));
+    private static Proposer.ChangeResult refusal(int status) {
+        return Proposer.ChangeResult.unchanged(
+                new ConfigurationService.Reply(status, "refused by a deliberate fault", null));
     }
 
     private static long oldestOf64(ReplicatedState newest) {
@@ -79,7 +84,7 @@
     /** Replies before the ballot is decided: with acknowledgements, or with refusals. */
     private static final class EarlyReplies extends ConfigurationService {
         private final boolean acknowledgesEarly;
-        private final Map<ConfigurationOrder, Consumer<Reply>> pendingReplies = new HashMap<>();
+        private final Map<ConfigurationUpdate, Consumer<Reply>> pendingReplies = new HashMap<>();
 
         EarlyReplies(
                 Environment environment,
@@ -92,12 +97,12 @@
         }
 
         @Override
-        void propose(ConfigurationOrder order, Consumer<Reply> consumer) {
+        void propose(ConfigurationUpdate order, Consumer<Reply> consumer) {
             pendingReplies.put(order, consumer);
             super.propose(order, reply -> reply(order, reply));
         }
 
-        private void reply(ConfigurationOrder order, Reply reply) {
+        private void reply(ConfigurationUpdate order, Reply reply) {
             Consumer<Reply> consumer = pendingReplies.remove(order);
             if (consumer != null) {
                 consumer.accept(reply);
@@ -105,8 +110,8 @@
         }
 
         @Override
-        Proposer.Step step(ConfigurationOrder order, ReplicatedState newest, byte[] text) {
-            Proposer.Step step = super.step(order, newest, text);
+        Proposer.ChangeResult applyUpdate(ConfigurationUpdate order, ReplicatedState newest, byte[] text) {
+            Proposer.ChangeResult step = super.applyUpdate(order, newest, text);
             if ((step.next() != null) == acknowledgesEarly) {
                 reply(order, (Reply) step.answer());
             }
--- a/proxy/src/test/java/saltdale/control/FaultyVoterChanges.java
+++ b/proxy/src/test/java/saltdale/control/FaultyVoterChanges.java
@@ -15,12 +15,12 @@
                 settings,
                 platform,
                 records,
-                new ControlNode.Parts(
+                new ControlNode.Components(
                         ConfigurationService::new,
                         (env, nodeSettings, peers, election, id) ->
                                 new VoterChanges(env, nodeSettings, peers, election, id) {
                                     @Override
-                                    boolean finishes(ReplicatedState joint, boolean elected) {
+                                    boolean shouldComplete(ReplicatedState joint, boolean elected) {
                                         return false;
                                     }
                                 }));
--- a/proxy/src/test/java/saltdale/control/RememberedOrders.java
+++ b/proxy/src/test/java/saltdale/control/RememberedOrders.java
@@ -8,8 +8,8 @@
 
     /** Whether the state remembers that this order was applied. */
     public static boolean holds(ReplicatedState state, boolean amends, long base, String body) {
-        byte[] digest = new ConfigurationOrder(amends, base, body.getBytes(StandardCharsets.UTF_8)).digest();
-        return state.recentChanges().find(base, digest) == RecentChanges.Finding.TAKEN;
+        byte[] digest = new ConfigurationUpdate(amends, base, body.getBytes(StandardCharsets.UTF_8)).digest();
+        return state.recentChanges().find(base, digest) == RecentChanges.LookupResult.APPLIED;
     }
 
     /** The size of the memory of orders in bytes. */
--- a/proxy/src/test/java/saltdale/proxy/ContactChecks.java
+++ b/proxy/src/test/java/saltdale/proxy/ContactChecks.java
@@ -18,39 +18,43 @@
 import saltdale.control.message.SessionMessage.SnapshotPart;
 
 /**
- * An operator who changes the configuration all the time, and what must hold after each event of a simulated world
- * meanwhile; what does not is added to the faults of the world.
+ * Simulates an operator who changes the configuration continuously, and checks after each event what must hold
+ * meanwhile. Violations are added to the faults of the simulated world.
  */
 final class ContactChecks {
-    /** By which a control node is read; a wrong variant answers itself. */
-    interface Reading {
-        void read(SimMachine at, Consumer<ControlNode.Reply> answer);
+    /** Reads the configuration at a control node; faulty variants of the code replace it. */
+    interface Reader {
+        void read(SimMachine node, Consumer<ControlNode.Reply> answer);
     }
 
-    private static final long APPLY = Environment.millis(3000);
-    private static final long LEASE = SimWorld.HEARTBEAT_NANOS * 5 / 4;
-    private static final long ON_THE_WAY = Environment.millis(60); // the longest way of a message, and a little
-    private static final long TICK = SimWorld.HEARTBEAT_NANOS / 6;
+    private static final long CONFIG_APPLY_NANOS = Environment.millisToNanos(3000);
+    private static final long LEASE_NANOS = SimWorld.HEARTBEAT_NANOS * 5 / 4;
+    /** The longest delay of a message, with a margin. */
+    private static final long MAX_MESSAGE_DELAY_NANOS = Environment.millisToNanos(60);
+
+    private static final long TICK_NANOS = SimWorld.HEARTBEAT_NANOS / 6;
 
     final SimWorld world;
     final ContactModel contact;
-    final TreeMap<Long, Long> acknowledged = new TreeMap<>(); // revisions, by when
-    Reading reading = (at, answer) -> at.controlNode().read(answer);
-    /** Sees each acknowledgement at the moment when it is given. */
-    Consumer<SimMachine> onAcknowledgement = at -> {};
+    final TreeMap<Long, Long> acknowledged = new TreeMap<>(); // revisions, by the time of their acknowledgement
+    Reader reader = (node, answer) -> node.controlNode().readConfiguration(answer);
+    /** Is called at the moment of each acknowledgement, with the control node that gives it. */
+    Consumer<SimMachine> onAcknowledgement = node -> {};
 
     /**
-     * Whether processes stand still only one at a time. Else a control node may have contact by answers that come late:
-     * what counts then is whether an answer is proven, and whether what is handed out is old.
+     * Whether at most one process is frozen at a time. Otherwise delayed messages may give a control node contact with
+     * a majority; the checks then are whether its answers are proven and whether it distributes outdated state.
      */
-    boolean standstillsAreSingle = true;
+    boolean atMostOneFrozen = true;
+
+    int stepsInContact;
+    /** When a control node lost contact with a majority, by host. */
+    private final Map<String, Long> withoutMajoritySince = new HashMap<>();
 
-    int stepsInTouch;
-    private final Map<String, Long> apartSince = new HashMap<>(); // control nodes without contact, by host
-    private final TreeMap<Long, Long> chosen = new TreeMap<>(); // versions told to be chosen, by when
-    private final Map<Proxy, Long> highest = new HashMap<>();
+    private final TreeMap<Long, Long> chosenVersions = new TreeMap<>(); // versions announced as chosen, by time
+    private final Map<Proxy, Long> highestRevisions = new HashMap<>();
     private long revision = 1;
-    private boolean over;
+    private boolean stopped;
 
     ContactChecks(SimWorld world) {
         this.world = world;
@@ -61,16 +65,16 @@
         world.messageRewriter = (from, to, message) -> {
             Message sent = before.of(from, to, message);
             if (sent != null) {
-                sent(from, sent);
+                checkSent(from, sent);
             }
             return sent;
         };
     }
 
-    private void fault(String what) {
-        // The first of each kind tells enough.
+    private void addFault(String description) {
+        // The first few faults are enough to find the cause.
         if (world.violations.size() < 5) {
-            world.violations.add(world.now() / 1_000_000 - 1_000_000 + " ms: " + what);
+            world.violations.add(world.now() / 1_000_000 - 1_000_000 + " ms: " + description);
         }
     }
 
@@ -80,149 +84,156 @@
         if (contact.observe()) {
             for (SimMachine each : world.controlNodes) {
                 if (contact.reachesMajority(each)) {
-                    apartSince.remove(each.host);
+                    withoutMajoritySince.remove(each.host);
                 } else {
-                    apartSince.putIfAbsent(each.host, world.now());
+                    withoutMajoritySince.putIfAbsent(each.host, world.now());
                 }
             }
         }
-        long due = due();
+        long revisionDue = revisionDue();
         for (SimMachine each : world.proxies) {
             if (each.proxy() == null) {
                 continue;
             }
-            long now = each.proxy().configuration() == null
+            long current = each.proxy().configuration() == null
                     ? 0
                     : each.proxy().configuration().revision();
-            if (now < highest.getOrDefault(each.proxy(), 0L)) {
-                fault(each.host + " went back to " + now);
+            if (current < highestRevisions.getOrDefault(each.proxy(), 0L)) {
+                addFault(each.host + " went back to revision " + current);
             }
-            highest.put(each.proxy(), now);
-            if (contact.inTouch(each)) {
-                stepsInTouch++;
-                if (now < due) {
-                    fault(each.host + " is in touch with revision " + now + ", " + due + " was due");
+            highestRevisions.put(each.proxy(), current);
+            if (contact.isInContact(each)) {
+                stepsInContact++;
+                if (current < revisionDue) {
+                    addFault(each.host + " is in contact and has revision " + current + ", " + revisionDue + " is due");
                 }
             }
         }
     }
 
-    /** The revision that all in touch must have by now. */
-    private long due() {
-        return newestBy(acknowledged, world.now() - APPLY, 0);
+    /** The revision that all proxies in contact must have by now. */
+    private long revisionDue() {
+        return newestBy(acknowledged, world.now() - CONFIG_APPLY_NANOS, 0);
     }
 
-    private static long newestBy(TreeMap<Long, Long> all, long moment, long none) {
-        Map.Entry<Long, Long> entry = all.floorEntry(moment);
-        return entry == null ? none : entry.getValue();
+    private static long newestBy(TreeMap<Long, Long> all, long time, long otherwise) {
+        Map.Entry<Long, Long> entry = all.floorEntry(time);
+        return entry == null ? otherwise : entry.getValue();
     }
 
-    /** Whether a control node has had no contact for so long that it must know. */
-    private boolean isApart(String host, long within) {
-        return world.now() - apartSince.getOrDefault(host, Long.MAX_VALUE / 2) > within;
+    /** Whether a control node has had no contact with a majority for so long that it must have noticed. */
+    private boolean isWithoutMajority(String host, long within) {
+        return world.now() - withoutMajoritySince.getOrDefault(host, Long.MAX_VALUE / 2) > within;
     }
 
-    private void sent(String from, Message message) {
-        if (message instanceof Chosen news) {
-            chosen.put(world.now(), Math.max(news.state().version(), newestBy(chosen, world.now(), -1)));
+    private void checkSent(String from, Message message) {
+        if (message instanceof Chosen announcement) {
+            chosenVersions.put(
+                    world.now(), Math.max(announcement.state().version(), newestBy(chosenVersions, world.now(), -1)));
         } else if (message instanceof Heartbeat heartbeat) {
-            SimMachine by = world.machines.get(from);
-            long least = newestBy(chosen, world.now() - LEASE - ON_THE_WAY, -1);
-            if (by.controlNode() != null && by.controlNode().hasMajority() && heartbeat.version() < least) {
-                fault(from + " believes in its majority and knows version " + heartbeat.version() + " of " + least);
+            SimMachine sender = world.machines.get(from);
+            long minimum = newestBy(chosenVersions, world.now() - LEASE_NANOS - MAX_MESSAGE_DELAY_NANOS, -1);
+            if (sender.controlNode() != null && sender.controlNode().hasMajority() && heartbeat.version() < minimum) {
+                addFault(from + " assumes a majority but knows version " + heartbeat.version() + " of " + minimum);
             }
         } else if (message instanceof ConfigurationChange
                 || message instanceof ConfigurationOffer
                 || message instanceof SnapshotPart
                 || message instanceof MembersChange) {
-            if (standstillsAreSingle && isApart(from, LEASE + ON_THE_WAY)) {
-                fault(from + " hands out " + message.kind() + " though it has no contact");
+            if (atMostOneFrozen && isWithoutMajority(from, LEASE_NANOS + MAX_MESSAGE_DELAY_NANOS)) {
+                addFault(from + " distributes " + message.kind() + " without contact");
             }
             if (message instanceof ConfigurationChange change) {
-                handsOut(from, change.revision());
+                checkDistributedRevision(from, change.revision());
             }
         }
     }
 
-    private void handsOut(String from, long revision) {
-        long least = newestBy(acknowledged, world.now() - LEASE - ON_THE_WAY, 0);
-        if (revision < least) {
-            fault(from + " hands out " + revision + ", " + least + " was acknowledged a lease before");
+    private void checkDistributedRevision(String from, long revision) {
+        long minimum = newestBy(acknowledged, world.now() - LEASE_NANOS - MAX_MESSAGE_DELAY_NANOS, 0);
+        if (revision < minimum) {
+            addFault(from + " distributes revision " + revision + ", but " + minimum
+                    + " was acknowledged a lease earlier");
         }
     }
 
-    // The operator: one change at a time, sent again until there is a clear answer.
+    // The operator: sends one change at a time and repeats it until the answer is definite.
 
-    void begin() {
+    void start() {
         send(revision, revision + 1 + world.random.nextInt(3));
-        look();
+        readRepeatedly();
     }
 
-    void end() {
-        over = true;
+    void stop() {
+        stopped = true;
     }
 
     private void send(long base, long next) {
-        if (over) {
+        if (stopped) {
             return;
         }
-        SimMachine at = world.controlNodes.get(world.random.nextInt(world.controlNodes.size()));
-        boolean[] done = new boolean[1];
-        if (at.process != null) {
+        SimMachine node = world.controlNodes.get(world.random.nextInt(world.controlNodes.size()));
+        boolean[] settled = new boolean[1];
+        if (node.process != null) {
             byte[] body = SimOperator.config(next, 1).getBytes(StandardCharsets.UTF_8);
-            at.process.deliver(() -> at.controlNode()
-                    .change(false, Long.toString(base), body, reply -> answered(at, base, next, reply, done)));
+            node.process.deliver(() -> node.controlNode()
+                    .changeConfiguration(
+                            false, Long.toString(base), body, reply -> handleAnswer(node, base, next, reply, settled)));
         }
-        world.schedule(Environment.millis(1000), () -> {
-            if (!done[0]) {
-                done[0] = true;
+        world.schedule(Environment.millisToNanos(1000), () -> {
+            if (!settled[0]) {
+                settled[0] = true;
                 send(base, next);
             }
         });
     }
 
-    /** Who wakes may find the proof that the order was chosen among what has come meanwhile. */
-    private boolean isProven(int status, long base, long next) {
+    /**
+     * Whether a positive answer is backed by a chosen state: a process that resumes may find that state among the
+     * messages that arrived in the meantime.
+     */
+    private boolean isBackedByChosenState(int status, long base, long next) {
         return status == 200
                 && world.newestChosen != null
                 && RememberedOrders.holds(world.newestChosen, false, base, SimOperator.config(next, 1));
     }
 
-    private void answered(SimMachine at, long base, long next, ControlNode.Reply reply, boolean[] done) {
-        boolean clear = reply.status() < 500 && (standstillsAreSingle || !isProven(reply.status(), base, next));
-        if (clear && isApart(at.host, Environment.millis(500))) {
-            fault(at.host + " answers " + reply.status() + " though it has no contact");
+    private void handleAnswer(SimMachine node, long base, long next, ControlNode.Reply reply, boolean[] settled) {
+        boolean definite =
+                reply.status() < 500 && (atMostOneFrozen || !isBackedByChosenState(reply.status(), base, next));
+        if (definite && isWithoutMajority(node.host, Environment.millisToNanos(500))) {
+            addFault(node.host + " answers " + reply.status() + " without contact");
         } else if (reply.status() >= 400 && reply.status() < 500) {
-            fault(at.host + " refuses " + next + " on " + base + ": " + reply.why());
+            addFault(node.host + " refuses revision " + next + " based on " + base + ": " + reply.reason());
         }
         if (reply.status() == 200 && next > acknowledged.lastEntry().getValue()) {
             acknowledged.put(world.now(), next);
-            onAcknowledgement.accept(at);
+            onAcknowledgement.accept(node);
         }
-        if (!done[0]) {
-            done[0] = true;
+        if (!settled[0]) {
+            settled[0] = true;
             boolean taken = reply.status() == 200;
             world.schedule(
-                    Environment.millis(100 + world.random.nextInt(600)),
+                    Environment.millisToNanos(100 + world.random.nextInt(600)),
                     () -> send(taken ? next : base, taken ? next + 1 + world.random.nextInt(3) : next));
         }
     }
 
-    private void look() {
-        if (over) {
+    private void readRepeatedly() {
+        if (stopped) {
             return;
         }
-        SimMachine at = world.controlNodes.get(world.random.nextInt(world.controlNodes.size()));
-        long least = acknowledged.lastEntry().getValue();
-        if (at.process != null) {
-            at.process.deliver(() -> reading.read(at, reply -> {
-                long told = reply.status() == 200 ? AgreementTest.revision(new String(reply.body())) : least;
-                if (told < least) {
-                    fault(at.host + " reads " + told + " though " + least + " was acknowledged");
+        SimMachine node = world.controlNodes.get(world.random.nextInt(world.controlNodes.size()));
+        long minimum = acknowledged.lastEntry().getValue();
+        if (node.process != null) {
+            node.process.deliver(() -> reader.read(node, reply -> {
+                long readRevision = reply.status() == 200 ? AgreementTest.revision(new String(reply.body())) : minimum;
+                if (readRevision < minimum) {
+                    addFault(node.host + " reads " + readRevision + " although " + minimum + " was acknowledged");
                 }
             }));
         }
-        world.schedule(TICK, this::look);
+        world.schedule(TICK_NANOS, this::readRepeatedly);
     }
 
     List<String> faults() {
--- a/proxy/src/test/java/saltdale/proxy/ControlNodeSearchTest.java
+++ b/proxy/src/test/java/saltdale/proxy/ControlNodeSearchTest.java
@@ -18,10 +18,10 @@
 import saltdale.control.message.ContactMessage.ContactProbe;
 import saltdale.control.message.ContactMessage.ContactReply;
 
-/** In which order control nodes are asked, and which of their answers count. */
+/** The order in which control nodes are probed, and which of their replies count. */
 class ControlNodeSearchTest {
     private final SimWorld world = new SimWorld(7);
-    private final List<String> asked = new ArrayList<>();
+    private final List<String> probed = new ArrayList<>();
     private final List<Long> numbers = new ArrayList<>();
     private final ControlNodeDirectory directory = new ControlNodeDirectory(List.of("s-1", "s-2", "s-3"));
     private final ControlNodeSearch search =
@@ -29,7 +29,7 @@
 
     ControlNodeSearchTest() {
         world.sendObserver = (from, to, message) -> {
-            asked.add(to);
+            probed.add(to);
             numbers.add(((ContactProbe) message).number());
         };
     }
@@ -39,56 +39,56 @@
     }
 
     @Test
-    void nobodyIsAskedAgainBeforeAllOthersWere() {
-        directory.told(hosts("old-", 5));
-        directory.told(hosts("new-", 5));
+    void eachRoundProbesEveryControlNodeOnce() {
+        directory.updateCurrent(hosts("old-", 5));
+        directory.updateCurrent(hosts("new-", 5));
         for (int round = 0; round < 4; round++) {
             Set<String> inRound = new HashSet<>();
-            int from = asked.size();
-            for (int turn = 0; turn < 6; turn++) { // 12 others than our own
-                search.ask("new-0");
+            int from = probed.size();
+            for (int step = 0; step < 6; step++) { // 13 known control nodes without the excluded one
+                search.probeNext("new-0");
             }
-            asked.subList(from, asked.size()).stream()
+            probed.subList(from, probed.size()).stream()
                     .filter(host -> !host.equals("fellow"))
-                    .forEach(host -> assertThat(host + " twice", inRound.add(host)));
+                    .forEach(host -> assertThat(host + " probed twice", inRound.add(host)));
             assertThat(inRound, hasSize(12));
             assertThat(inRound, not(hasItem("new-0")));
         }
-        List<String> first = asked.subList(0, 4);
+        List<String> first = probed.subList(0, 4);
         assertThat(first.toString(), first.stream().allMatch(host -> host.startsWith("new-")));
-        assertThat("after a silent round", asked, hasItem("fellow"));
+        assertThat("after a round without replies", probed, hasItem("fellow"));
     }
 
     @Test
-    void whatAQuorumTellsReplacesWhatItToldBefore() {
+    void currentControlNodesReplacePreviousOnes() {
         for (int i = 0; i < 50; i++) {
-            directory.told(hosts("v" + i + "-", 3));
+            directory.updateCurrent(hosts("v" + i + "-", 3));
         }
-        assertThat(directory.known(), contains("v49-0", "v49-1", "v49-2"));
-        assertThat(directory.all().subList(0, 3), is(directory.known()));
+        assertThat(directory.current(), contains("v49-0", "v49-1", "v49-2"));
+        assertThat(directory.all().subList(0, 3), is(directory.current()));
         assertThat(directory.all().size(), lessThanOrEqualTo(3 + 3 + 8));
-        directory.seeds(List.of("s-4"));
+        directory.updateSeeds(List.of("s-4"));
         assertThat(directory.all().get(3), is("s-4"));
-        directory.hinted(List.of("v49-1", "s-2", "fresh"));
+        directory.addHints(List.of("v49-1", "s-2", "fresh"));
         assertThat(directory.all(), hasItem("fresh"));
         assertThat(new HashSet<>(directory.all()), hasSize(directory.all().size()));
     }
 
     @Test
-    void anAnswerToAnEarlierSearchOrOfAStrangerDoesNotCount() {
-        search.ask(null);
-        String host = asked.get(0);
+    void outdatedRepliesAndRepliesOfStrangersDoNotCount() {
+        search.probeNext(null);
+        String host = probed.get(0);
         long number = numbers.get(0);
-        search.end();
-        search.ask(null);
-        search.answered(host, new ContactReply(number, true, List.of()));
-        search.answered("fellow", new ContactReply(numbers.get(2), true, List.of("told-1")));
+        search.stop();
+        search.probeNext(null);
+        search.handleReply(host, new ContactReply(number, true, List.of()));
+        search.handleReply("fellow", new ContactReply(numbers.get(2), true, List.of("told-1")));
         assertThat(search.serving(), nullValue());
         assertThat(directory.all(), hasItem("told-1"));
-        search.answered(asked.get(2), new ContactReply(numbers.get(2), false, List.of()));
+        search.handleReply(probed.get(2), new ContactReply(numbers.get(2), false, List.of()));
         assertThat(search.serving(), nullValue());
-        assertThat(search.notServing(), is(asked.get(2)));
-        search.answered(asked.get(3), new ContactReply(numbers.get(3), true, List.of()));
-        assertThat(search.serving(), is(asked.get(3)));
+        assertThat(search.notServing(), is(probed.get(2)));
+        search.handleReply(probed.get(3), new ContactReply(numbers.get(3), true, List.of()));
+        assertThat(search.serving(), is(probed.get(3)));
     }
 }
--- a/proxy/src/test/java/saltdale/proxy/OverlappingTroublesTest.java
+++ b/proxy/src/test/java/saltdale/proxy/OverlappingTroublesTest.java
@@ -34,7 +34,7 @@
         Run(long seed) {
             world = servingCluster(seed, seed % 3 == 2 ? 5 : 3, 4);
             checks = new ContactChecks(world);
-            checks.standstillsAreSingle = false;
+            checks.atMostOneFrozen = false;
         }
 
         private SimMachine any(List<SimMachine> machines) {
@@ -42,7 +42,7 @@
         }
 
         void play() {
-            checks.begin();
+            checks.start();
             long end = world.now() + LENGTH_MS * 1_000_000;
             while (world.now() < end) {
                 world.run(200 + world.random.nextInt(2800));
@@ -182,7 +182,7 @@
             world.controlNodes.forEach(SimMachine::start);
             world.proxies.forEach(SimMachine::start);
             world.run(8000);
-            checks.end();
+            checks.stop();
             world.run(4000);
             long newest = checks.acknowledged.lastEntry().getValue();
             for (SimMachine each : world.controlNodes) {
@@ -208,18 +208,18 @@
             }
         };
         int[] answered = new int[1];
-        node.controlNode().read(reply -> {});
+        node.controlNode().readConfiguration(reply -> {});
         assertThat(world.runUntil(2000, () -> stands[0]), is(true));
         world.run(4500);
         for (int i = 0; i < 100; i++) {
             // The others are busy, so that ballots meet.
             for (SimMachine other : world.controlNodes) {
                 if (other != node) {
-                    other.controlNode().read(reply -> {});
+                    other.controlNode().readConfiguration(reply -> {});
                 }
             }
             if (i % 5 == 0) {
-                node.controlNode().read(reply -> answered[0] += reply.status() == 200 ? 1 : 0);
+                node.controlNode().readConfiguration(reply -> answered[0] += reply.status() == 200 ? 1 : 0);
             }
             world.run(40);
         }
@@ -245,7 +245,7 @@
             Run run = new Run(seed);
             try {
                 run.play();
-                assertThat(run.checks.stepsInTouch, greaterThan(100));
+                assertThat(run.checks.stepsInContact, greaterThan(100));
             } catch (AssertionError | RuntimeException e) {
                 faults.add("seed " + seed + ": " + e);
             }
--- a/proxy/src/test/java/saltdale/proxy/SimCore.java
+++ b/proxy/src/test/java/saltdale/proxy/SimCore.java
@@ -196,7 +196,7 @@
         if (one.process == null) {
             remove(one);
         } else if (departsAtOnce) {
-            one.process.deliver(() -> one.controlNode().end(GRACE_MS * 700_000, () -> {}));
+            one.process.deliver(() -> one.controlNode().shutDown(GRACE_MS * 700_000, () -> {}));
             later(50, () -> remove(one));
         } else {
             leaving.add(one);
@@ -231,7 +231,7 @@
                 lastEventAt = world.now();
                 checkHolders();
             } else if (reply.status() != 200 && reply.status() != 503) {
-                world.violations.add("the order based on " + base + " got " + reply.status() + " " + reply.why());
+                world.violations.add("the order based on " + base + " got " + reply.status() + " " + reply.reason());
             }
             sendNextOrder(done, 150);
         });
@@ -281,7 +281,7 @@
         if (world.newestChosen == null) {
             return;
         }
-        for (List<Voter> set : world.newestChosen.quorums()) {
+        for (List<Voter> set : world.newestChosen.voterSets()) {
             long holders = set.stream().filter(this::holdsOrIsLost).count();
             if (holders <= set.size() / 2) {
                 world.violations.add(
