--- a/proxy/src/test/java/saltdale/proxy/SimMachine.java
+++ b/proxy/src/test/java/saltdale/proxy/SimMachine.java
@@ -86,7 +86,7 @@
         for (SimMachine other : world.machines.values()) {
             world.schedule(world.randomDelayNanos(), () -> {
                 if (other.proxy() != null && !other.frozen) {
-                    other.proxy().unreachable(host);
+                    other.proxy().connectionLost(host);
                 }
             });
         }
@@ -112,8 +112,8 @@
                 onEnd.run();
             }
         };
-        terminated.deliver(() ->
-                terminated.controlNode.end(graceMillis * 700_000, () -> world.schedule(50_000_000, killIfRunning)));
+        terminated.deliver(() -> terminated.controlNode.shutDown(
+                graceMillis * 700_000, () -> world.schedule(50_000_000, killIfRunning)));
         world.schedule(graceMillis * 1_000_000, killIfRunning);
     }
 
@@ -201,12 +201,12 @@
                                     firstStart,
                                     new ToleratedLosses(world.toleratedLosses, world.toleratedZones, 0),
                                     SimWorld.HEARTBEAT_NANOS,
-                                    Environment.millis(5000),
-                                    Environment.millis(3000),
+                                    Environment.millisToNanos(5000),
+                                    Environment.millisToNanos(3000),
                                     world.rates),
                             world.platform.clientFor(this),
                             new LinkedHashMap<>(synced));
-                    controlNode.begin();
+                    controlNode.start();
                 } else {
                     proxy = new Proxy(
                             this,
@@ -216,12 +216,12 @@
                                     zone,
                                     seeds,
                                     SimWorld.HEARTBEAT_NANOS,
-                                    Environment.millis(3000),
+                                    Environment.millisToNanos(3000),
                                     0.2,
-                                    Environment.millis(10_000),
+                                    Environment.millisToNanos(10_000),
                                     52),
                             world.transports.apply(this));
-                    proxy.begin();
+                    proxy.start();
                 }
             } catch (MalformedMessage e) {
                 world.violations.add("the disk of " + host + " is not readable: " + e.getMessage());
@@ -246,12 +246,12 @@
         }
 
         @Override
-        public SplittableRandom chance() {
+        public SplittableRandom random() {
             return world.random;
         }
 
         @Override
-        public Runnable after(long nanos, Runnable task) {
+        public Runnable schedule(long nanos, Runnable task) {
             boolean[] cancelled = new boolean[1];
             world.schedule(
                     nanos,
@@ -287,13 +287,13 @@
         }
 
         @Override
-        public void violated(Invariant invariant, String detail) {
+        public void reportViolation(Invariant invariant, String detail) {
             world.violations.add(
                     host + " at " + (world.now() / 1_000_000 - 1_000_000) + " ms: " + invariant + ", " + detail);
         }
 
         @Override
-        public void note(String text) {
+        public void log(String text) {
             if (Boolean.getBoolean("sim.notes")) {
                 System.out.println(world.now() / 1_000_000 - 1_000_000 + " " + host + " " + text);
             }
@@ -302,9 +302,9 @@
         /** Handles a received message; throws if it is malformed. */
         void receive(String from, Message message) throws MalformedMessage {
             if (controlNode != null) {
-                controlNode.message(from, message);
+                controlNode.handleMessage(from, message);
             } else {
-                proxy.message(from, message);
+                proxy.handleMessage(from, message);
             }
         }
     }
--- a/proxy/src/test/java/saltdale/proxy/SimOperator.java
+++ b/proxy/src/test/java/saltdale/proxy/SimOperator.java
@@ -37,8 +37,8 @@
     }
 
     static void replace(SimMachine at, long base, String body, Consumer<ControlNode.Reply> onReply) {
-        at.process.deliver(() ->
-                at.controlNode().change(false, Long.toString(base), body.getBytes(StandardCharsets.UTF_8), onReply));
+        at.process.deliver(() -> at.controlNode()
+                .changeConfiguration(false, Long.toString(base), body.getBytes(StandardCharsets.UTF_8), onReply));
     }
 
     /** Returns the status of the reply, or 0 if none comes within five seconds. */
@@ -48,8 +48,8 @@
 
     static int change(SimWorld world, SimMachine at, boolean amends, String base, String body) {
         List<ControlNode.Reply> replies = new ArrayList<>();
-        at.process.deliver(
-                () -> at.controlNode().change(amends, base, body.getBytes(StandardCharsets.UTF_8), replies::add));
+        at.process.deliver(() -> at.controlNode()
+                .changeConfiguration(amends, base, body.getBytes(StandardCharsets.UTF_8), replies::add));
         return world.runUntil(5000, () -> !replies.isEmpty()) ? replies.get(0).status() : 0;
     }
 
@@ -108,7 +108,7 @@
     /** Returns the configuration as this control node reads it from a majority, or null if it cannot. */
     static String read(SimWorld world, SimMachine at) {
         List<ControlNode.Reply> replies = new ArrayList<>();
-        at.process.deliver(() -> at.controlNode().read(replies::add));
+        at.process.deliver(() -> at.controlNode().readConfiguration(replies::add));
         boolean replied =
                 world.runUntil(5000, () -> !replies.isEmpty()) && replies.get(0).status() == 200;
         return replied ? new String(replies.get(0).body(), StandardCharsets.UTF_8) : null;
--- a/proxy/src/test/java/saltdale/proxy/SimPlatform.java
+++ b/proxy/src/test/java/saltdale/proxy/SimPlatform.java
@@ -52,7 +52,7 @@
         Instance(String service, Worker worker) {
             this.service = service;
             this.worker = worker;
-            readyAt = startedAt + Environment.millis(bootMs);
+            readyAt = startedAt + Environment.millisToNanos(bootMs);
         }
 
         boolean acceptsConnections() {
@@ -62,7 +62,7 @@
         /** Starts to drain; the instance is gone a little after the drain time that the list shows. */
         void drain() {
             drainingAt = world.now();
-            goneAt = world.now() + Environment.millis(listLagMs + 4500);
+            goneAt = world.now() + Environment.millisToNanos(listLagMs + 4500);
         }
     }
 
@@ -70,7 +70,7 @@
     static final class OutgoingCall {
         final boolean idempotent;
         final List<Integer> answers = new ArrayList<>();
-        final List<Attempt.End> ends = new ArrayList<>();
+        final List<Attempt.Outcome> ends = new ArrayList<>();
         int runs;
         long answeredAt;
         SimMachine.Process proxyProcess;
@@ -105,14 +105,14 @@
         }
 
         /** Reports the end of the attempt to the proxy, unless the connection is closed by then. */
-        void reportEnd(Attempt.End end) {
+        void reportEnd(Attempt.Outcome end) {
             world.schedule(
                     world.randomDelayNanos(),
                     () -> from.deliver(() -> {
                         if (!closed) {
                             call().ends.add(end);
                             exchanges.remove(attempt);
-                            from.proxy.ended(attempt, end);
+                            from.proxy.attemptEnded(attempt, end);
                         }
                     }));
         }
@@ -262,7 +262,7 @@
             Supplier<Platform.Response> result,
             Consumer<Platform.Response> onResponse) {
         boolean isDuty = call.equals("begin") || call.equals("stop");
-        long delay = isDuty ? Environment.millis(dutyDelayMs.getOrDefault(process.machine.host, 0L)) : 0;
+        long delay = isDuty ? Environment.millisToNanos(dutyDelayMs.getOrDefault(process.machine.host, 0L)) : 0;
         world.schedule(world.randomDelayNanos() + delay, () -> {
             recentCalls.removeIf(c -> world.now() / 1_000_000 - Long.parseLong(c.substring(0, c.indexOf(' '))) >= 1000);
             boolean exceedsRate = recentCalls.size() >= rate;
@@ -275,13 +275,13 @@
                     : exceedsRate ? new Platform.Response(429, null) : result.get();
             boolean lost = response == null || world.random.nextDouble() < lostResponseProbability;
             world.schedule(
-                    lost ? Environment.millis(1200) : world.randomDelayNanos(),
+                    lost ? Environment.millisToNanos(1200) : world.randomDelayNanos(),
                     () -> process.deliver(() -> onResponse.accept(lost ? null : response)));
         });
     }
 
     private Platform.Response page(String token) {
-        long shownAt = world.now() - Environment.millis(listLagMs);
+        long shownAt = world.now() - Environment.millisToNanos(listLagMs);
         int from = token == null ? 0 : Integer.parseInt(token);
         List<Instance> shown = instances.values().stream()
                 .filter(r -> r.readyAt <= shownAt && r.goneAt > shownAt)
@@ -317,7 +317,7 @@
     }
 
     private Platform.Response workerList() {
-        long shownAt = world.now() - Environment.millis(listLagMs);
+        long shownAt = world.now() - Environment.millisToNanos(listLagMs);
         List<Object> list = new ArrayList<>();
         workers.values()
                 .forEach(w -> list.add(Fields.tree(
@@ -410,8 +410,8 @@
             call.answers.add(decision == null ? 0 : decision instanceof RouteDecision.Denied ? 404 : 503);
             return call;
         }
-        at.process.deliver(
-                () -> at.proxy().arrived("a-" + calls.size(), route, Environment.millis(leftMs), "10.9.9.9", call));
+        at.process.deliver(() -> at.proxy()
+                .handleRequest("a-" + calls.size(), route, Environment.millisToNanos(leftMs), "10.9.9.9", call));
         return call;
     }
 
@@ -428,15 +428,16 @@
     Transport transport(SimMachine.Process process) {
         return new Transport() {
             @Override
-            public void carry(Attempt attempt) {
-                Exchange exchange = new Exchange(attempt, process, instances.get(attempt.instance));
+            public void send(Attempt attempt) {
+                Exchange exchange = new Exchange(attempt, process, instances.get(attempt.instanceId));
                 OutgoingCall call = exchange.call();
-                if (!call.idempotent && call.ends.stream().anyMatch(end -> end.status() != ExecutionStatus.NOT_RUN)) {
+                if (!call.idempotent
+                        && call.ends.stream().anyMatch(end -> end.executionStatus() != ExecutionStatus.NOT_EXECUTED)) {
                     world.violations.add(attempt.request.id + " is sent again after " + call.ends);
                 }
                 exchanges.put(attempt, exchange);
                 if (world.random.nextDouble() < unsentProbability) {
-                    exchange.reportEnd(Attempt.End.UNSENT);
+                    exchange.reportEnd(Attempt.Outcome.UNSENT);
                 } else {
                     world.schedule(world.randomDelayNanos(), () -> handle(exchange));
                 }
@@ -446,19 +447,19 @@
             public boolean abandon(Attempt attempt) {
                 Exchange exchange = exchanges.remove(attempt);
                 if (exchange != null) {
-                    exchange.call().ends.add(Attempt.End.ABANDONED);
+                    exchange.call().ends.add(Attempt.Outcome.ABANDONED);
                     exchange.close();
                 }
                 return false;
             }
 
             @Override
-            public void deliver(Attempt attempt) {
+            public void deliverAnswer(Attempt attempt) {
                 addResponse(attempt.request, 200);
             }
 
             @Override
-            public void refuse(Request request, int status, long pauseMillis, String why) {
+            public void sendError(Request request, int status, long pauseMillis, String why) {
                 addResponse(request, status);
             }
 
@@ -468,15 +469,15 @@
             }
 
             @Override
-            public void tryConnection(String id, String address) {
+            public void testConnection(String id, String address) {
                 world.schedule(
                         2 * world.randomDelayNanos(),
-                        () -> process.deliver(
-                                () -> process.proxy.tried(id, instances.get(id).acceptsConnections())));
+                        () -> process.deliver(() -> process.proxy.connectionTested(
+                                id, instances.get(id).acceptsConnections())));
             }
 
             @Override
-            public void forget(String id) {
+            public void forgetInstance(String id) {
                 // The simulation keeps no connections.
             }
         };
@@ -489,18 +490,19 @@
         }
         if (!to.acceptsConnections()) {
             failedConnections.add(to.id);
-            exchange.reportEnd(Attempt.End.NOT_CONNECTED);
+            exchange.reportEnd(Attempt.Outcome.NOT_CONNECTED);
             return;
         }
         // The list has shown the instance as draining for longer than drain_ms.
-        if (to.drainingAt != Long.MAX_VALUE && world.now() - to.drainingAt > Environment.millis(listLagMs + 3000)) {
+        if (to.drainingAt != Long.MAX_VALUE
+                && world.now() - to.drainingAt > Environment.millisToNanos(listLagMs + 3000)) {
             callsAfterDrain.add(world.now());
         }
         if (to.busy >= slots.get(to.service)) {
             slotViolations.add(world.now());
-            exchange.reportEnd(Attempt.End.TURNED_AWAY);
+            exchange.reportEnd(Attempt.Outcome.TURNED_AWAY);
         } else if (world.random.nextDouble() < rejectProbability) {
-            exchange.reportEnd(Attempt.End.TURNED_AWAY);
+            exchange.reportEnd(Attempt.Outcome.TURNED_AWAY);
         } else {
             to.busy++;
             exchange.working = true;
@@ -510,7 +512,7 @@
             world.schedule(work, () -> {
                 if (exchange.working) {
                     exchange.releaseSlot();
-                    exchange.reportEnd(breaks ? Attempt.End.BROKEN : Attempt.End.ANSWERED);
+                    exchange.reportEnd(breaks ? Attempt.Outcome.BROKEN : Attempt.Outcome.ANSWERED);
                 }
             });
         }
--- a/proxy/src/test/java/saltdale/proxy/SimWorld.java
+++ b/proxy/src/test/java/saltdale/proxy/SimWorld.java
@@ -29,7 +29,7 @@
  * and processes. {@link SimPlatform} simulates the platform with its instances.
  */
 final class SimWorld {
-    static final long HEARTBEAT_NANOS = Environment.millis(1200);
+    static final long HEARTBEAT_NANOS = Environment.millisToNanos(1200);
     static final String[] ZONES = {"z-a", "z-b", "z-c"};
 
     /** Replaces a message, as a faulty variant of the code would send it; null drops the message. */
@@ -90,7 +90,7 @@
 
     private final Map<String, Long> linkFreeAt = new HashMap<>(); // by host
     private long order;
-    private long now = Environment.millis(1_000_000);
+    private long now = Environment.millisToNanos(1_000_000);
 
     SimWorld(long seed) {
         random = new SplittableRandom(seed);
@@ -116,7 +116,7 @@
 
     /** Runs until the condition holds, for at most this time. Returns whether it holds. */
     boolean runUntil(long ms, BooleanSupplier condition) {
-        long end = now + Environment.millis(ms);
+        long end = now + Environment.millisToNanos(ms);
         while (!condition.getAsBoolean()) {
             if (events.isEmpty() || events.peek().dueAt > end) {
                 now = end;
--- a/rig/src/main/java/saltdale/rig/standin/StandInRunner.java
+++ b/rig/src/main/java/saltdale/rig/standin/StandInRunner.java
@@ -36,8 +36,8 @@
         model = new RunnerModel(
                 fleet.day.make(number),
                 receipts,
-                fleet.day.orders.tipMultiple,
-                fleet.day.orders.fall,
+                fleet.day.orders.coldLimitMultiple,
+                fleet.day.orders.coldLimitWindow,
                 fleet.day.meanSize(),
                 chance,
                 this);
@@ -59,7 +59,7 @@
             wake.cancel();
         }
         wakeAt = next;
-        wake = fleet.loopThread.loop.after(
+        wake = fleet.loopThread.loop.schedule(
                 next.minus(fleet.loopThread.loop.now()).minus(drift()), () -> {
                     wakeAt = null;
                     wake = null;
@@ -70,7 +70,7 @@
 
     /** What lies between the run's clock and the loop's. */
     private Duration drift() {
-        return fleet.origin.now().minus(fleet.loopThread.loop.clock());
+        return fleet.origin.now().minus(fleet.loopThread.loop.elapsed());
     }
 
     void act(Act act, Duration at) {
@@ -115,7 +115,7 @@
 
     private void lists(Health health, Duration notice) {
         Duration bornAt = model.bornAt();
-        fleet.loopThread.loop.after(notice, () -> fleet.list.changed(number, health, bornAt));
+        fleet.loopThread.loop.schedule(notice, () -> fleet.list.changed(number, health, bornAt));
     }
 
     boolean has(Kind wire) {
@@ -138,7 +138,7 @@
 
     @Override
     public void started(Duration at, Work work) {
-        if (fleet.day.orders.tellsStart) {
+        if (fleet.day.orders.reportsStart) {
             telling(work).add("started", -1, null);
         }
     }
