--- a/daemon/src/main/java/saltdale/program/Serve.java
+++ b/daemon/src/main/java/saltdale/program/Serve.java
@@ -17,7 +17,7 @@
     private static final Logger LOG = Logger.getLogger(Serve.class.getName());
     /**
      * The file descriptors that are not available for connections: those that the process uses for jars, the selector
-     * and the log. 10 have been observed in use.
+     * and the log. 10 of them are typically in use.
      */
     private static final int OTHER_DESCRIPTORS = 24;
 
--- a/daemon/src/main/java/saltdale/routing/DiscoveryClient.java
+++ b/daemon/src/main/java/saltdale/routing/DiscoveryClient.java
@@ -26,7 +26,9 @@
     /** A watch that sends nothing for this long is broken; the service sends an empty line every 2 s. */
     private static final Duration MAX_SILENCE = Duration.ofMillis(5000);
 
+    /** Limits the time for connecting and for a response, and the idle time of pooled connections. */
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
+
     private static final Duration MIN_RETRY_DELAY = Duration.ofMillis(100);
     private static final Duration MAX_RETRY_DELAY = Duration.ofSeconds(2);
 
--- a/daemon/src/main/java/saltdale/routing/OutgoingAttempt.java
+++ b/daemon/src/main/java/saltdale/routing/OutgoingAttempt.java
@@ -146,7 +146,10 @@
                         });
     }
 
-    /** Prevents a second copy of a job that an unreachable runner may still be executing. */
+    /**
+     * Sends the cancellation again after a delay, which doubles each time. Otherwise the attempt would end while an
+     * unreachable runner may still execute the job, and another attempt would run a second copy of it.
+     */
     private void retryCancel(Duration retryDelay, Runnable completion) {
         if (retryDelay == null) {
             completion.run();
--- a/daemon/src/main/java/saltdale/routing/Router.java
+++ b/daemon/src/main/java/saltdale/routing/Router.java
@@ -45,6 +45,7 @@
     private static final byte[] EMPTY_BODY = new byte[0];
     private static final HttpParser.Limits REQUEST_LIMITS =
             new HttpParser.Limits(HttpParser.MAX_HEAD_BYTES, HttpParser.MAX_REQUEST_BODY_BYTES);
+    /** How long a request may take to arrive. */
     private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(2500);
 
     private final EventLoop loop;
@@ -67,7 +68,7 @@
     /**
      * Creates a router.
      *
-     * @param idleClose the idle time after which runners close a connection
+     * @param runnerIdleTimeout the idle time after which runners close a connection
      * @param discoveryAddress the address of the discovery service
      * @param startMillis the Unix time at which the clock of the event loop started
      */
@@ -75,7 +76,7 @@
             EventLoop loop,
             SocketBudget sockets,
             DispatcherSettings settings,
-            Duration idleClose,
+            Duration runnerIdleTimeout,
             InetSocketAddress discoveryAddress,
             long startMillis,
             SplittableRandom random) {
@@ -84,7 +85,7 @@
         this.settings = settings;
         this.decoder = new RequestDecoder(settings);
         this.shutdown = new GracefulShutdown(loop, sockets, settings);
-        Duration idleLimit = Durations.ofSeconds(Durations.seconds(idleClose) * IDLE_LIMIT_SHARE);
+        Duration idleLimit = Durations.ofSeconds(Durations.seconds(runnerIdleTimeout) * IDLE_LIMIT_SHARE);
         registry = new RunnerRegistry(
                 address -> new ConnectionPool(loop, sockets, address, settings.connectTimeout, idleLimit),
                 startMillis,
@@ -106,11 +107,11 @@
     }
 
     /** Starts with the runner list as it was last known, or null. */
-    public void start(HostListUpdate known) {
+    public void start(HostListUpdate initialList) {
         dispatcher.onStart(loop.now());
-        if (known != null) {
-            discovery.setVersion(known.seq);
-            applyRunnerList(known, true);
+        if (initialList != null) {
+            discovery.setVersion(initialList.seq);
+            applyRunnerList(initialList, true);
         }
         if (!settings.subscribes) {
             discovery.follow();
@@ -251,6 +252,7 @@
         }
     }
 
+    /** Serves a path of the dispatcher itself, as opposed to the path of a workload. */
     private void serveOwnPath(ServerConnection client, Head head, String method, Runnable action) {
         if (head.method().equals(method)) {
             action.run();
@@ -286,6 +288,7 @@
         markEvents();
     }
 
+    /** Ends the attempts of a request whose client has reached its timeout. */
     private void expire(PendingRequest pending) {
         for (OutgoingAttempt outgoing : List.copyOf(pending.attempts)) {
             outgoing.stop(Outcome.TIMED_OUT);
--- a/daemon/src/test/java/saltdale/routing/RouterTest.java
+++ b/daemon/src/test/java/saltdale/routing/RouterTest.java
@@ -397,37 +397,37 @@
         client.send(jobRequest("a"));
         runnerConnection[0] = awaitJob();
         runnerConnection[0].send(ACCEPTED);
-        OutgoingAttempt attempt = router.pendingRequest("a").attempts.get(0);
-        runUntil(attempt::isAccepted);
-        attempt.stop(Outcome.CANCELLED);
-        return attempt;
+        OutgoingAttempt outgoing = router.pendingRequest("a").attempts.get(0);
+        runUntil(outgoing::isAccepted);
+        outgoing.stop(Outcome.CANCELLED);
+        return outgoing;
     }
 
     @Test
     void aCancelledAttemptEndsWhenTheCancellationIsAnswered() throws IOException {
         startRouter();
         Peer[] runnerConnection = new Peer[1];
-        OutgoingAttempt attempt = cancelAfterAccept(client(), runnerConnection);
+        OutgoingAttempt outgoing = cancelAfterAccept(client(), runnerConnection);
         runnerConnection[0].await("DELETE /jobs/a");
-        assertFalse(attempt.isFinished(), "another attempt could run as a second copy of the job");
+        assertFalse(outgoing.isFinished(), "another attempt could run as a second copy of the job");
         runnerConnection[0].send(OK);
-        runUntil(attempt::isFinished);
-        assertEquals(Outcome.CANCELLED, attempt.attempt.outcome);
+        runUntil(outgoing::isFinished);
+        assertEquals(Outcome.CANCELLED, outgoing.attempt.outcome);
     }
 
     @Test
     void resendsACancellationWhoseConnectionWasReset() throws IOException {
         startRouter();
         Peer[] runnerConnection = new Peer[1];
-        OutgoingAttempt attempt = cancelAfterAccept(client(), runnerConnection);
+        OutgoingAttempt outgoing = cancelAfterAccept(client(), runnerConnection);
         runnerConnection[0].await("DELETE /jobs/a");
         runnerConnection[0].channel.setOption(StandardSocketOptions.SO_LINGER, 0);
         runnerConnection[0].channel.close();
         Peer second = awaitConnection(runner);
         second.await("DELETE /jobs/a");
-        assertFalse(attempt.isFinished(), "the first cancellation may not have arrived");
+        assertFalse(outgoing.isFinished(), "the first cancellation may not have arrived");
         second.send(OK);
-        runUntil(attempt::isFinished);
+        runUntil(outgoing::isFinished);
     }
 
     @Test
@@ -450,21 +450,21 @@
         client().send(jobRequest("a"));
         Peer runnerConnection = awaitJob();
         client().send(jobUpdate("a", "s-1", "started")).await("204");
-        OutgoingAttempt attempt = router.pendingRequest("a").attempts.get(0);
-        attempt.stop(Outcome.CANCELLED);
+        OutgoingAttempt outgoing = router.pendingRequest("a").attempts.get(0);
+        outgoing.stop(Outcome.CANCELLED);
         Peer second = awaitConnection(runner);
         second.await("DELETE /jobs/a");
-        assertFalse(attempt.isFinished(), "closing the connection may be too late to stop the job");
+        assertFalse(outgoing.isFinished(), "closing the connection may be too late to stop the job");
         second.send(OK);
-        runUntil(attempt::isFinished);
+        runUntil(outgoing::isFinished);
     }
 
     @Test
     void aCancellationEndsTheAttemptAlthoughTheRunnerDoesNotRespond() throws IOException {
         startRouter();
-        OutgoingAttempt attempt = cancelAfterAccept(client(), new Peer[1]);
-        runUntil(attempt::isFinished); // although the runner does not respond
-        assertEquals(Outcome.CANCELLED, attempt.attempt.outcome);
+        OutgoingAttempt outgoing = cancelAfterAccept(client(), new Peer[1]);
+        runUntil(outgoing::isFinished); // although the runner does not respond
+        assertEquals(Outcome.CANCELLED, outgoing.attempt.outcome);
     }
 
     // Invalid input, limits and shutdown.
