--- a/proxy/src/main/java/saltdale/proxy/ControlSession.java
+++ b/proxy/src/main/java/saltdale/proxy/ControlSession.java
@@ -193,8 +193,8 @@
             selector.controlNodeLeaves();
         } else if (message instanceof LeaseGrant grant) {
             leaseGranted(grant);
-        } else if (message instanceof LeaseExpired leaseOver) {
-            if (renewalSentAt.remove(leaseOver.count()) != null) {
+        } else if (message instanceof LeaseExpired expired) {
+            if (renewalSentAt.remove(expired.count()) != null) {
                 leaseExpired();
             }
         } else if (message instanceof SessionUpdate update && update.session().equals(session)) {
--- a/proxy/src/main/java/saltdale/proxy/Proxy.java
+++ b/proxy/src/main/java/saltdale/proxy/Proxy.java
@@ -274,8 +274,8 @@
             slotRequester.granted(grant.number(), grant.instance());
         } else if (message instanceof SlotQueued queued) {
             slotRequester.queued(queued.number());
-        } else if (message instanceof SlotRedirect elsewhere) {
-            slotRequester.redirected(elsewhere.number(), elsewhere.zone());
+        } else if (message instanceof SlotRedirect redirect) {
+            slotRequester.redirected(redirect.number(), redirect.zone());
         } else if (message instanceof SlotRefusal refusal) {
             slotRequester.rejected(refusal.number(), refusal.retryAfterMillis());
         } else if (message instanceof SlotCancel cancel) {
--- a/proxy/src/test/java/saltdale/proxy/CatchUpTest.java
+++ b/proxy/src/test/java/saltdale/proxy/CatchUpTest.java
@@ -107,14 +107,14 @@
 
     // Fencing.
 
-    private static final long LEASE = SimWorld.HEARTBEAT_NANOS * 5 / 4;
+    private static final long LEASE_NANOS = SimWorld.HEARTBEAT_NANOS * 5 / 4;
 
     /** Starts and stops under a fence that arrived when their sender must have known of the next holder. */
     private static List<String> lateDuties(SimWorld world, TreeMap<Long, Long> fences) {
         List<String> lateDuties = new ArrayList<>();
         for (SimPlatform.Duty duty : world.platform.duties) {
             Long next = fences.higherKey(duty.fence());
-            if (next != null && duty.at() > fences.get(next) + LEASE + Environment.millisToNanos(100)) {
+            if (next != null && duty.at() > fences.get(next) + LEASE_NANOS + Environment.millisToNanos(100)) {
                 lateDuties.add(duty.kind() + " under fence " + duty.fence() + " long after " + next);
             }
         }
@@ -197,7 +197,7 @@
             load(world, 60, 15_000);
             world.run(3000);
             SimMachine holder = DutyTest.holder(world);
-            long before = DutyTest.fence(world);
+            long previousFence = DutyTest.fence(world);
             world.platform.dutyDelayMs.put(holder.host, 4000L + world.random.nextInt(2000));
             world.run(world.random.nextInt(700));
             world.platform.call(world.proxies.get(0), "h.example", "/a/1", 5000);
@@ -205,12 +205,12 @@
             load(world, 400, 600);
             world.run(400);
             holder.powerOff();
-            assertTrue(world.runUntil(6000, () -> DutyTest.fence(world) > before));
-            long won = world.now();
+            assertTrue(world.runUntil(6000, () -> DutyTest.fence(world) > previousFence));
+            long wonAt = world.now();
             holder.start();
             world.run(25_000);
             lateDutyCount += (int) world.platform.duties.stream()
-                    .filter(duty -> duty.fence() <= before && duty.at() > won)
+                    .filter(duty -> duty.fence() <= previousFence && duty.at() > wonAt)
                     .count();
             for (SimPlatform.OutgoingCall call : world.platform.calls) {
                 assertThat("exactly one answer", call.answers.size(), is(1));
--- a/proxy/src/test/java/saltdale/proxy/ContactChecks.java
+++ b/proxy/src/test/java/saltdale/proxy/ContactChecks.java
@@ -19,7 +19,7 @@
 
 /**
  * Simulates an operator who changes the configuration continuously, and checks after each event what must hold
- * meanwhile. Violations are added to the faults of the simulated world.
+ * meanwhile. Violations are added to those of the simulated world.
  */
 final class ContactChecks {
     /** Reads the configuration at a control node; faulty variants of the code replace it. */
@@ -71,8 +71,8 @@
         };
     }
 
-    private void addFault(String description) {
-        // The first few faults are enough to find the cause.
+    private void addViolation(String description) {
+        // The first few violations are enough to find the cause.
         if (world.violations.size() < 5) {
             world.violations.add(world.now() / 1_000_000 - 1_000_000 + " ms: " + description);
         }
@@ -99,13 +99,14 @@
                     ? 0
                     : each.proxy().configuration().revision();
             if (current < highestRevisions.getOrDefault(each.proxy(), 0L)) {
-                addFault(each.host + " went back to revision " + current);
+                addViolation(each.host + " went back to revision " + current);
             }
             highestRevisions.put(each.proxy(), current);
             if (contact.isInContact(each)) {
                 stepsInContact++;
                 if (current < revisionDue) {
-                    addFault(each.host + " is in contact and has revision " + current + ", " + revisionDue + " is due");
+                    addViolation(
+                            each.host + " is in contact and has revision " + current + ", " + revisionDue + " is due");
                 }
             }
         }
@@ -134,14 +135,14 @@
             SimMachine sender = world.machines.get(from);
             long minimum = newestBy(chosenVersions, world.now() - LEASE_NANOS - MAX_MESSAGE_DELAY_NANOS, -1);
             if (sender.controlNode() != null && sender.controlNode().hasMajority() && heartbeat.version() < minimum) {
-                addFault(from + " assumes a majority but knows version " + heartbeat.version() + " of " + minimum);
+                addViolation(from + " assumes a majority but knows version " + heartbeat.version() + " of " + minimum);
             }
         } else if (message instanceof ConfigurationChange
                 || message instanceof ConfigurationOffer
                 || message instanceof SnapshotPart
                 || message instanceof MembersChange) {
             if (atMostOneFrozen && isWithoutMajority(from, LEASE_NANOS + MAX_MESSAGE_DELAY_NANOS)) {
-                addFault(from + " distributes " + message.kind() + " without contact");
+                addViolation(from + " distributes " + message.kind() + " without contact");
             }
             if (message instanceof ConfigurationChange change) {
                 checkDistributedRevision(from, change.revision());
@@ -152,7 +153,7 @@
     private void checkDistributedRevision(String from, long revision) {
         long minimum = newestBy(acknowledged, world.now() - LEASE_NANOS - MAX_MESSAGE_DELAY_NANOS, 0);
         if (revision < minimum) {
-            addFault(from + " distributes revision " + revision + ", but " + minimum
+            addViolation(from + " distributes revision " + revision + ", but " + minimum
                     + " was acknowledged a lease earlier");
         }
     }
@@ -202,9 +203,9 @@
         boolean definite =
                 reply.status() < 500 && (atMostOneFrozen || !isBackedByChosenState(reply.status(), base, next));
         if (definite && isWithoutMajority(node.host, Environment.millisToNanos(500))) {
-            addFault(node.host + " answers " + reply.status() + " without contact");
+            addViolation(node.host + " answers " + reply.status() + " without contact");
         } else if (reply.status() >= 400 && reply.status() < 500) {
-            addFault(node.host + " refuses revision " + next + " based on " + base + ": " + reply.reason());
+            addViolation(node.host + " refuses revision " + next + " based on " + base + ": " + reply.reason());
         }
         if (reply.status() == 200 && next > acknowledged.lastEntry().getValue()) {
             acknowledged.put(world.now(), next);
@@ -229,14 +230,14 @@
             node.process.deliver(() -> reader.read(node, reply -> {
                 long readRevision = reply.status() == 200 ? AgreementTest.revision(new String(reply.body())) : minimum;
                 if (readRevision < minimum) {
-                    addFault(node.host + " reads " + readRevision + " although " + minimum + " was acknowledged");
+                    addViolation(node.host + " reads " + readRevision + " although " + minimum + " was acknowledged");
                 }
             }));
         }
         world.schedule(TICK_NANOS, this::readRepeatedly);
     }
 
-    List<String> faults() {
+    List<String> violations() {
         return world.violations;
     }
 }
--- a/proxy/src/test/java/saltdale/proxy/ContactModel.java
+++ b/proxy/src/test/java/saltdale/proxy/ContactModel.java
@@ -67,13 +67,13 @@
 
     private int stateOf(List<SimMachine> machines) {
         int all = 0;
-        for (SimMachine one : machines) {
+        for (SimMachine machine : machines) {
             all = 31 * all
                     + Objects.hash(
-                            System.identityHashCode(one.process),
-                            one.frozen,
-                            one.wallClockOffsetNanos,
-                            world.stalledHosts.contains(one.host));
+                            System.identityHashCode(machine.process),
+                            machine.frozen,
+                            machine.wallClockOffsetNanos,
+                            world.stalledHosts.contains(machine.host));
         }
         return all;
     }
--- a/proxy/src/test/java/saltdale/proxy/CutOffTest.java
+++ b/proxy/src/test/java/saltdale/proxy/CutOffTest.java
@@ -111,7 +111,7 @@
 
         /**
          * Cuts a control node off, often at the moment when it acknowledges a change, restarts a proxy meanwhile, and
-         * connects the control node again. Returns the faults found.
+         * connects the control node again. Returns the violations found.
          */
         List<String> execute(Cut cut) {
             applyVariant();
@@ -241,9 +241,9 @@
                 world.runUntil(12_000, () -> world.voters().contains(replacement.id()) && !world.isJoint()),
                 "seed " + seed);
         world.cutLinks.clear();
-        for (SimMachine one : List.of(old, second)) {
-            world.cut(one, third);
-            world.cut(one, replacement);
+        for (SimMachine cutOff : List.of(old, second)) {
+            world.cut(cutOff, third);
+            world.cut(cutOff, replacement);
         }
         world.run(4000);
         return world;
--- a/proxy/src/test/java/saltdale/proxy/InputTest.java
+++ b/proxy/src/test/java/saltdale/proxy/InputTest.java
@@ -246,8 +246,8 @@
         SimWorld world = servingCluster(3, 3, 2);
         List<Member> received = new ArrayList<>();
         world.messageObserver = m -> {
-            if (m instanceof MembersChange news) {
-                received.addAll(news.changed());
+            if (m instanceof MembersChange change) {
+                received.addAll(change.changed());
             }
         };
         Member ghost = new Member("life", "ghost", "z-a", "10.1.0.99", false);
--- a/proxy/src/test/java/saltdale/proxy/MembershipChangeTest.java
+++ b/proxy/src/test/java/saltdale/proxy/MembershipChangeTest.java
@@ -53,12 +53,12 @@
 
     /** A loss, a second fault at one of the messages of its repair, and another loss once all have caught up. */
     private record Run(Variant variant, int controlNodes, Loss loss, SecondFault secondFault, int message, long seed) {
-        Run at(int otherMessage) {
+        Run withMessage(int otherMessage) {
             return new Run(variant, controlNodes, loss, secondFault, otherMessage, seed);
         }
 
-        /** Returns the number of messages of the repair; violations are added to {@code faults}. */
-        int execute(List<String> faults) {
+        /** Returns the number of messages of the repair; violations are added to {@code violations}. */
+        int execute(List<String> violations) {
             SimCore core = new SimCore(seed, controlNodes);
             variant.setup.accept(core);
             core.start();
@@ -78,7 +78,7 @@
             core.loseTolerated(Loss.WIPE, (int) seed + 1);
             core.runUntilRecovered();
             core.loseDisksAndPower((int) seed + 2);
-            faults.addAll(core.world.violations);
+            violations.addAll(core.world.violations);
             return sent;
         }
 
@@ -97,16 +97,16 @@
     }
 
     /** Injects the fault at one message after the other; returns the first run with a violation, null if none has. */
-    private static Run firstViolation(Run run, int stride, List<String> faults) {
-        int messages = run.at(NO_MESSAGE).execute(faults);
-        if (!faults.isEmpty()) {
-            return run.at(NO_MESSAGE);
+    private static Run firstViolation(Run run, int stride, List<String> violations) {
+        int messages = run.withMessage(NO_MESSAGE).execute(violations);
+        if (!violations.isEmpty()) {
+            return run.withMessage(NO_MESSAGE);
         }
         int runs = 0;
         for (int message = (int) run.seed % stride; message < messages; message += stride) {
-            Run withFault = run.at(message);
-            withFault.execute(faults);
-            if (!faults.isEmpty()) {
+            Run withFault = run.withMessage(message);
+            withFault.execute(violations);
+            if (!violations.isEmpty()) {
                 return withFault;
             }
             runs++;
@@ -117,10 +117,10 @@
 
     private static void injectEverywhere(int controlNodes, Loss loss, SecondFault secondFault, int... seeds) {
         for (int seed : seeds) {
-            List<String> faults = new ArrayList<>();
+            List<String> violations = new ArrayList<>();
             Run violating = firstViolation(
-                    new Run(Variant.CORRECT, controlNodes, loss, secondFault, NO_MESSAGE, seed), STRIDE, faults);
-            assertThat(String.valueOf(violating), faults, is(empty()));
+                    new Run(Variant.CORRECT, controlNodes, loss, secondFault, NO_MESSAGE, seed), STRIDE, violations);
+            assertThat(String.valueOf(violating), violations, is(empty()));
         }
     }
 
@@ -149,7 +149,7 @@
     }
 
     /** Loses as many machines at once as are tolerated, by one kind of loss after the other. */
-    private static List<String> faultsAfterLosses(Variant variant, long seed, int controlNodes, List<Loss> losses) {
+    private static List<String> violationsAfterLosses(Variant variant, long seed, int controlNodes, List<Loss> losses) {
         SimCore core = new SimCore(seed, controlNodes);
         variant.setup.accept(core);
         core.start();
@@ -172,8 +172,8 @@
         for (Loss first : kinds) {
             for (Loss second : kinds) {
                 List<Loss> losses = List.of(first, second, kinds.get(seed * 3 % kinds.size()));
-                List<String> faults = faultsAfterLosses(Variant.CORRECT, seed, controlNodes, losses);
-                assertThat(controlNodes + " " + losses + ", seed " + seed, faults, is(empty()));
+                List<String> violations = violationsAfterLosses(Variant.CORRECT, seed, controlNodes, losses);
+                assertThat(controlNodes + " " + losses + ", seed " + seed, violations, is(empty()));
                 seed++;
             }
         }
@@ -263,19 +263,19 @@
                 new Run(Variant.LEAVES_BEFORE_SUCCESSOR_VOTES, 3, Loss.LEAVE, SecondFault.WIPE_SENDER, NO_MESSAGE, 1),
                 1);
         List<Loss> replaced = List.of(Loss.REPLACE, Loss.REPLACE);
-        assertThat(faultsAfterLosses(Variant.VOTERS_ADDED_FOR_LOST_ONES, 1, 5, replaced), is(not(empty())));
+        assertThat(violationsAfterLosses(Variant.VOTERS_ADDED_FOR_LOST_ONES, 1, 5, replaced), is(not(empty())));
         assertDetected(
                 new Run(Variant.CONFIRMS_BEFORE_SYNC, 3, Loss.REPLACE, SecondFault.POWER_OFF_ALL, NO_MESSAGE, 0), 1);
-        List<String> faults = new ArrayList<>();
-        for (int seed = 0; seed < 20 && faults.isEmpty(); seed++) {
-            faults.addAll(staleMemberAndEmptyDisk(Variant.VOTES_FROM_EMPTY_DISK, seed));
+        List<String> violations = new ArrayList<>();
+        for (int seed = 0; seed < 20 && violations.isEmpty(); seed++) {
+            violations.addAll(staleMemberAndEmptyDisk(Variant.VOTES_FROM_EMPTY_DISK, seed));
         }
-        assertThat(faults, is(not(empty())));
+        assertThat(violations, is(not(empty())));
     }
 
     private static void assertDetected(Run run, int stride) {
-        List<String> faults = new ArrayList<>();
-        firstViolation(run, stride, faults);
-        assertThat(run.variant() + " is detected", faults, is(not(empty())));
+        List<String> violations = new ArrayList<>();
+        firstViolation(run, stride, violations);
+        assertThat(run.variant() + " is detected", violations, is(not(empty())));
     }
 }
--- a/proxy/src/test/java/saltdale/proxy/ProxyClusterTest.java
+++ b/proxy/src/test/java/saltdale/proxy/ProxyClusterTest.java
@@ -365,14 +365,14 @@
             long fence = world.platform.highestFence;
             DutyTest.holder(world).powerOff();
             assertTrue(world.runUntil(6000, () -> DutyTest.fence(world) > fence));
-            long won = world.now();
+            long wonAt = world.now();
             newHolderElected[0] = true;
             world.run(12_000);
             List<SimPlatform.Duty> stops = world.platform.duties.subList(before, world.platform.duties.size()).stream()
                     .filter(d -> d.kind().equals("stop") && d.fence() > fence && !leaving.contains(d.target()))
                     .toList();
             assertThat("idle instances are stopped in the end", stops, is(not(empty())));
-            assertThat("seed " + seed, (stops.get(0).at() - won) / 1_000_000, greaterThan(4000L));
+            assertThat("seed " + seed, (stops.get(0).at() - wonAt) / 1_000_000, greaterThan(4000L));
         }
     }
 
