--- a/rig/src/main/java/saltdale/rig/fleet/TroubleSchedule.java
+++ b/rig/src/main/java/saltdale/rig/fleet/TroubleSchedule.java
@@ -41,7 +41,7 @@
         RESUME_LIST,
         PAUSE_DISPATCHER,
         RESUME_DISPATCHER,
-        /** The dispatcher is told to terminate in order. */
+        /** The dispatcher is asked to shut down gracefully. */
         SHUT_DOWN_DISPATCHER,
         CHANGE_LINK
     }
--- a/rig/src/main/java/saltdale/rig/simulate/SimulatedNode.java
+++ b/rig/src/main/java/saltdale/rig/simulate/SimulatedNode.java
@@ -171,7 +171,7 @@
     // ---- Clients.
 
     void receive(Simulation.ClientTry clientTry) {
-        Request request = new Request(clientTry.ask().job().workload(), now(), clientTry.clientTimeout());
+        Request request = new Request(clientTry.arrival().job().workload(), now(), clientTry.clientTimeout());
         request.markedAsRetry = clientTry.number > 1;
         HeldRequest held = new HeldRequest(clientTry, request);
         requests.put(request, held);
@@ -298,7 +298,7 @@
                     id,
                     workload.repeatSafety == Workload.RepeatSafety.RECEIPTED ? held.clientTry.receipt() : null,
                     workload,
-                    held.clientTry.ask().size(),
+                    held.clientTry.arrival().size(),
                     number);
             job.attachment = this;
             sim.judge.attemptReceived(sentAt, now(), id, runner, number, job.sizeSeconds);
--- a/rig/src/main/java/saltdale/rig/simulate/Simulation.java
+++ b/rig/src/main/java/saltdale/rig/simulate/Simulation.java
@@ -80,9 +80,9 @@
 
     private void scheduleNextArrival(Iterator<Ask> arrivals) {
         if (arrivals.hasNext()) {
-            Ask ask = arrivals.next();
-            eventQueue.scheduleAt(ask.at(), () -> {
-                new SimulatedClient(ask).sendTry();
+            Ask arrival = arrivals.next();
+            eventQueue.scheduleAt(arrival.at(), () -> {
+                new SimulatedClient(arrival).sendTry();
                 scheduleNextArrival(arrivals);
             });
         }
@@ -218,13 +218,13 @@
 
     /** The client of one arrival, over all its tries. */
     final class SimulatedClient {
-        final Ask ask;
+        final Ask arrival;
         private int tryCount;
         private ClientTry currentTry;
         private boolean finished;
 
-        SimulatedClient(Ask ask) {
-            this.ask = ask;
+        SimulatedClient(Ask arrival) {
+            this.arrival = arrival;
             openRequests++;
         }
 
@@ -252,7 +252,11 @@
                     return;
                 }
                 judge.requestSent(
-                        eventQueue.now(), clientTry.id, ask.job().workload(), node.number, clientTry.clientTimeout());
+                        eventQueue.now(),
+                        clientTry.id,
+                        arrival.job().workload(),
+                        node.number,
+                        clientTry.clientTimeout());
                 node.receive(clientTry);
                 clientTry.dispatcher = node.number;
                 eventQueue.scheduleAfter(
@@ -267,15 +271,15 @@
             }
             currentTry = null;
             if (ended.dispatcher >= 0) {
-                spread.ended(ended.dispatcher, ask.job().workload().importance, outcome == TryOutcome.SHED);
+                spread.ended(ended.dispatcher, arrival.job().workload().importance, outcome == TryOutcome.SHED);
             }
             Duration wait = persistence.next(
-                    ask.job().workload(),
+                    arrival.job().workload(),
                     tryCount,
                     outcome == TryOutcome.UNREACHABLE ? FinalAnswer.SHED : outcome.finalAnswer,
                     retryAfter,
                     eventQueue.now(),
-                    ask.at());
+                    arrival.at());
             if (wait == null) {
                 finish(outcome.finalAnswer, false);
             } else {
@@ -286,7 +290,7 @@
         private void finish(FinalAnswer finalAnswer, boolean left) {
             finished = true;
             openRequests--;
-            tally.over(ask, finalAnswer, eventQueue.now(), tryCount, left);
+            tally.over(arrival, finalAnswer, eventQueue.now(), tryCount, left);
         }
     }
 
@@ -315,19 +319,19 @@
         ClientTry(SimulatedClient client, int number) {
             this.client = client;
             this.number = number;
-            this.id = client.ask.number() + "." + number;
+            this.id = client.arrival.number() + "." + number;
         }
 
-        Ask ask() {
-            return client.ask;
+        Ask arrival() {
+            return client.arrival;
         }
 
         String receipt() {
-            return "r" + client.ask.number();
+            return "r" + client.arrival.number();
         }
 
         Duration clientTimeout() {
-            return client.ask.job().workload().clientTimeout;
+            return client.arrival.job().workload().clientTimeout;
         }
     }
 }
