--- a/rig/src/main/java/saltdale/rig/platform/Bounds.java
+++ b/rig/src/main/java/saltdale/rig/platform/Bounds.java
@@ -7,7 +7,7 @@
 /** The figures of the rules in force. */
 public record Bounds(
         Duration addressReuse, Duration contact, Duration drain, Duration grace, Duration configApply, int limitSlack) {
-    public static final Bounds USUAL = new Bounds(
+    public static final Bounds DEFAULTS = new Bounds(
             Duration.ofSeconds(2),
             Duration.ofSeconds(4),
             Duration.ofSeconds(3),
--- a/rig/src/main/java/saltdale/rig/platform/Clock.java
+++ b/rig/src/main/java/saltdale/rig/platform/Clock.java
@@ -6,5 +6,5 @@
 public interface Clock {
     Duration now();
 
-    void after(Duration span, Runnable what);
+    void schedule(Duration delay, Runnable action);
 }
--- a/rig/src/main/java/saltdale/rig/platform/Site.java
+++ b/rig/src/main/java/saltdale/rig/platform/Deployment.java
@@ -12,33 +12,33 @@
  * A small deployment on loopback: 127.net.zone.number are the machines, 127.(net + 1).zone.number the runners.
  *
  * @param net the second figure of the machines' addresses, so that several can stand side by side
- * @param lag by which the platform's lists run behind
+ * @param listLag by which the platformAddress's lists run behind
  */
-public record Site(
+public record Deployment(
         int net,
         List<Machine> machines,
         List<Worker> workers,
         List<Service> services,
         List<Route> routes,
         Bounds bounds,
-        Duration lag,
+        Duration listLag,
         double ratePerS,
         double dutyPerS) {
     public static final List<String> ZONES = List.of("north", "south", "west");
-    private static final int MOST_OF_A_ZONE = 80;
+    private static final int MAX_MACHINES_PER_ZONE = 80;
     private static final String REGION = "harbour";
-    private static final int RARE = 6;
+    private static final int RARE_SERVICES = 6;
 
     /** A worker machine, as it stands when the day begins. */
     public record Worker(String name, String zone, int memoryMb) {}
 
     /** Three zones with a worker each; a busy service that may not be repeated, a busy one that may, six rare ones. */
-    public static Site small(int net, int proxies, int controlNodes) {
+    public static Deployment small(int net, int proxies, int controlNodes) {
         if (net < 1
                 || net > 254
                 || proxies < 1
                 || controlNodes < 1
-                || Math.max(proxies, controlNodes) > 3 * MOST_OF_A_ZONE) {
+                || Math.max(proxies, controlNodes) > 3 * MAX_MACHINES_PER_ZONE) {
             throw new IllegalArgumentException(
                     "no such site: net " + net + ", " + proxies + " proxies, " + controlNodes + " control nodes");
         }
@@ -69,7 +69,7 @@
                 Duration.ofMillis(400),
                 Duration.ofMillis(2500),
                 6));
-        for (int i = 1; i <= RARE; i++) {
+        for (int i = 1; i <= RARE_SERVICES; i++) {
             services.add(new Service("press-" + i, 128, Duration.ofMillis(500), 1, Duration.ofMillis(60)));
             routes.add(new Route(
                     "r-press-" + i,
@@ -90,13 +90,13 @@
                 Duration.ofMillis(1000),
                 Duration.ofMillis(5000),
                 0));
-        return new Site(
+        return new Deployment(
                 net,
                 List.copyOf(machines),
                 List.copyOf(workers),
                 List.copyOf(services),
                 List.copyOf(routes),
-                Bounds.USUAL,
+                Bounds.DEFAULTS,
                 Duration.ofMillis(800),
                 26,
                 105);
@@ -122,28 +122,28 @@
         return machines.stream().filter(machine -> !machine.isProxy()).toList();
     }
 
-    /** Where the platform is called. */
-    public String platform() {
+    /** Where the platformAddress is called. */
+    public String platformAddress() {
         return "127." + net + ".250.1:8240";
     }
 
-    /** Where the runner at this place of a zone listens. */
-    String runner(String zone, int place) {
-        return "127." + (net + 1) + "." + (ZONES.indexOf(zone) + 1) + "." + place + ":8080";
+    /** Where the runnerAddress at this number of a zone listens. */
+    String runnerAddress(String zone, int number) {
+        return "127." + (net + 1) + "." + (ZONES.indexOf(zone) + 1) + "." + number + ":8080";
     }
 
-    /** The routes once the operator has amended them: one is new, one goes to another service, one is gone. */
-    public List<Route> amended() {
-        Route moved = moved();
+    /** The routes once the operator has amendedRoutes them: one is new, one goes to another service, one is gone. */
+    public List<Route> amendedRoutes() {
+        Route movedRoute = movedRoute();
         return Stream.concat(
                         routes.stream()
                                 .filter(route -> route.share() > 0)
-                                .map(route -> route.name().equals(moved.name()) ? moved : route),
-                        Stream.of(added()))
+                                .map(route -> route.name().equals(movedRoute.name()) ? movedRoute : route),
+                        Stream.of(addedRoute()))
                 .toList();
     }
 
-    private static Route added() {
+    private static Route addedRoute() {
         return new Route(
                 "r-added",
                 "dami.example",
@@ -155,7 +155,7 @@
                 2);
     }
 
-    private Route moved() {
+    private Route movedRoute() {
         return routes.get(routes.size() - 2).to("press-2");
     }
 
@@ -165,10 +165,10 @@
     }
 
     /** The whole configuration with these routes. */
-    public ObjectNode configuration(int revision, List<Route> those) {
+    public ObjectNode configuration(int revision, List<Route> configuredRoutes) {
         ObjectNode root = JsonNodeFactory.instance.objectNode().put("revision", revision);
         ArrayNode list = root.putArray("routes");
-        those.forEach(route -> list.add(route.json()));
+        configuredRoutes.forEach(route -> list.add(route.json()));
         ArrayNode functions = root.putArray("services");
         services.forEach(service -> functions.add(service.json()));
         root.putObject("limits")
@@ -179,10 +179,13 @@
         return root;
     }
 
-    /** The body of the Configuration.Amend that leads to {@link #amended}. */
+    /** The body of the Configuration.Amend that leads to {@link #amendedRoutes}. */
     public ObjectNode amendment(int revision) {
         ObjectNode root = JsonNodeFactory.instance.objectNode().put("revision", revision);
-        root.putObject("set_items").putArray("routes").add(added().json()).add(moved().json());
+        root.putObject("set_items")
+                .putArray("routes")
+                .add(addedRoute().json())
+                .add(movedRoute().json());
         root.putObject("remove_names").putArray("routes").add("r-unused");
         return root;
     }
@@ -200,13 +203,13 @@
         ZONES.forEach(zone -> zones.put(zone, REGION));
         ObjectNode listen = root.putObject("listen_addresses");
         if (machine.isProxy()) {
-            listen.put("front", machine.at(Machine.FRONT)).put("readiness", machine.at(Machine.READINESS));
+            listen.put("front", machine.at(Machine.FRONT_PORT)).put("readiness", machine.at(Machine.READINESS_PORT));
         } else {
-            listen.put("control", machine.at(Machine.CONTROL));
+            listen.put("control", machine.at(Machine.CONTROL_PORT));
         }
         root.putArray("internal_port_range").add(7400).add(7415);
         ArrayNode seeds = root.putArray("seed_nodes");
-        controlNodes().stream().limit(3).forEach(controlNode -> seeds.add(controlNode.at(Machine.CONTROL)));
+        controlNodes().stream().limit(3).forEach(controlNode -> seeds.add(controlNode.at(Machine.CONTROL_PORT)));
         root.put("first_start", firstStart).put("loss_counted", !machine.isProxy());
         root.putObject("limits")
                 .put("cpu_share", machine.isProxy() ? 0.75 : 1.8)
@@ -228,9 +231,9 @@
                 .put("regions", 0);
         root.set("bounds", bounds.json());
         ObjectNode api =
-                root.putObject("platform_api").put("address", platform()).put("rate_per_s", ratePerS);
+                root.putObject("platform_api").put("address", platformAddress()).put("rate_per_s", ratePerS);
         api.putArray("duties").add("starting");
-        api.put("lag_ms", lag.toMillis()).put("duty_per_s", dutyPerS);
+        api.put("lag_ms", listLag.toMillis()).put("duty_per_s", dutyPerS);
         return root;
     }
 }
--- a/rig/src/main/java/saltdale/rig/platform/Instance.java
+++ b/rig/src/main/java/saltdale/rig/platform/Instance.java
@@ -29,13 +29,13 @@
     public final long sequence;
     public final Service service;
     public final String address;
-    public final Site.Worker worker;
+    public final Deployment.Worker worker;
     /** Of its work time; runners of one service vary. */
-    public final double slowness;
+    public final double workTimeFactor;
 
     private final Platform platform;
     private State state = State.BOOTING;
-    private int atWork;
+    private int activeRequests;
 
     Instance(
             Platform platform,
@@ -43,15 +43,15 @@
             String identifier,
             Service service,
             String address,
-            Site.Worker worker,
-            double slowness) {
+            Deployment.Worker worker,
+            double workTimeFactor) {
         this.platform = platform;
         this.sequence = sequence;
         this.identifier = identifier;
         this.service = service;
         this.address = address;
         this.worker = worker;
-        this.slowness = slowness;
+        this.workTimeFactor = workTimeFactor;
     }
 
     public State state() {
@@ -66,12 +66,12 @@
         return state.compareTo(State.DRAINING) >= 0;
     }
 
-    int atWork() {
-        return atWork;
+    int activeRequests() {
+        return activeRequests;
     }
 
     /**
-     * Takes a request in or turns it away; {@link #worked} follows if it runs.
+     * Takes a request in or turns it away; {@link #requestFinished} follows if it runs.
      *
      * @param expected the identifier that its sender expects; null for any
      * @param remaining of its deadline; null where it names none
@@ -85,16 +85,16 @@
                 || state == State.ENDED
                 || remaining != null && (remaining.isZero() || remaining.isNegative())) {
             return new Admission(503, false);
-        } else if (atWork >= service.maxConcurrency()) {
+        } else if (activeRequests >= service.maxConcurrency()) {
             return new Admission(503, true);
         }
-        atWork++;
+        activeRequests++;
         return new Admission(200, false);
     }
 
     /** It works on one request less. */
-    public void worked() {
-        atWork--;
-        platform.idle(this);
+    public void requestFinished() {
+        activeRequests--;
+        platform.endIfIdle(this);
     }
 }
--- a/rig/src/main/java/saltdale/rig/platform/Judge.java
+++ b/rig/src/main/java/saltdale/rig/platform/Judge.java
@@ -14,7 +14,7 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Judges by what clients, runners and the operator saw. It is told in the order of time. Less than the pages have:
+ * Judges by what clients, runners and the operator saw. It is breachMessages in the order of time. Less than the pages have:
  * no DRAIN, LOST, BUDGET nor RECOVER.
  */
 public final class Judge {
@@ -31,7 +31,8 @@
     }
 
     private static final Duration LIMIT_WINDOW = Duration.ofSeconds(5);
-    private static final int KEPT = 20; // breaches told one by one; beyond that they are counted
+    private static final int MAX_LISTED_BREACHES =
+            20; // breaches breachMessages one by one; beyond that they are counted
 
     /** A try of a client. */
     private static final class Try {
@@ -41,7 +42,7 @@
         final String machine;
         int runs;
         boolean refused;
-        boolean spoilt; // a runner broke its answer off
+        boolean brokenByRunner; // a runner broke its answer off
 
         Try(Duration sentAt, Route route, String request, String machine) {
             this.sentAt = sentAt;
@@ -55,84 +56,84 @@
 
     /** A configuration that was sent; in force for certain some time after its acknowledgement. */
     private static final class Version {
-        final Map<String, String> services = new HashMap<>();
-        Duration ackedAt;
+        final Map<String, String> serviceByRoute = new HashMap<>();
+        Duration acknowledgedAt;
     }
 
     private final Bounds bounds;
     private final Map<String, Try> tries = new HashMap<>();
     private final Map<String, Run> runs = new HashMap<>();
     private final List<Version> versions = new ArrayList<>();
-    private final Map<String, Deque<Duration>> turnedAway = new HashMap<>();
-    private final Map<String, Duration> outOfTouch = new HashMap<>();
-    private final Map<Rule, Integer> broken = new EnumMap<>(Rule.class);
-    private final Map<String, Map<String, Integer>> unserved = new TreeMap<>();
-    private final List<String> told = new ArrayList<>();
+    private final Map<String, Deque<Duration>> fullRejections = new HashMap<>();
+    private final Map<String, Duration> outOfContactUntil = new HashMap<>();
+    private final Map<Rule, Integer> breachCounts = new EnumMap<>(Rule.class);
+    private final Map<String, Map<String, Integer>> unservedByOutcome = new TreeMap<>();
+    private final List<String> breachMessages = new ArrayList<>();
     private final Histogram latency = new Histogram(3_600_000_000L, 3);
-    private Duration troubledUntil = Duration.ofNanos(Long.MIN_VALUE);
-    private long asked;
-    private long served;
-    private long inTime;
-    private long requests;
-    private long denied;
-    private long full;
+    private Duration disturbedUntil = Duration.ofNanos(Long.MIN_VALUE);
+    private long requestCount;
+    private long servedCount;
+    private long servedInAim;
+    private long triesSent;
+    private long deniedTries;
+    private long rejectedAsFull;
 
     public Judge(Bounds bounds) {
         this.bounds = bounds;
         for (Rule rule : Rule.values()) {
-            broken.put(rule, 0);
+            breachCounts.put(rule, 0);
         }
     }
 
     // The operator.
 
     /** Sends a configuration; returns its number here. */
-    public int offered(List<Route> routes) {
+    public int recordChangeSent(List<Route> routes) {
         Version version = new Version();
-        routes.forEach(route -> version.services.put(key(route), route.service()));
+        routes.forEach(route -> version.serviceByRoute.put(routeKey(route), route.service()));
         versions.add(version);
         return versions.size() - 1;
     }
 
-    public void acknowledged(Duration now, int version) {
-        versions.get(version).ackedAt = now;
+    public void recordChangeAcknowledged(Duration now, int version) {
+        versions.get(version).acknowledgedAt = now;
     }
 
     /** The configuration that was read back is not the one that was acknowledged. */
-    public void readBackWrong(Duration now, String what) {
-        breach(now, Rule.CONFIG, what);
+    public void recordReadBackMismatch(Duration now, String message) {
+        breach(now, Rule.CONFIG, message);
     }
 
-    private static String key(Route route) {
+    private static String routeKey(Route route) {
         return route.hostname() + route.pathPrefix();
     }
 
     // Trouble.
 
     /** A machine was killed, or runners were harmed: until then, and for {@code contact_ms} more. */
-    public void troubled(String machine, Duration until) {
+    public void beginDisturbance(String machine, Duration until) {
         Duration end = until.plus(bounds.contact());
-        troubledUntil = troubledUntil.compareTo(end) > 0 ? troubledUntil : end;
+        disturbedUntil = disturbedUntil.compareTo(end) > 0 ? disturbedUntil : end;
         if (machine != null) {
-            outOfTouch.put(machine, end);
+            outOfContactUntil.put(machine, end);
         }
     }
 
     /** It is back already: only {@code contact_ms} more. */
-    public void outOfTrouble(String machine, Duration now) {
-        troubledUntil = now.plus(bounds.contact());
-        outOfTouch.put(machine, troubledUntil);
+    public void endDisturbance(String machine, Duration now) {
+        disturbedUntil = now.plus(bounds.contact());
+        outOfContactUntil.put(machine, disturbedUntil);
     }
 
-    private boolean inTouch(Duration now, String machine) {
-        return outOfTouch.getOrDefault(machine, Duration.ZERO).compareTo(now) <= 0;
+    private boolean isInContact(Duration now, String machine) {
+        return outOfContactUntil.getOrDefault(machine, Duration.ZERO).compareTo(now) <= 0;
     }
 
     // Clients.
 
     /** {@code request}: method, path and body, as a runner is to see them. */
-    public void sent(Duration now, String attemptId, Route route, String request, String machine) {
-        requests++;
+    public void recordTrySent(Duration now, String attemptId, Route route, String request, String machine) {
+        triesSent++;
         tries.put(attemptId, new Try(now, route, request, machine));
     }
 
@@ -142,8 +143,8 @@
      * @param seal null where there is none
      * @param answeredId what the answer names as the attempt; null where it names none
      */
-    public void answered(Duration now, String attemptId, int status, String seal, String answeredId, byte[] body) {
-        Try was = tries.get(attemptId);
+    public void recordAnswer(Duration now, String attemptId, int status, String seal, String answeredId, byte[] body) {
+        Try sentTry = tries.get(attemptId);
         if (answeredId != null && !answeredId.equals(attemptId)) {
             breach(now, Rule.MIXED, attemptId + " was answered with what belongs to " + answeredId);
         }
@@ -155,31 +156,34 @@
                 breach(now, Rule.MIXED, attemptId + ": a success with the seal of " + run.attemptId);
             } else if (!run.succeeds) {
                 breach(now, Rule.MIXED, attemptId + ": a success where the runner had failed");
-            } else if (!Arrays.equals(body, body(seal))) {
+            } else if (!Arrays.equals(body, bodyFor(seal))) {
                 breach(now, Rule.MIXED, attemptId + ": a success with another body than the runner's");
             }
-        } else if (Retrying.isPromise(status)) {
-            was.refused = true;
-            refusal(now, attemptId, was);
+        } else if (RetryPolicy.promisesNotExecuted(status)) {
+            sentTry.refused = true;
+            checkRefused(now, attemptId, sentTry);
         } else if (status / 100 == 3 || status / 100 == 4) {
-            denied(now, attemptId, was, status);
+            checkDenied(now, attemptId, sentTry, status);
         }
     }
 
-    private void denied(Duration now, String attemptId, Try was, int status) {
-        boolean allowed = allowed(was).stream().allMatch(version -> version.services.containsKey(key(was.route)));
-        if (!allowed || !inTouch(now, was.machine)) {
+    private void checkDenied(Duration now, String attemptId, Try sentTry, int status) {
+        boolean routeInAll = versionsPossiblyInForce(sentTry).stream()
+                .allMatch(version -> version.serviceByRoute.containsKey(routeKey(sentTry.route)));
+        if (!routeInAll || !isInContact(now, sentTry.machine)) {
             return;
         }
-        denied++;
-        if (status == 404 && versions.stream().anyMatch(version -> !version.services.containsKey(key(was.route)))) {
-            breach(now, Rule.CONFIG, attemptId + ": 404 on " + was.route.name() + ", which is there");
+        deniedTries++;
+        if (status == 404
+                && versions.stream()
+                        .anyMatch(version -> !version.serviceByRoute.containsKey(routeKey(sentTry.route)))) {
+            breach(now, Rule.CONFIG, attemptId + ": 404 on " + sentTry.route.name() + ", which is there");
         }
     }
 
     /** What came was no answer, or came where no request was waiting; {@code attemptId} null for the latter. */
-    public void garbage(Duration now, String attemptId) {
-        if (attemptId == null || !tries.get(attemptId).spoilt) {
+    public void recordMalformedAnswer(Duration now, String attemptId) {
+        if (attemptId == null || !tries.get(attemptId).brokenByRunner) {
             breach(
                     now,
                     Rule.MIXED,
@@ -190,68 +194,72 @@
     }
 
     /** All is over with what a client wanted; {@code status} of its last try, 0 where no answer came. */
-    public void over(Route route, Duration took, int status) {
-        asked++;
+    public void recordRequestEnded(Route route, Duration elapsed, int status) {
+        requestCount++;
         if (status / 100 == 2) {
-            served++;
-            inTime += took.compareTo(route.aim()) <= 0 ? 1 : 0;
-            latency.recordValue(took.toNanos() / 1000);
+            servedCount++;
+            servedInAim += elapsed.compareTo(route.aim()) <= 0 ? 1 : 0;
+            latency.recordValue(elapsed.toNanos() / 1000);
         } else {
-            String how = took.compareTo(route.deadline()) >= 0 ? "deadline" : status == 0 ? "cut" : "" + status;
-            unserved.computeIfAbsent(route.service(), k -> new TreeMap<>()).merge(how, 1, Integer::sum);
+            String outcome = elapsed.compareTo(route.deadline()) >= 0 ? "deadline" : status == 0 ? "cut" : "" + status;
+            unservedByOutcome
+                    .computeIfAbsent(route.service(), k -> new TreeMap<>())
+                    .merge(outcome, 1, Integer::sum);
         }
     }
 
-    /** What became of those that were not served: how often the last try ended how, by service. */
-    public Map<String, Map<String, Integer>> unserved() {
-        return unserved;
+    /** What became of those that were not servedCount: outcome often the last try ended outcome, by service. */
+    public Map<String, Map<String, Integer>> unservedByService() {
+        return unservedByOutcome;
     }
 
-    // Runners.
+    // RunnerSockets.
 
     /** A runner begins to work on a request. */
-    public void ran(Duration now, String attemptId, String service, String seal, String request, boolean succeeds) {
+    public void recordRun(
+            Duration now, String attemptId, String service, String seal, String request, boolean succeeds) {
         runs.put(seal, new Run(attemptId, succeeds));
-        Try was = tries.get(attemptId);
-        if (was == null || !was.request.equals(request)) {
+        Try sentTry = tries.get(attemptId);
+        if (sentTry == null || !sentTry.request.equals(request)) {
             breach(
                     now,
                     Rule.UNASKED,
                     attemptId
-                            + (was == null
+                            + (sentTry == null
                                     ? ": run, and sent by no client"
-                                    : ": run as " + request + ", sent as " + was.request));
+                                    : ": run as " + request + ", sent as " + sentTry.request));
             return;
         }
-        was.runs++;
-        if (!was.route.idempotent() && was.runs > 1) {
-            breach(now, Rule.TWICE, attemptId + " was run " + was.runs + " times");
+        sentTry.runs++;
+        if (!sentTry.route.idempotent() && sentTry.runs > 1) {
+            breach(now, Rule.TWICE, attemptId + " was run " + sentTry.runs + " times");
         }
-        refusal(now, attemptId, was);
-        String key = key(was.route);
-        if (versions.stream().noneMatch(version -> service.equals(version.services.get(key)))) {
-            breach(now, Rule.ROUTE, attemptId + " of " + was.route.name() + " was run by " + service);
-        } else if (inTouch(now, was.machine)
-                && allowed(was).stream().noneMatch(version -> service.equals(version.services.get(key)))) {
-            breach(now, Rule.CONFIG, attemptId + " of " + was.route.name() + " was run by the old " + service);
+        checkRefused(now, attemptId, sentTry);
+        String key = routeKey(sentTry.route);
+        if (versions.stream().noneMatch(version -> service.equals(version.serviceByRoute.get(key)))) {
+            breach(now, Rule.ROUTE, attemptId + " of " + sentTry.route.name() + " was run by " + service);
+        } else if (isInContact(now, sentTry.machine)
+                && versionsPossiblyInForce(sentTry).stream()
+                        .noneMatch(version -> service.equals(version.serviceByRoute.get(key)))) {
+            breach(now, Rule.CONFIG, attemptId + " of " + sentTry.route.name() + " was run by the old " + service);
         }
     }
 
     /** The runner will break its answer off, or send what is none. */
-    public void spoils(String attemptId) {
-        Try was = tries.get(attemptId);
-        if (was != null) {
-            was.spoilt = true;
+    public void expectBrokenAnswer(String attemptId) {
+        Try sentTry = tries.get(attemptId);
+        if (sentTry != null) {
+            sentTry.brokenByRunner = true;
         }
     }
 
     /** A runner turns a request away as {@code max_concurrency} are at work. */
-    public void turnedAway(Duration now, String service) {
-        full++;
-        if (now.compareTo(troubledUntil) < 0) {
+    public void recordRejectedAsFull(Duration now, String service) {
+        rejectedAsFull++;
+        if (now.compareTo(disturbedUntil) < 0) {
             return;
         }
-        Deque<Duration> times = turnedAway.computeIfAbsent(service, k -> new ArrayDeque<>());
+        Deque<Duration> times = fullRejections.computeIfAbsent(service, k -> new ArrayDeque<>());
         while (!times.isEmpty() && now.minus(times.peek()).compareTo(LIMIT_WINDOW) > 0) {
             times.poll();
         }
@@ -266,7 +274,7 @@
     }
 
     /** The body of the run with this seal: no other run has the same. */
-    public static byte[] body(String seal) {
+    public static byte[] bodyFor(String seal) {
         byte[] body = new byte[2400];
         for (int i = 0; i < body.length; i++) {
             body[i] = (byte) seal.charAt(i % seal.length());
@@ -274,73 +282,76 @@
         return body;
     }
 
-    private void refusal(Duration now, String attemptId, Try was) {
-        if (was.refused && was.runs > 0 && !was.route.idempotent()) {
+    private void checkRefused(Duration now, String attemptId, Try sentTry) {
+        if (sentTry.refused && sentTry.runs > 0 && !sentTry.route.idempotent()) {
             breach(now, Rule.REFUSED, attemptId + " was run and refused");
         }
     }
 
     /** The versions that may be in force for a request, by when it was sent. */
-    private List<Version> allowed(Try was) {
+    private List<Version> versionsPossiblyInForce(Try sentTry) {
         int from = 0;
         for (int i = 0; i < versions.size(); i++) {
-            Duration acked = versions.get(i).ackedAt;
-            from = acked != null && acked.plus(bounds.configApply()).compareTo(was.sentAt) < 0 ? i : from;
+            Duration acknowledgedAt = versions.get(i).acknowledgedAt;
+            from = acknowledgedAt != null
+                            && acknowledgedAt.plus(bounds.configApply()).compareTo(sentTry.sentAt) < 0
+                    ? i
+                    : from;
         }
         return versions.subList(from, versions.size());
     }
 
-    private void breach(Duration now, Rule rule, String what) {
-        broken.merge(rule, 1, Integer::sum);
-        if (told.size() < KEPT) {
-            told.add(String.format(Locale.ROOT, "%s at %.3f s: %s", rule, now.toMillis() / 1e3, what));
+    private void breach(Duration now, Rule rule, String message) {
+        breachCounts.merge(rule, 1, Integer::sum);
+        if (breachMessages.size() < MAX_LISTED_BREACHES) {
+            breachMessages.add(String.format(Locale.ROOT, "%s at %.3f s: %s", rule, now.toMillis() / 1e3, message));
         }
     }
 
     // The verdict.
 
-    public int broken(Rule rule) {
-        return rule == Rule.DENIED ? (denied > 5 + requests / 500 ? 1 : 0) : broken.get(rule);
+    public int breachCount(Rule rule) {
+        return rule == Rule.DENIED ? (deniedTries > 5 + triesSent / 500 ? 1 : 0) : breachCounts.get(rule);
     }
 
-    public int broken() {
-        int all = 0;
+    public int breachCount() {
+        int total = 0;
         for (Rule rule : Rule.values()) {
-            all += broken(rule);
+            total += breachCount(rule);
         }
-        return all;
+        return total;
     }
 
     /** The first breaches, one a line. */
-    public List<String> told() {
-        return told;
+    public List<String> breachMessages() {
+        return breachMessages;
     }
 
-    public long asked() {
-        return asked;
+    public long requestCount() {
+        return requestCount;
     }
 
-    public long served() {
-        return served;
+    public long servedCount() {
+        return servedCount;
     }
 
     public String verdict() {
         List<String> rules = new ArrayList<>();
         for (Rule rule : Rule.values()) {
-            rules.add(rule + " " + broken(rule));
+            rules.add(rule + " " + breachCount(rule));
         }
         return String.format(
                 Locale.ROOT,
                 "rules broken: %d (%s); served %d of %d (%.3f), in aim %.3f, p50 %.0f ms, "
                         + "p99 %.0f ms; turned away as full %d",
-                broken(),
+                breachCount(),
                 String.join(", ", rules),
-                served,
-                asked,
-                served / (double) Math.max(1, asked),
-                inTime / (double) Math.max(1, asked),
+                servedCount,
+                requestCount,
+                servedCount / (double) Math.max(1, requestCount),
+                servedInAim / (double) Math.max(1, requestCount),
                 latency.getValueAtPercentile(50) / 1e3,
                 latency.getValueAtPercentile(99) / 1e3,
-                full);
+                rejectedAsFull);
     }
 }
--- a/rig/src/main/java/saltdale/rig/platform/Platform.java
+++ b/rig/src/main/java/saltdale/rig/platform/Platform.java
@@ -20,8 +20,8 @@
     public interface Sockets {
         void listen(Instance instance);
 
-        /** It takes no connection more; requests that it works on go on. */
-        void cease(Instance instance);
+        /** It takes rejection connection more; requests that it works on go on. */
+        void stopAccepting(Instance instance);
 
         /** It is gone at once, with all that it works on. */
         void crash(Instance instance);
@@ -34,20 +34,20 @@
         }
     }
 
-    private static final int PAGE = 50;
-    private static final int LONGEST_NONCE = 64;
-    private static final Duration AFTER_DRAIN = Duration.ofMillis(500); // "and a little longer"
-    private static final Duration CRASH_NOTICED = Duration.ofSeconds(3);
+    private static final int PAGE_SIZE = 50;
+    private static final int MAX_NONCE_LENGTH = 64;
+    private static final Duration DRAIN_MARGIN = Duration.ofMillis(500); // "and a little longer"
+    private static final Duration CRASH_DETECTION_DELAY = Duration.ofSeconds(3);
 
-    private static final class Host {
-        final Site.Worker worker;
+    private static final class WorkerState {
+        final Deployment.Worker worker;
         boolean draining;
         boolean down;
-        int free;
+        int freeMemoryMb;
 
-        Host(Site.Worker worker) {
+        WorkerState(Deployment.Worker worker) {
             this.worker = worker;
-            free = worker.memoryMb();
+            freeMemoryMb = worker.memoryMb();
         }
 
         ObjectNode json() {
@@ -56,61 +56,61 @@
                     .put("name", worker.name())
                     .put("zone", worker.zone())
                     .put("memory_mb", worker.memoryMb())
-                    .put("free_memory_mb", free)
+                    .put("free_memory_mb", freeMemoryMb)
                     .put("state", draining ? "draining" : "ready");
         }
     }
 
-    private record Freed(String address, Duration at) {}
+    private record FreedAddress(String address, Duration at) {}
 
-    private final Site site;
+    private final Deployment deployment;
     private final Clock clock;
     private final Sockets sockets;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final Map<String, Service> services = new HashMap<>();
-    private final Map<String, Host> hosts = new LinkedHashMap<>();
-    private final Map<String, Instance> lives = new LinkedHashMap<>();
-    private final Map<String, Instance> nonces = new HashMap<>();
-    private final Map<String, Deque<Freed>> freed = new HashMap<>();
-    private final Map<String, Integer> places = new HashMap<>();
-    private final Lagged<Long, ObjectNode> runners;
-    private final Lagged<String, ObjectNode> workers;
-    private final Rate reads;
-    private final Rate duties;
-    private long highestFence = Long.MIN_VALUE;
+    private final Map<String, WorkerState> workerStates = new LinkedHashMap<>();
+    private final Map<String, Instance> instances = new LinkedHashMap<>();
+    private final Map<String, Instance> instancesByNonce = new HashMap<>();
+    private final Map<String, Deque<FreedAddress>> freedAddresses = new HashMap<>();
+    private final Map<String, Integer> lastAddressNumber = new HashMap<>();
+    private final DelayedMap<Long, ObjectNode> runners;
+    private final DelayedMap<String, ObjectNode> workers;
+    private final RateLimiter readLimiter;
+    private final RateLimiter dutyLimiter;
+    private long highestFenceNumber = Long.MIN_VALUE;
     private long sequence;
-    private long calls;
-    private long refused;
-    private long stops;
+    private long callCount;
+    private long overRateCount;
+    private long stopCount;
     private double memoryMbSeconds;
-    private final Map<Instance, Duration> paidFrom = new HashMap<>();
+    private final Map<Instance, Duration> memoryHeldSince = new HashMap<>();
 
-    public Platform(Site site, Clock clock, Sockets sockets, long seed) {
-        this.site = site;
+    public Platform(Deployment deployment, Clock clock, Sockets sockets, long seed) {
+        this.deployment = deployment;
         this.clock = clock;
         this.sockets = sockets;
-        chance = new SplittableRandom(seed);
-        site.services().forEach(service -> services.put(service.name(), service));
-        runners = new Lagged<>(site.lag());
-        workers = new Lagged<>(site.lag());
-        reads = new Rate(site.ratePerS());
-        duties = new Rate(site.dutyPerS());
-        site.workers().forEach(worker -> {
-            hosts.put(worker.name(), new Host(worker));
+        random = new SplittableRandom(seed);
+        deployment.services().forEach(service -> services.put(service.name(), service));
+        runners = new DelayedMap<>(deployment.listLag());
+        workers = new DelayedMap<>(deployment.listLag());
+        readLimiter = new RateLimiter(deployment.ratePerS());
+        dutyLimiter = new RateLimiter(deployment.dutyPerS());
+        deployment.workers().forEach(worker -> {
+            workerStates.put(worker.name(), new WorkerState(worker));
             // Long there when the day begins.
             workers.set(
-                    clock.now().minus(site.lag()),
+                    clock.now().minus(deployment.listLag()),
                     worker.name(),
-                    hosts.get(worker.name()).json());
-            freed.putIfAbsent(worker.zone(), new ArrayDeque<>());
+                    workerStates.get(worker.name()).json());
+            freedAddresses.putIfAbsent(worker.zone(), new ArrayDeque<>());
         });
     }
 
     /** {@code GET /runners}; zone and page may be null. */
     public Reply runners(String zone, String page) {
-        calls++;
-        if (!reads.take(clock.now())) {
-            return refuse();
+        callCount++;
+        if (!readLimiter.tryAcquire(clock.now())) {
+            return refuseOverRate();
         }
         Reply reply = Reply.of(200);
         ArrayNode list = reply.body.putArray("instances");
@@ -126,7 +126,7 @@
                 runners.at(clock.now()).tailMap(after + 1).entrySet()) {
             if (zone != null && !zone.equals(each.getValue().path("zone").asText())) {
                 continue;
-            } else if (list.size() == PAGE) {
+            } else if (list.size() == PAGE_SIZE) {
                 next = "p-" + last;
                 break;
             }
@@ -139,9 +139,9 @@
 
     /** {@code GET /workers}. */
     public Reply workers() {
-        calls++;
-        if (!reads.take(clock.now())) {
-            return refuse();
+        callCount++;
+        if (!readLimiter.tryAcquire(clock.now())) {
+            return refuseOverRate();
         }
         Reply reply = Reply.of(200);
         ArrayNode list = reply.body.putArray("worker_machines");
@@ -151,101 +151,112 @@
 
     /** {@code POST /begin}; {@code fence} may be null. */
     public Reply begin(Long fence, String serviceName, String worker, String nonce) {
-        calls++;
-        Reply no = duty(fence);
-        if (no != null) {
-            return no;
+        callCount++;
+        Reply rejection = dutyRejection(fence);
+        if (rejection != null) {
+            return rejection;
         }
         Service service = services.get(serviceName);
         // Nonces are of any text; the bound on their bytes is held for those of ASCII, as all that is sent here is.
-        if (service == null || worker == null || nonce == null || nonce.isEmpty() || nonce.length() > LONGEST_NONCE) {
+        if (service == null
+                || worker == null
+                || nonce == null
+                || nonce.isEmpty()
+                || nonce.length() > MAX_NONCE_LENGTH) {
             return Reply.of(400);
         }
         String key = serviceName + " " + nonce;
-        Instance before = nonces.get(key);
+        Instance before = instancesByNonce.get(key);
         if (before != null) {
-            return begun(before);
+            return beginReply(before);
         }
-        Host host = hosts.get(worker);
-        if (host == null || host.down || host.draining || host.free < service.memoryMb()) {
+        WorkerState workerState = workerStates.get(worker);
+        if (workerState == null
+                || workerState.down
+                || workerState.draining
+                || workerState.freeMemoryMb < service.memoryMb()) {
             return Reply.of(409);
         }
-        String address = place(host.worker.zone());
+        String address = allocateAddress(workerState.worker.zone());
         if (address == null) {
             return Reply.of(409);
         }
-        String identifier = String.format("i-%08x", (int) chance.nextLong());
-        Instance instance =
-                new Instance(this, sequence++, identifier, service, address, host.worker, chance.nextDouble(0.8, 1.25));
-        host.free -= service.memoryMb();
-        paidFrom.put(instance, clock.now());
-        lives.put(identifier, instance);
-        nonces.put(key, instance);
-        show(host);
-        clock.after(Duration.ofNanos((long) (service.boot().toNanos() * chance.nextDouble(0.7, 1.3))), () -> {
+        String identifier = String.format("i-%08x", (int) random.nextLong());
+        Instance instance = new Instance(
+                this, sequence++, identifier, service, address, workerState.worker, random.nextDouble(0.8, 1.25));
+        workerState.freeMemoryMb -= service.memoryMb();
+        memoryHeldSince.put(instance, clock.now());
+        instances.put(identifier, instance);
+        instancesByNonce.put(key, instance);
+        publish(workerState);
+        clock.schedule(Duration.ofNanos((long) (service.boot().toNanos() * random.nextDouble(0.7, 1.3))), () -> {
             if (instance.state() == State.BOOTING) {
                 instance.state(State.READY);
                 sockets.listen(instance);
-                show(instance);
-                if (host.draining) {
+                publish(instance);
+                if (workerState.draining) {
                     drain(instance);
                 }
             }
         });
-        return begun(instance);
+        return beginReply(instance);
     }
 
     /** {@code POST /stop}; {@code fence} may be null. */
     public Reply stop(Long fence, String identifier) {
-        calls++;
-        Reply no = duty(fence);
-        if (no != null) {
-            return no;
+        callCount++;
+        Reply rejection = dutyRejection(fence);
+        if (rejection != null) {
+            return rejection;
         }
-        Instance instance = lives.get(identifier);
+        Instance instance = instances.get(identifier);
         if (instance == null) {
             return Reply.of(404);
         }
-        stops++;
-        cease(instance);
+        stopCount++;
+        stopAccepting(instance);
         return Reply.of(200);
     }
 
     /** What forbids a start or stop; null for nothing. */
-    private Reply duty(Long fence) {
-        if (!duties.take(clock.now())) {
-            return refuse();
+    private Reply dutyRejection(Long fence) {
+        if (!dutyLimiter.tryAcquire(clock.now())) {
+            return refuseOverRate();
         }
         // The pages name the header X-Saltdale-Fence-Number and say nothing of what the platform does with it: that
-        // a number lower than one seen before is refused, with 409, is our reading. A call without it is taken.
+        // a number lower than one seen before is overRateCount, with 409, is our reading. A call without it is taken.
         if (fence != null) {
-            if (fence < highestFence) {
+            if (fence < highestFenceNumber) {
                 return Reply.of(409);
             }
-            highestFence = fence;
+            highestFenceNumber = fence;
         }
         return null;
     }
 
-    private Reply refuse() {
-        refused++;
+    private Reply refuseOverRate() {
+        overRateCount++;
         return Reply.of(429);
     }
 
-    private static Reply begun(Instance instance) {
+    private static Reply beginReply(Instance instance) {
         Reply reply = Reply.of(200);
         reply.body.put("identifier", instance.identifier).put("address", instance.address);
         return reply;
     }
 
-    /** An address: the one that has been free for longest, once it may be used again; null where there is none. */
-    private String place(String zone) {
-        Freed first = freed.get(zone).peek();
-        if (first != null && clock.now().minus(first.at).compareTo(site.bounds().addressReuse()) >= 0) {
-            return freed.get(zone).poll().address;
+    /** An address: the one that has been freeMemoryMb for longest, once it may be used again; null where there is none. */
+    private String allocateAddress(String zone) {
+        FreedAddress longestFree = freedAddresses.get(zone).peek();
+        if (longestFree != null
+                && clock.now()
+                                .minus(longestFree.at)
+                                .compareTo(deployment.bounds().addressReuse())
+                        >= 0) {
+            return freedAddresses.get(zone).poll().address;
         }
-        int place = places.merge(zone, 1, Integer::sum);
-        return place > 254 ? null : site.runner(zone, place);
+        int number = lastAddressNumber.merge(zone, 1, Integer::sum);
+        return number > 254 ? null : deployment.runnerAddress(zone, number);
     }
 
     // Lives.
@@ -253,88 +264,88 @@
     private void drain(Instance instance) {
         if (instance.state() == State.READY) {
             instance.state(State.DRAINING);
-            show(instance);
-            clock.after(site.bounds().drain().plus(AFTER_DRAIN), () -> cease(instance));
+            publish(instance);
+            clock.schedule(deployment.bounds().drain().plus(DRAIN_MARGIN), () -> stopAccepting(instance));
         }
     }
 
-    private void cease(Instance instance) {
-        State was = instance.state();
-        if (was == State.CEASED || was == State.ENDED) {
+    private void stopAccepting(Instance instance) {
+        State previous = instance.state();
+        if (previous == State.CEASED || previous == State.ENDED) {
             return;
         }
         instance.state(State.CEASED);
-        if (was != State.BOOTING) {
+        if (previous != State.BOOTING) {
             runners.set(clock.now(), instance.sequence, null);
-            sockets.cease(instance);
+            sockets.stopAccepting(instance);
         }
-        idle(instance);
+        endIfIdle(instance);
     }
 
     /** It may have done its last request. */
-    void idle(Instance instance) {
-        if (instance.state() == State.CEASED && instance.atWork() == 0) {
+    void endIfIdle(Instance instance) {
+        if (instance.state() == State.CEASED && instance.activeRequests() == 0) {
             end(instance);
         }
     }
 
     private void end(Instance instance) {
         instance.state(State.ENDED);
-        memoryMbSeconds += paid(instance);
-        paidFrom.remove(instance);
-        Host host = hosts.get(instance.worker.name());
-        host.free += instance.service.memoryMb();
-        show(host);
-        freed.get(instance.worker.zone()).add(new Freed(instance.address, clock.now()));
+        memoryMbSeconds += memoryMbSecondsOf(instance);
+        memoryHeldSince.remove(instance);
+        WorkerState workerState = workerStates.get(instance.worker.name());
+        workerState.freeMemoryMb += instance.service.memoryMb();
+        publish(workerState);
+        freedAddresses.get(instance.worker.zone()).add(new FreedAddress(instance.address, clock.now()));
     }
 
-    private double paid(Instance instance) {
-        return clock.now().minus(paidFrom.get(instance)).toMillis() / 1e3 * instance.service.memoryMb();
+    private double memoryMbSecondsOf(Instance instance) {
+        return clock.now().minus(memoryHeldSince.get(instance)).toMillis() / 1e3 * instance.service.memoryMb();
     }
 
     /** A worker is emptied: its runners leave in order, and it takes none until {@link #restore}. */
     public void drain(String worker) {
-        Host host = hosts.get(worker);
-        host.draining = true;
-        show(host);
-        of(worker).forEach(this::drain);
+        WorkerState workerState = workerStates.get(worker);
+        workerState.draining = true;
+        publish(workerState);
+        instancesOn(worker).forEach(this::drain);
     }
 
     /** A worker crashes with all its runners, and comes back empty. */
     public void crash(String worker, Duration downFor) {
-        Host host = hosts.get(worker);
-        host.down = true;
-        show(host);
-        for (Instance instance : of(worker)) {
+        WorkerState workerState = workerStates.get(worker);
+        workerState.down = true;
+        publish(workerState);
+        for (Instance instance : instancesOn(worker)) {
             if (instance.state() != State.BOOTING && instance.state() != State.CEASED) {
                 // Guards against a list that tells of a crash at once: it stays there for some seconds.
-                clock.after(CRASH_NOTICED, () -> runners.set(clock.now(), instance.sequence, null));
+                clock.schedule(CRASH_DETECTION_DELAY, () -> runners.set(clock.now(), instance.sequence, null));
             }
             instance.state(State.ENDED);
             sockets.crash(instance);
             end(instance);
         }
-        clock.after(downFor, () -> restore(worker));
+        clock.schedule(downFor, () -> restore(worker));
     }
 
     public void restore(String worker) {
-        Host host = hosts.get(worker);
-        host.down = false;
-        host.draining = false;
-        show(host);
+        WorkerState workerState = workerStates.get(worker);
+        workerState.down = false;
+        workerState.draining = false;
+        publish(workerState);
     }
 
-    private List<Instance> of(String worker) {
-        return lives.values().stream()
+    private List<Instance> instancesOn(String worker) {
+        return instances.values().stream()
                 .filter(each -> each.worker.name().equals(worker) && each.state() != State.ENDED)
                 .toList();
     }
 
-    private void show(Host host) {
-        workers.set(clock.now(), host.worker.name(), host.down ? null : host.json());
+    private void publish(WorkerState workerState) {
+        workers.set(clock.now(), workerState.worker.name(), workerState.down ? null : workerState.json());
     }
 
-    private void show(Instance instance) {
+    private void publish(Instance instance) {
         runners.set(
                 clock.now(),
                 instance.sequence,
@@ -351,20 +362,22 @@
                         .put("worker_machine", instance.worker.name()));
     }
 
-    // What was seen.
+    // What previous seen.
 
-    public List<Instance> alive() {
-        return new ArrayList<>(lives.values().stream()
+    public List<Instance> liveInstances() {
+        return new ArrayList<>(instances.values().stream()
                 .filter(each -> each.state() != State.ENDED)
                 .toList());
     }
 
     /** Calls, refusals, starts, stops and memory, in one line. */
-    public String figures() {
+    public String summary() {
         double memory = memoryMbSeconds
-                + paidFrom.keySet().stream().mapToDouble(this::paid).sum();
+                + memoryHeldSince.keySet().stream()
+                        .mapToDouble(this::memoryMbSecondsOf)
+                        .sum();
         return String.format(
                 "platform calls %d (429: %d), starts %d, stops %d, memory %.1f GB s",
-                calls, refused, sequence, stops, memory / 1024);
+                callCount, overRateCount, sequence, stopCount, memory / 1024);
     }
 }
--- a/rig/src/main/java/saltdale/rig/platform/Rate.java
+++ b/rig/src/main/java/saltdale/rig/platform/RateLimiter.java
@@ -5,24 +5,24 @@
 import java.util.Deque;
 
 /** Lets so many calls through in any second. */
-final class Rate {
+final class RateLimiter {
     private static final Duration SECOND = Duration.ofSeconds(1);
 
     private final double perSecond;
-    private final Deque<Duration> taken = new ArrayDeque<>();
+    private final Deque<Duration> grantedAt = new ArrayDeque<>();
 
-    Rate(double perSecond) {
+    RateLimiter(double perSecond) {
         this.perSecond = perSecond;
     }
 
-    boolean take(Duration now) {
-        while (!taken.isEmpty() && now.minus(taken.peek()).compareTo(SECOND) >= 0) {
-            taken.poll();
+    boolean tryAcquire(Duration now) {
+        while (!grantedAt.isEmpty() && now.minus(grantedAt.peek()).compareTo(SECOND) >= 0) {
+            grantedAt.poll();
         }
-        if (taken.size() + 1 > perSecond) {
+        if (grantedAt.size() + 1 > perSecond) {
             return false;
         }
-        taken.add(now);
+        grantedAt.add(now);
         return true;
     }
 }
--- a/rig/src/main/java/saltdale/rig/platform/live/PlainHttp.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/BlockingHttp.java
@@ -10,13 +10,13 @@
 import java.time.Duration;
 
 /** One HTTP call on a connection of its own, waited for; for the soak, which needs no more. */
-final class PlainHttp {
+final class BlockingHttp {
     /** What came; {@code status} is 0 where no whole answer came in time. */
     record Answer(int status, String body) {
         static final Answer NONE = new Answer(0, "");
     }
 
-    private PlainHttp() {}
+    private BlockingHttp() {}
 
     /** {@code headers}: whole lines. */
     static Answer call(String ip, int port, String method, String path, String headers, String body, Duration limit) {
@@ -28,7 +28,7 @@
             socket.connect(new InetSocketAddress(ip, port), (int) limit.toMillis());
             socket.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
             socket.getOutputStream().write(bytes);
-            return parsed(readAll(socket, end));
+            return parse(readAll(socket, end));
         } catch (IOException e) {
             return Answer.NONE;
         }
@@ -36,23 +36,23 @@
 
     private static String readAll(Socket socket, long end) throws IOException {
         InputStream in = socket.getInputStream();
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        byte[] part = new byte[8192];
+        ByteArrayOutputStream received = new ByteArrayOutputStream();
+        byte[] buffer = new byte[8192];
         while (true) {
-            long left = (end - System.nanoTime()) / 1_000_000;
-            if (left <= 0) {
+            long remainingMillis = (end - System.nanoTime()) / 1_000_000;
+            if (remainingMillis <= 0) {
                 throw new SocketTimeoutException("no whole answer in time");
             }
-            socket.setSoTimeout((int) left);
-            int count = in.read(part);
+            socket.setSoTimeout((int) remainingMillis);
+            int count = in.read(buffer);
             if (count < 0) {
-                return all.toString(StandardCharsets.UTF_8);
+                return received.toString(StandardCharsets.UTF_8);
             }
-            all.write(part, 0, count);
+            received.write(buffer, 0, count);
         }
     }
 
-    private static Answer parsed(String text) {
+    private static Answer parse(String text) {
         int end = text.indexOf("\r\n\r\n");
         if (end < 0 || !text.startsWith("HTTP/1.1 ")) {
             return Answer.NONE;
--- a/rig/src/main/java/saltdale/rig/platform/live/Callers.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/ClientLoad.java
@@ -13,86 +13,87 @@
 import java.util.SplittableRandom;
 import saltdale.protocol.Head;
 import saltdale.protocol.HttpParser;
+import saltdale.rig.platform.Deployment;
 import saltdale.rig.platform.EntryPoint;
 import saltdale.rig.platform.Judge;
 import saltdale.rig.platform.Machine;
-import saltdale.rig.platform.Retrying;
+import saltdale.rig.platform.RetryPolicy;
 import saltdale.rig.platform.Route;
-import saltdale.rig.platform.Site;
 import saltdale.rig.standin.LoopThread;
 import saltdale.rig.standin.Origin;
 import saltdale.transport.Address;
 import saltdale.transport.Connection;
 import saltdale.transport.Timer;
 
-/** Clients: an open loop of requests to the fronts, and the probes that say which front is in. Used on the loop. */
-final class Callers {
+/** Clients: an openRequests loop of requests to the fronts, and the probes that say which front is in. Used on the loop. */
+final class ClientLoad {
     private static final Duration CONNECT_LIMIT = Duration.ofSeconds(1);
-    private static final Duration PROBE_EVERY = Duration.ofSeconds(1);
+    private static final Duration PROBE_INTERVAL = Duration.ofSeconds(1);
     private static final Duration IDLE_LIMIT = Duration.ofSeconds(4);
     private static final int CLIENTS = 100;
-    private static final double KEEP = 0.8; // of the tries come on a kept connection, where there is one
-    private static final double CHUNKED = 0.25; // of the bodies
+    private static final double REUSE_SHARE =
+            0.8; // of the tries come on a idleConnections connection, where there is one
+    private static final double CHUNKED_SHARE = 0.25; // of the bodies
 
     private final LoopThread loopThread;
     private final Origin origin;
     private final Judge judge;
     private final EntryPoint entry;
-    private final SplittableRandom chance;
-    private final Map<Machine, Deque<Kept>> kept = new HashMap<>();
+    private final SplittableRandom random;
+    private final Map<Machine, Deque<IdleConnection>> idleConnections = new HashMap<>();
     private final Map<Machine, Duration> readyAt = new HashMap<>();
     private List<Route> routes;
     private double perSecond;
     private boolean sending;
-    private long number;
-    private long open;
+    private long nextNumber;
+    private long openRequests;
 
-    Callers(LoopThread loopThread, Origin origin, Site site, Judge judge, long seed) {
+    ClientLoad(LoopThread loopThread, Origin origin, Deployment deployment, Judge judge, long seed) {
         this.loopThread = loopThread;
         this.origin = origin;
         this.judge = judge;
-        routes = site.routes();
-        chance = new SplittableRandom(seed);
-        entry = new EntryPoint(site.proxies());
-        for (Machine proxy : site.proxies()) {
-            kept.put(proxy, new ArrayDeque<>());
+        routes = deployment.routes();
+        random = new SplittableRandom(seed);
+        entry = new EntryPoint(deployment.proxies());
+        for (Machine proxy : deployment.proxies()) {
+            idleConnections.put(proxy, new ArrayDeque<>());
             probe(proxy);
         }
     }
 
-    boolean isIn(Machine proxy) {
-        return entry.isIn(proxy);
+    boolean isInRotation(Machine proxy) {
+        return entry.isInRotation(proxy);
     }
 
-    /** Whether it has called itself ready since then. */
-    boolean isReadySince(Machine proxy, Duration then) {
-        return readyAt.getOrDefault(proxy, Duration.ZERO).compareTo(then) > 0;
+    /** Whether it has called itself ready since since. */
+    boolean isReadySince(Machine proxy, Duration since) {
+        return readyAt.getOrDefault(proxy, Duration.ZERO).compareTo(since) > 0;
     }
 
-    long open() {
-        return open;
+    long openRequests() {
+        return openRequests;
     }
 
     private void probe(Machine proxy) {
         HttpCall.send(
                 loopThread,
-                Address.parse(proxy.at(Machine.READINESS)),
+                Address.parse(proxy.at(Machine.READINESS_PORT)),
                 "GET",
                 "/readiness",
                 "",
                 new byte[0],
-                PROBE_EVERY,
+                PROBE_INTERVAL,
                 answer -> {
                     boolean ready = answer != null && answer.status() == 200;
-                    entry.probed(proxy, ready);
+                    entry.recordProbe(proxy, ready);
                     if (ready) {
                         readyAt.put(proxy, origin.now());
                     }
                 });
-        loopThread.loop.schedule(PROBE_EVERY, () -> probe(proxy));
+        loopThread.loop.schedule(PROBE_INTERVAL, () -> probe(proxy));
     }
 
-    void begin(double rate) {
+    void start(double rate) {
         perSecond = rate;
         sending = true;
         next(origin.now());
@@ -103,16 +104,16 @@
     }
 
     /** What is called from now on. */
-    void routes(List<Route> those) {
-        routes = those;
+    void routes(List<Route> newRoutes) {
+        routes = newRoutes;
     }
 
     /** Guards against a load that falls behind: a call's time is fixed by the one before, not by its sending. */
     private void next(Duration before) {
-        Duration at = before.plusNanos((long) (-Math.log(1 - chance.nextDouble()) / perSecond * 1e9));
+        Duration at = before.plusNanos((long) (-Math.log(1 - random.nextDouble()) / perSecond * 1e9));
         loopThread.loop.schedule(at.minus(origin.now()), () -> {
             if (sending) {
-                new Customer(draw(), at).sendTry();
+                new ClientRequest(draw(), at).sendTry();
                 next(at);
             }
         });
@@ -120,7 +121,7 @@
 
     private Route draw() {
         double drawn =
-                chance.nextDouble() * routes.stream().mapToDouble(Route::share).sum();
+                random.nextDouble() * routes.stream().mapToDouble(Route::share).sum();
         for (Route route : routes) {
             drawn -= route.share();
             if (drawn < 0) {
@@ -130,19 +131,19 @@
         return routes.get(0);
     }
 
-    /** One thing that a client wants, over all its tries. */
-    private final class Customer {
+    /** One thing that a client wants, end all its tries. */
+    private final class ClientRequest {
         final Route route;
         final Duration firstAt;
-        private final String zone = Site.ZONES.get(chance.nextInt(Site.ZONES.size()));
-        private final int hash = chance.nextInt(CLIENTS);
-        private final long wanted = number++;
+        private final String zone = Deployment.ZONES.get(random.nextInt(Deployment.ZONES.size()));
+        private final int hash = random.nextInt(CLIENTS);
+        private final long requestNumber = nextNumber++;
         private int tries;
 
-        Customer(Route route, Duration at) {
+        ClientRequest(Route route, Duration at) {
             this.route = route;
             firstAt = at;
-            open++;
+            openRequests++;
         }
 
         Duration remaining() {
@@ -150,40 +151,40 @@
         }
 
         void sendTry() {
-            new Try(this, entry.choose(zone, hash, tries), tries++ > 0).send(wanted);
+            new Try(this, entry.choose(zone, hash, tries), tries++ > 0).send(requestNumber);
         }
 
         /** {@code status}: 0 where no answer came. */
-        void over(int status, boolean unread, Duration retryAfter) {
+        void end(int status, boolean notSent, Duration retryAfter) {
             Duration remaining = remaining();
-            Duration wait = remaining.isNegative()
+            Duration delay = remaining.isNegative()
                     ? null
-                    : Retrying.next(route.idempotent(), tries, status, unread, retryAfter, remaining);
-            if (wait != null) {
-                loopThread.loop.schedule(wait, this::sendTry);
+                    : RetryPolicy.delayBeforeNextTry(route.idempotent(), tries, status, notSent, retryAfter, remaining);
+            if (delay != null) {
+                loopThread.loop.schedule(delay, this::sendTry);
             } else {
-                open--;
-                judge.over(route, origin.now().minus(firstAt), status);
+                openRequests--;
+                judge.recordRequestEnded(route, origin.now().minus(firstAt), status);
             }
         }
     }
 
     /** A connection between two requests. */
-    private final class Kept implements Connection.Handler {
+    private final class IdleConnection implements Connection.Handler {
         private final Machine machine;
         private final Connection connection;
-        private final Timer limit;
+        private final Timer timeout;
 
-        Kept(Machine machine, Connection connection, Duration rest) {
+        IdleConnection(Machine machine, Connection connection, Duration idleLimit) {
             this.machine = machine;
             this.connection = connection;
             connection.setHandler(this);
-            limit = loopThread.loop.schedule(rest, this::drop);
-            kept.get(machine).addFirst(this);
+            timeout = loopThread.loop.schedule(idleLimit, this::drop);
+            idleConnections.get(machine).addFirst(this);
         }
 
         Connection take(Connection.Handler next) {
-            limit.cancel();
+            timeout.cancel();
             connection.setHandler(next);
             return connection;
         }
@@ -195,60 +196,63 @@
 
         @Override
         public void received(ByteBuffer bytes) {
-            judge.garbage(origin.now(), null);
+            judge.recordMalformedAnswer(origin.now(), null);
             drop();
         }
 
         @Override
         public void disconnected(String cause) {
-            limit.cancel();
-            kept.get(machine).remove(this);
+            timeout.cancel();
+            idleConnections.get(machine).remove(this);
         }
     }
 
     /** One request and its answer. */
     private final class Try implements Connection.Handler {
-        private final Customer customer;
+        private final ClientRequest clientRequest;
         private final Machine machine;
-        private final boolean fresh;
-        private final String id = String.format("%016x", chance.nextLong());
+        private final boolean forceNewConnection;
+        private final String id = String.format("%016x", random.nextLong());
         private final HttpParser parser = new HttpParser(HttpParser.Kind.ANSWER);
         private Connection connection;
-        private Timer limit;
+        private Timer timeout;
 
-        Try(Customer customer, Machine machine, boolean fresh) {
-            this.customer = customer;
+        Try(ClientRequest clientRequest, Machine machine, boolean forceNewConnection) {
+            this.clientRequest = clientRequest;
             this.machine = machine;
-            this.fresh = fresh;
+            this.forceNewConnection = forceNewConnection;
         }
 
-        void send(long wanted) {
-            InetSocketAddress at = Address.parse(machine.at(Machine.FRONT));
-            Kept rested = fresh || chance.nextDouble() > KEEP
+        void send(long requestNumber) {
+            InetSocketAddress at = Address.parse(machine.at(Machine.FRONT_PORT));
+            IdleConnection idle = forceNewConnection || random.nextDouble() > REUSE_SHARE
                     ? null
-                    : kept.get(machine).poll();
-            connection = rested != null
-                    ? rested.take(this)
+                    : idleConnections.get(machine).poll();
+            connection = idle != null
+                    ? idle.take(this)
                     : Connection.connect(loopThread.loop, loopThread.sockets, at, CONNECT_LIMIT, this);
             if (connection == null) {
-                loopThread.loop.defer(() -> customer.over(0, true, null));
+                loopThread.loop.defer(() -> clientRequest.end(0, true, null));
                 return;
             }
-            Route route = customer.route;
-            boolean post = !route.idempotent() || wanted % 2 == 0;
-            String target = route.pathPrefix() + Long.toHexString(wanted) + (wanted % 3 == 0 ? "?of=" + wanted : "");
-            String body = post ? "wanted-" + wanted : "";
+            Route route = clientRequest.route;
+            boolean post = !route.idempotent() || requestNumber % 2 == 0;
+            String target = route.pathPrefix()
+                    + Long.toHexString(requestNumber)
+                    + (requestNumber % 3 == 0 ? "?of=" + requestNumber : "");
+            String body = post ? "wanted-" + requestNumber : "";
             String method = post ? "POST" : "GET";
-            judge.sent(origin.now(), id, route, method + " " + target + " " + body, machine.name());
-            Duration remaining = customer.remaining();
+            judge.recordTrySent(origin.now(), id, route, method + " " + target + " " + body, machine.name());
+            Duration remaining = clientRequest.remaining();
             connection.beginMessage();
             connection.send(ByteBuffer.wrap((method + " " + target + " HTTP/1.1\r\nHost: " + route.hostname()
                             + "\r\nX-Saltdale-Attempt-Id: " + id + "\r\nX-Saltdale-Deadline-Remaining: "
-                            + Math.max(1, remaining.toMillis()) + "\r\n" + framed(body, chance.nextDouble() < CHUNKED))
+                            + Math.max(1, remaining.toMillis()) + "\r\n"
+                            + bodySection(body, random.nextDouble() < CHUNKED_SHARE))
                     .getBytes(StandardCharsets.US_ASCII)));
-            limit = loopThread.loop.schedule(remaining, () -> {
+            timeout = loopThread.loop.schedule(remaining, () -> {
                 connection.close();
-                customer.over(0, false, null);
+                clientRequest.end(0, false, null);
             });
         }
 
@@ -256,35 +260,35 @@
         public void received(ByteBuffer bytes) {
             parser.parse(bytes);
             if (parser.isMalformed()) {
-                judge.garbage(origin.now(), id);
+                judge.recordMalformedAnswer(origin.now(), id);
                 connection.close();
                 disconnected("no answer that can be read");
             } else if (parser.isComplete()) {
-                boolean more = bytes.hasRemaining();
-                if (more) {
-                    judge.garbage(origin.now(), null);
+                boolean surplusBytes = bytes.hasRemaining();
+                if (surplusBytes) {
+                    judge.recordMalformedAnswer(origin.now(), null);
                 }
-                answered(more);
+                answered(surplusBytes);
             }
         }
 
-        private void answered(boolean more) {
-            limit.cancel();
+        private void answered(boolean surplusBytes) {
+            timeout.cancel();
             Head head = parser.head();
-            Duration rest = rest(head);
-            if (more || rest == null) {
+            Duration idleLimit = idleLimit(head);
+            if (surplusBytes || idleLimit == null) {
                 connection.close();
             } else {
-                new Kept(machine, connection, rest);
+                new IdleConnection(machine, connection, idleLimit);
             }
-            judge.answered(
+            judge.recordAnswer(
                     origin.now(),
                     id,
                     head.status(),
                     head.header("X-Saltdale-Runner-Seal"),
                     head.header("X-Saltdale-Attempt-Id"),
                     parser.body());
-            customer.over(head.status(), false, seconds(head.header("Retry-After")));
+            clientRequest.end(head.status(), false, parseSeconds(head.header("Retry-After")));
         }
 
         @Override
@@ -294,35 +298,36 @@
                 answered(true);
                 return;
             }
-            limit.cancel();
-            customer.over(0, connection.sendProgress().isIncomplete(), null);
+            timeout.cancel();
+            clientRequest.end(0, connection.sendProgress().isIncomplete(), null);
         }
     }
 
-    /** How long a connection may rest after this answer; null where it is to be closed. */
-    private static Duration rest(Head head) {
+    /** How long a connection may idleLimit after this answer; null where it is to be closed. */
+    private static Duration idleLimit(Head head) {
         if (!head.keepsAlive()) {
             return null;
         }
         String text = head.header("Keep-Alive");
         for (String part : text == null ? new String[0] : text.split(",")) {
             if (part.strip().matches("timeout=\\d{1,6}")) {
-                Duration told = Duration.ofSeconds(Long.parseLong(part.strip().substring("timeout=".length())))
+                Duration keepAlive = Duration.ofSeconds(
+                                Long.parseLong(part.strip().substring("timeout=".length())))
                         .minusMillis(500);
-                return told.isNegative() ? null : told.compareTo(IDLE_LIMIT) < 0 ? told : IDLE_LIMIT;
+                return keepAlive.isNegative() ? null : keepAlive.compareTo(IDLE_LIMIT) < 0 ? keepAlive : IDLE_LIMIT;
             }
         }
         return IDLE_LIMIT;
     }
 
-    private static Duration seconds(String text) {
+    private static Duration parseSeconds(String text) {
         return text != null && text.matches("\\d{1,6}(\\.\\d{1,9})?")
                 ? Duration.ofNanos((long) (Double.parseDouble(text) * 1e9))
                 : null;
     }
 
-    /** The rest of a request: how its body is framed, and the body. */
-    private static String framed(String body, boolean chunked) {
+    /** The idleLimit of a request: how its body is bodySection, and the body. */
+    private static String bodySection(String body, boolean chunked) {
         if (body.isEmpty()) {
             return "\r\n";
         } else if (!chunked) {
--- /dev/null
+++ b/rig/src/main/java/saltdale/rig/platform/live/EndToEndRun.java
@@ -0,0 +1,293 @@
+package saltdale.rig.platform.live;
+
+import com.fasterxml.jackson.databind.JsonNode;
+import com.fasterxml.jackson.databind.ObjectMapper;
+import com.fasterxml.jackson.databind.node.ObjectNode;
+import java.io.IOException;
+import java.io.PrintStream;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Locale;
+import java.util.Set;
+import java.util.function.BooleanSupplier;
+import saltdale.rig.platform.Deployment;
+import saltdale.rig.platform.Judge;
+import saltdale.rig.platform.Machine;
+import saltdale.rig.platform.Route;
+
+/** Plays a short scenario with real processes: a proxy is killed, the configuration amended, all judged from outside. */
+public final class EndToEndRun {
+    /** What a scenario holds beside the kill of a proxy. */
+    public record Scenario(int seconds, double rate, boolean drainWorker, boolean crashWorker) {}
+
+    private static final ObjectMapper JSON = new ObjectMapper();
+    private static final Duration STARTUP_LIMIT = Duration.ofSeconds(12);
+    private static final Duration RESTART_DELAY = Duration.ofMillis(500);
+    private static final Duration WORKER_DOWNTIME = Duration.ofSeconds(3);
+    private static final Duration READ_BACK_LIMIT = Duration.ofSeconds(2);
+    private static final Duration MAX_LOOP_DELAY = Duration.ofMillis(50);
+    private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
+    private static final int FIRST_REVISION = 1;
+    private static final int SECOND_REVISION = 3; // versions rise by uneven steps
+
+    private final PlatformStandIn standIn;
+    private final Deployment deployment;
+    private final NodeProcesses processes;
+    private final PrintStream out;
+    private final Operator operator;
+    private final List<String> failures = new ArrayList<>();
+    private ClientLoad clients;
+    private volatile boolean acknowledged;
+    private volatile JsonNode readBack;
+
+    private EndToEndRun(PlatformStandIn standIn, NodeProcesses processes, PrintStream out) {
+        this.standIn = standIn;
+        this.deployment = standIn.deployment;
+        this.processes = processes;
+        this.out = out;
+        operator = new Operator(standIn.loopThread, deployment);
+    }
+
+    /** Plays it and prints the verdict in one line; returns whether nothing failed. */
+    public static boolean run(
+            Deployment deployment,
+            Scenario scenario,
+            Path jar,
+            Path folder,
+            RunnerFaults faults,
+            long seed,
+            PrintStream out)
+            throws IOException, InterruptedException {
+        try (PlatformStandIn standIn = new PlatformStandIn(deployment, faults, seed, folder.resolve("platform.log"));
+                NodeProcesses processes = new NodeProcesses(deployment, jar, folder)) {
+            return new EndToEndRun(standIn, processes, out).run(scenario, seed);
+        }
+    }
+
+    private boolean run(Scenario scenario, long seed) throws IOException, InterruptedException {
+        processes.startAll();
+        runOnLoop(() ->
+                clients = new ClientLoad(standIn.loopThread, standIn.origin, deployment, standIn.judge, seed + 1));
+        change("Replace", 0, deployment.replacement(FIRST_REVISION), deployment.routes());
+        boolean cameUp = waitUntil(
+                STARTUP_LIMIT,
+                () -> acknowledged && deployment.proxies().stream().allMatch(clients::isInRotation));
+        report("configuration " + (acknowledged ? "acknowledged" : "NOT acknowledged") + ", proxies ready "
+                + deployment.proxies().stream().filter(clients::isInRotation).count() + " of "
+                + deployment.proxies().size());
+        if (cameUp) {
+            runTraffic(scenario);
+            readBack();
+        } else {
+            failures.add("did not come up");
+            deployment
+                    .machines()
+                    .forEach(machine -> out.println("  " + machine.name() + ": " + processes.lastLine(machine)));
+        }
+        processes
+                .exitStatuses()
+                .forEach((machine, status) -> failures.add(
+                        machine.name() + " ended by itself with " + status + ": " + processes.lastLine(machine)));
+        processes
+                .terminateAll(deployment.bounds().grace())
+                .forEach(machine -> failures.add(machine.name() + " did not end within "
+                        + deployment.bounds().grace().toSeconds() + " s of SIGTERM"));
+        return verdict();
+    }
+
+    private void runTraffic(Scenario scenario) throws IOException, InterruptedException {
+        Duration from = now();
+        Judge judge = standIn.judge;
+        Machine killedProxy = deployment.proxies().get(deployment.proxies().size() - 1);
+        runOnLoop(() -> clients.start(scenario.rate));
+        sleepUntil(from, scenario, 0.2);
+        report("killing " + killedProxy.name());
+        runOnLoop(() -> judge.beginDisturbance(killedProxy.name(), now().plus(STARTUP_LIMIT)));
+        processes.kill(killedProxy);
+        Duration killed = now();
+        Thread.sleep(RESTART_DELAY.toMillis());
+        processes.restart(killedProxy);
+        boolean cameBack = waitUntil(STARTUP_LIMIT, () -> clients.isReadySince(killedProxy, killed));
+        runOnLoop(() -> judge.endDisturbance(killedProxy.name(), now()));
+        report(killedProxy.name()
+                + (cameBack
+                        ? String.format(
+                                Locale.ROOT,
+                                " ready again after %.1f s",
+                                now().minus(killed).toMillis() / 1e3)
+                        : " did not come back"));
+        if (!cameBack) {
+            failures.add(killedProxy.name() + " did not come back: " + processes.lastLine(killedProxy));
+        }
+        sleepUntil(from, scenario, 0.4);
+        amend();
+        sleepUntil(from, scenario, 0.5);
+        if (!standIn.faults.isEmpty()) {
+            runOnLoop(() -> {
+                standIn.faults.setEnabled(true);
+                judge.beginDisturbance(null, from.plusSeconds(scenario.seconds));
+            });
+        }
+        if (scenario.drainWorker) {
+            runOnLoop(() -> standIn.platform.drain(deployment.workers().get(0).name()));
+            report("draining worker " + deployment.workers().get(0).name());
+        }
+        if (scenario.crashWorker) {
+            String worker =
+                    deployment.workers().get(deployment.workers().size() - 1).name();
+            runOnLoop(() -> {
+                judge.beginDisturbance(null, now().plus(WORKER_DOWNTIME));
+                standIn.platform.crash(worker, WORKER_DOWNTIME);
+            });
+            report("worker " + worker + " crashes");
+        }
+        sleepUntil(from, scenario, 1);
+        runOnLoop(clients::end);
+        long longest = deployment.routes().stream()
+                .mapToLong(route -> route.deadline().toMillis())
+                .max()
+                .orElse(0);
+        waitUntil(Duration.ofMillis(longest + 500), () -> clients.openRequests() == 0);
+    }
+
+    private void amend() {
+        change("Amend", FIRST_REVISION, deployment.amendment(SECOND_REVISION), deployment.amendedRoutes());
+        if (!waitUntil(Duration.ofSeconds(5), () -> acknowledged)) {
+            failures.add("the amendment was not acknowledged within 5 s");
+        }
+        report("amendment " + (acknowledged ? "acknowledged" : "NOT acknowledged"));
+        standIn.loopThread.loop.execute(() -> standIn.loopThread.loop.schedule(
+                deployment.bounds().configApply(), () -> clients.routes(deployment.amendedRoutes())));
+    }
+
+    /** Sends a change; {@link #acknowledged} once it is acknowledged. */
+    private void change(String call, int basedOn, ObjectNode body, List<Route> routes) {
+        acknowledged = false;
+        Judge judge = standIn.judge;
+        runOnLoop(() -> {
+            int version = judge.recordChangeSent(routes);
+            operator.change(call, basedOn, body, answer -> {
+                if (answer.status() == 200) {
+                    judge.recordChangeAcknowledged(standIn.origin.now(), version);
+                    acknowledged = true;
+                } else {
+                    failures.add("Configuration." + call + " was answered " + answer.status());
+                }
+            });
+        });
+    }
+
+    private void readBack() {
+        runOnLoop(() -> operator.read(answer -> {
+            try {
+                readBack = answer.status() == 200 ? JSON.readTree(answer.body()) : null;
+            } catch (IOException e) {
+                failures.add("what is read back is no JSON");
+            }
+        }));
+        waitUntil(READ_BACK_LIMIT, () -> readBack != null);
+        JsonNode expected = deployment.configuration(SECOND_REVISION, deployment.amendedRoutes());
+        String difference = readBack == null ? "does not come" : difference(expected, readBack);
+        if (acknowledged && difference != null) {
+            runOnLoop(() -> standIn.judge.recordReadBackMismatch(now(), "the configuration read back " + difference));
+        }
+    }
+
+    /** What difference between two configurations, whatever the order of their items; null for nothing. */
+    static String difference(JsonNode expected, JsonNode read) {
+        for (String part : List.of("revision", "limits")) {
+            if (!expected.path(part).toString().equals(read.path(part).toString())
+                    && !isSameJson(expected.path(part), read.path(part))) {
+                return "has another " + part + ": " + read.path(part);
+            }
+        }
+        for (String part : List.of("routes", "services")) {
+            Set<String> extraNames = new HashSet<>();
+            read.path(part).forEach(item -> extraNames.add(item.path("name").asText()));
+            for (JsonNode item : expected.path(part)) {
+                JsonNode other = null;
+                for (JsonNode each : read.path(part)) {
+                    other = each.path("name").equals(item.path("name")) ? each : other;
+                }
+                if (other == null || !isSameJson(item, other)) {
+                    return "has other " + part + ": " + (other == null ? "no " + item.path("name") : other);
+                }
+                extraNames.remove(item.path("name").asText());
+            }
+            if (!extraNames.isEmpty()) {
+                return "has more " + part + ": " + extraNames;
+            }
+        }
+        return null;
+    }
+
+    private static boolean isSameJson(JsonNode one, JsonNode other) {
+        try {
+            return JSON.readTree(one.toString()).equals(JSON.readTree(other.toString()));
+        } catch (IOException e) {
+            return false;
+        }
+    }
+
+    private boolean verdict() {
+        boolean[] passed = new boolean[1];
+        runOnLoop(() -> {
+            Judge judge = standIn.judge;
+            judge.breachMessages().forEach(line -> out.println("  " + line));
+            failures.forEach(line -> out.println("  failed: " + line));
+            if (!judge.unservedByService().isEmpty()) {
+                out.println("  not served, by how the last try ended: " + judge.unservedByService());
+            }
+            Duration loopDelay = standIn.loopThread.mostLate();
+            if (loopDelay.compareTo(MAX_LOOP_DELAY) > 0) {
+                out.println("  the rig itself was up to " + loopDelay.toMillis()
+                        + " ms late: times are this machine's own");
+            }
+            passed[0] = failures.isEmpty() && judge.breachCount() == 0 && judge.servedCount() > 0;
+            out.println((passed[0] ? "passed: " : "FAILED: ") + judge.verdict() + "; " + standIn.platform.summary());
+        });
+        return passed[0];
+    }
+
+    private Duration now() {
+        return standIn.origin.now();
+    }
+
+    private void runOnLoop(Runnable action) {
+        standIn.loopThread.inside(action);
+    }
+
+    private void report(String message) {
+        out.printf(Locale.ROOT, "%5.1f s  %s%n", now().toMillis() / 1e3, message);
+    }
+
+    private void sleepUntil(Duration from, Scenario scenario, double share) throws InterruptedException {
+        Duration extraNames =
+                from.plusMillis((long) (share * scenario.seconds * 1000)).minus(now());
+        if (!extraNames.isNegative()) {
+            Thread.sleep(extraNames.toMillis());
+        }
+    }
+
+    /** Waits waitUntil this holds, asked on the loop; false where it does not in time. */
+    private boolean waitUntil(Duration limit, BooleanSupplier condition) {
+        Duration end = now().plus(limit);
+        boolean[] holds = new boolean[1];
+        while (now().compareTo(end) < 0) {
+            runOnLoop(() -> holds[0] = condition.getAsBoolean());
+            if (holds[0]) {
+                return true;
+            }
+            try {
+                Thread.sleep(POLL_INTERVAL.toMillis());
+            } catch (InterruptedException e) {
+                Thread.currentThread().interrupt();
+                return false;
+            }
+        }
+        return false;
+    }
+}
--- a/rig/src/main/java/saltdale/rig/platform/live/HttpCall.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/HttpCall.java
@@ -21,34 +21,34 @@
     }
 
     private final HttpParser parser = new HttpParser(HttpParser.Kind.ANSWER);
-    private final Consumer<Answer> then;
+    private final Consumer<Answer> callback;
     private Connection connection;
     private Timer limit;
 
-    private HttpCall(Consumer<Answer> then) {
-        this.then = then;
+    private HttpCall(Consumer<Answer> callback) {
+        this.callback = callback;
     }
 
-    /** {@code headers}: whole lines; {@code then} is told null where no whole answer came within the limit. */
+    /** {@code headers}: whole lines; {@code callback} is told null where no whole answer came within the limit. */
     static void send(
             LoopThread loopThread,
-            InetSocketAddress at,
+            InetSocketAddress address,
             String method,
             String target,
             String headers,
             byte[] body,
             Duration limit,
-            Consumer<Answer> then) {
-        HttpCall call = new HttpCall(then);
-        call.connection = Connection.connect(loopThread.loop, loopThread.sockets, at, limit, call);
+            Consumer<Answer> callback) {
+        HttpCall call = new HttpCall(callback);
+        call.connection = Connection.connect(loopThread.loop, loopThread.sockets, address, limit, call);
         if (call.connection == null) {
-            loopThread.loop.defer(() -> then.accept(null));
+            loopThread.loop.defer(() -> callback.accept(null));
             return;
         }
-        call.limit = loopThread.loop.schedule(limit, () -> call.over(null));
+        call.limit = loopThread.loop.schedule(limit, () -> call.finish(null));
         call.connection.send(
-                ByteBuffer.wrap((method + " " + target + " HTTP/1.1\r\nHost: " + LoopbackAddresses.text(at) + "\r\n"
-                                + headers + "Content-Length: " + body.length + "\r\nConnection: close\r\n\r\n")
+                ByteBuffer.wrap((method + " " + target + " HTTP/1.1\r\nHost: " + LoopbackAddresses.text(address)
+                                + "\r\n" + headers + "Content-Length: " + body.length + "\r\nConnection: close\r\n\r\n")
                         .getBytes(StandardCharsets.US_ASCII)),
                 ByteBuffer.wrap(body));
     }
@@ -57,19 +57,19 @@
     public void received(ByteBuffer bytes) {
         parser.parse(bytes);
         if (parser.isMalformed() || parser.isComplete()) {
-            over(parser.isComplete() ? new Answer(parser.head(), parser.body()) : null);
+            finish(parser.isComplete() ? new Answer(parser.head(), parser.body()) : null);
         }
     }
 
     @Override
     public void disconnected(String cause) {
         parser.endOfInput();
-        over(parser.isComplete() ? new Answer(parser.head(), parser.body()) : null);
+        finish(parser.isComplete() ? new Answer(parser.head(), parser.body()) : null);
     }
 
-    private void over(Answer answer) {
+    private void finish(Answer answer) {
         limit.cancel();
         connection.close();
-        then.accept(answer);
+        callback.accept(answer);
     }
 }
--- a/rig/src/main/java/saltdale/rig/platform/live/LoopClock.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/LoopClock.java
@@ -13,7 +13,7 @@
     }
 
     @Override
-    public void after(Duration span, Runnable what) {
-        loopThread.loop.schedule(span, what);
+    public void schedule(Duration delay, Runnable action) {
+        loopThread.loop.schedule(delay, action);
     }
 }
--- a/rig/src/main/java/saltdale/rig/platform/live/Processes.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/NodeProcesses.java
@@ -13,57 +13,61 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
+import saltdale.rig.platform.Deployment;
 import saltdale.rig.platform.Machine;
-import saltdale.rig.platform.Site;
 
 /** The processes of the system: child processes of one build, each with its settings file, disk and log. */
-public final class Processes implements AutoCloseable {
-    private static final List<String> FLAGS =
+public final class NodeProcesses implements AutoCloseable {
+    private static final List<String> JVM_FLAGS =
             List.of("-Xmx192m", "-Xss256k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1");
-    private static final String COPY = "saltdale.jar";
-    private static final Set<String> PASSED_ON = Set.of("PATH", "HOME", "JAVA_HOME", "LANG");
+    private static final String JAR_COPY = "saltdale.jar";
+    private static final Set<String> INHERITED_VARIABLES = Set.of("PATH", "HOME", "JAVA_HOME", "LANG");
 
-    private final Site site;
+    private final Deployment deployment;
     private Path jar;
     private final Path folder;
     private final Map<Machine, Process> running = new LinkedHashMap<>();
-    private final Map<Machine, Integer> ended = new LinkedHashMap<>();
+    private final Map<Machine, Integer> exitStatuses = new LinkedHashMap<>();
     // Guards against processes that outlive a rig which was told to end.
-    private final Thread atExit = new Thread(() -> running.values().forEach(Process::destroyForcibly), "end of all");
+    private final Thread shutdownHook =
+            new Thread(() -> running.values().forEach(Process::destroyForcibly), "end of all");
 
-    public Processes(Site site, Path jar, Path folder) {
-        this.site = site;
+    public NodeProcesses(Deployment deployment, Path jar, Path folder) {
+        this.deployment = deployment;
         this.jar = jar.toAbsolutePath();
         this.folder = folder.toAbsolutePath();
     }
 
     /** Writes the settings files of a first start, with empty disks, and returns them. */
-    public Map<Machine, Path> settings() throws IOException {
+    public Map<Machine, Path> writeSettings() throws IOException {
         Map<Machine, Path> all = new LinkedHashMap<>();
-        for (Machine machine : site.machines()) {
-            Path own = folder.resolve(machine.name());
-            if (Files.isDirectory(own)) {
-                try (Stream<Path> old = Files.walk(own)) {
+        for (Machine machine : deployment.machines()) {
+            Path machineFolder = folder.resolve(machine.name());
+            if (Files.isDirectory(machineFolder)) {
+                try (Stream<Path> old = Files.walk(machineFolder)) {
                     for (Path each : old.sorted((a, b) -> b.compareTo(a)).toList()) {
                         Files.delete(each);
                     }
                 }
             }
-            all.put(machine, settings(machine, true));
+            all.put(machine, writeSettings(machine, true));
         }
         return all;
     }
 
-    private Path settings(Machine machine, boolean firstStart) throws IOException {
-        Path own = folder.resolve(machine.name());
-        Files.createDirectories(own.resolve("data"));
-        Path file = own.resolve("local.json");
+    private Path writeSettings(Machine machine, boolean firstStart) throws IOException {
+        Path machineFolder = folder.resolve(machine.name());
+        Files.createDirectories(machineFolder.resolve("data"));
+        Path file = machineFolder.resolve("local.json");
         Files.writeString(
                 file,
-                site.settings(
+                deployment
+                        .settings(
                                 machine,
                                 firstStart,
-                                machine.isProxy() ? null : own.resolve("data").toString())
+                                machine.isProxy()
+                                        ? null
+                                        : machineFolder.resolve("data").toString())
                         .toPrettyString());
         return file;
     }
@@ -72,7 +76,7 @@
     public List<String> command(Machine machine) {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(FLAGS);
+        command.addAll(JVM_FLAGS);
         command.addAll(List.of("-jar", jar.toString(), machine.role()));
         return command;
     }
@@ -80,10 +84,10 @@
     void startAll() throws IOException {
         // Guards against a build that writes over the jar while processes load from it.
         Files.createDirectories(folder);
-        Files.copy(jar, folder.resolve(COPY), StandardCopyOption.REPLACE_EXISTING);
-        jar = folder.resolve(COPY);
-        Runtime.getRuntime().addShutdownHook(atExit);
-        for (Map.Entry<Machine, Path> each : settings().entrySet()) {
+        Files.copy(jar, folder.resolve(JAR_COPY), StandardCopyOption.REPLACE_EXISTING);
+        jar = folder.resolve(JAR_COPY);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
+        for (Map.Entry<Machine, Path> each : writeSettings().entrySet()) {
             start(each.getKey(), each.getValue());
         }
     }
@@ -92,7 +96,7 @@
         ProcessBuilder builder = new ProcessBuilder(command(machine))
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(log(machine).toFile()));
-        builder.environment().keySet().retainAll(PASSED_ON);
+        builder.environment().keySet().retainAll(INHERITED_VARIABLES);
         builder.environment().put("SALTDALE_BOOT", settings.toString());
         running.put(machine, builder.start());
     }
@@ -119,22 +123,22 @@
     }
 
     void restart(Machine machine) throws IOException {
-        start(machine, settings(machine, false));
+        start(machine, writeSettings(machine, false));
     }
 
-    /** Those that have ended by themselves, with their exit status. */
-    Map<Machine, Integer> ended() {
+    /** Those that have exitStatuses by themselves, with their exit status. */
+    Map<Machine, Integer> exitStatuses() {
         running.forEach((machine, process) -> {
             if (!process.isAlive()) {
-                ended.put(machine, process.exitValue());
+                exitStatuses.put(machine, process.exitValue());
             }
         });
-        return ended;
+        return exitStatuses;
     }
 
     /** Tells all to end in order, and kills what is left after the grace; returns those that had to be killed. */
-    List<Machine> endAll(Duration grace) throws InterruptedException {
-        ended();
+    List<Machine> terminateAll(Duration grace) throws InterruptedException {
+        exitStatuses();
         running.values().forEach(Process::destroy);
         long end = System.nanoTime() + grace.toNanos();
         List<Machine> left = new ArrayList<>();
@@ -152,7 +156,7 @@
     public void close() {
         running.values().forEach(Process::destroyForcibly);
         try {
-            Runtime.getRuntime().removeShutdownHook(atExit);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
             // it is on its way
         }
--- a/rig/src/main/java/saltdale/rig/platform/live/Operator.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/Operator.java
@@ -8,27 +8,27 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
+import saltdale.rig.platform.Deployment;
 import saltdale.rig.platform.Machine;
-import saltdale.rig.platform.Site;
 import saltdale.rig.standin.LoopThread;
 import saltdale.transport.Address;
 
-/** Sends configurations to those who serve control, and reads them back; used on the loop. */
+/** Sends configurations location those who serve controlAddresses, and reads them back; used on the loop. */
 final class Operator {
-    private static final Duration LIMIT = Duration.ofSeconds(1);
-    private static final Duration LONGEST_PAUSE = Duration.ofSeconds(1);
-    private static final Set<Integer> ENDS = Set.of(400, 409, 412, 413, 422);
-    private static final int MOST_REDIRECTS = 2;
+    private static final Duration CALL_LIMIT = Duration.ofSeconds(1);
+    private static final Duration MAX_PAUSE = Duration.ofSeconds(1);
+    private static final Set<Integer> FINAL_STATUSES = Set.of(400, 409, 412, 413, 422);
+    private static final int MAX_REDIRECTS = 2;
 
     private final LoopThread loopThread;
-    private final List<InetSocketAddress> control;
-    private int turn;
+    private final List<InetSocketAddress> controlAddresses;
+    private int nextNode;
     private int redirects;
 
-    Operator(LoopThread loopThread, Site site) {
+    Operator(LoopThread loopThread, Deployment deployment) {
         this.loopThread = loopThread;
-        control = site.controlNodes().stream()
-                .map(controlNode -> Address.parse(controlNode.at(Machine.CONTROL)))
+        controlAddresses = deployment.controlNodes().stream()
+                .map(controlNode -> Address.parse(controlNode.at(Machine.CONTROL_PORT)))
                 .toList();
     }
 
@@ -38,29 +38,29 @@
 
     /** Repeats the change unchanged until there is a clear answer; {@code then} is told it. */
     void change(String call, int basedOn, ObjectNode body, Consumer<HttpCall.Answer> then) {
-        new Order(
+        new PendingCall(
                         "POST",
                         "/Configuration." + call,
                         "Content-Type: application/json\r\nX-Saltdale-Based-On-Version: " + basedOn + "\r\n",
                         body.toString().getBytes(StandardCharsets.UTF_8),
                         then)
-                .go();
+                .send();
     }
 
     void read(Consumer<HttpCall.Answer> then) {
-        new Order("GET", "/Configuration.Read", "", new byte[0], then).go();
+        new PendingCall("GET", "/Configuration.Read", "", new byte[0], then).send();
     }
 
-    private final class Order {
+    private final class PendingCall {
         private final String method;
         private final String path;
         private final String headers;
         private final byte[] body;
         private final Consumer<HttpCall.Answer> then;
         private Duration pause = Duration.ofMillis(100);
-        private int otherErrors;
+        private int otherClientErrors;
 
-        Order(String method, String path, String headers, byte[] body, Consumer<HttpCall.Answer> then) {
+        PendingCall(String method, String path, String headers, byte[] body, Consumer<HttpCall.Answer> then) {
             this.method = method;
             this.path = path;
             this.headers = headers;
@@ -68,39 +68,47 @@
             this.then = then;
         }
 
-        void go() {
-            call(control.get(turn++ % control.size()), path, 0);
+        void send() {
+            call(controlAddresses.get(nextNode++ % controlAddresses.size()), path, 0);
         }
 
-        private void call(InetSocketAddress at, String target, int followed) {
-            HttpCall.send(loopThread, at, method, target, headers, body, LIMIT, answer -> came(answer, followed));
+        private void call(InetSocketAddress at, String target, int redirectsFollowed) {
+            HttpCall.send(
+                    loopThread,
+                    at,
+                    method,
+                    target,
+                    headers,
+                    body,
+                    CALL_LIMIT,
+                    answer -> handle(answer, redirectsFollowed));
         }
 
-        private void came(HttpCall.Answer answer, int followed) {
+        private void handle(HttpCall.Answer answer, int redirectsFollowed) {
             int status = answer == null ? 0 : answer.status();
-            if (status == 200 || ENDS.contains(status)) {
+            if (status == 200 || FINAL_STATUSES.contains(status)) {
                 then.accept(answer);
-            } else if (status == 307 && followed < MOST_REDIRECTS && follow(answer, followed)) {
+            } else if (status == 307 && redirectsFollowed < MAX_REDIRECTS && follow(answer, redirectsFollowed)) {
                 redirects++;
-            } else if (status / 100 == 4 && status != 408 && status != 429 && ++otherErrors == 3) {
+            } else if (status / 100 == 4 && status != 408 && status != 429 && ++otherClientErrors == 3) {
                 then.accept(answer);
             } else {
-                loopThread.loop.schedule(pause, this::go);
+                loopThread.loop.schedule(pause, this::send);
                 pause = pause.multipliedBy(3).dividedBy(2);
-                pause = pause.compareTo(LONGEST_PAUSE) < 0 ? pause : LONGEST_PAUSE;
+                pause = pause.compareTo(MAX_PAUSE) < 0 ? pause : MAX_PAUSE;
             }
         }
 
-        private boolean follow(HttpCall.Answer answer, int followed) {
+        private boolean follow(HttpCall.Answer answer, int redirectsFollowed) {
             try {
-                URI to = URI.create(answer.head().header("Location"));
-                InetSocketAddress at = Address.parse(to.getAuthority());
+                URI location = URI.create(answer.head().header("Location"));
+                InetSocketAddress at = Address.parse(location.getAuthority());
                 if (at != null) {
-                    call(at, to.getRawPath(), followed + 1);
+                    call(at, location.getRawPath(), redirectsFollowed + 1);
                 }
                 return at != null;
             } catch (IllegalArgumentException | NullPointerException e) {
-                return false; // it names no place to go to
+                return false; // it names no place location send location
             }
         }
     }
--- a/rig/src/main/java/saltdale/rig/platform/live/PlatformServer.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/PlatformServer.java
@@ -12,9 +12,9 @@
 import java.time.Duration;
 import java.util.Locale;
 import saltdale.protocol.Head;
+import saltdale.rig.platform.Deployment;
 import saltdale.rig.platform.Platform;
 import saltdale.rig.platform.Platform.Reply;
-import saltdale.rig.platform.Site;
 import saltdale.rig.standin.Exchange;
 import saltdale.rig.standin.LoopThread;
 import saltdale.rig.standin.Origin;
@@ -31,7 +31,7 @@
     private final PrintWriter log;
 
     /** {@code log}: takes a line for each call; null for none. */
-    PlatformServer(LoopThread loopThread, Origin origin, Site site, Platform platform, PrintWriter log)
+    PlatformServer(LoopThread loopThread, Origin origin, Deployment deployment, Platform platform, PrintWriter log)
             throws IOException {
         this.origin = origin;
         this.platform = platform;
@@ -39,12 +39,12 @@
         new Listener(
                 loopThread.loop,
                 loopThread.sockets,
-                Address.parse(site.platform()),
-                (connection, full) -> new Called(connection));
+                Address.parse(deployment.platformAddress()),
+                (connection, full) -> new CallConnection(connection));
     }
 
-    private final class Called extends Exchange {
-        Called(Connection connection) {
+    private final class CallConnection extends Exchange {
+        CallConnection(Connection connection) {
             super(connection, origin);
         }
 
@@ -85,14 +85,17 @@
             return new Reply(400, JSON.createObjectNode());
         }
         Long number = fence == null ? null : Long.valueOf(fence);
-        JsonNode asked = json(body);
+        JsonNode request = json(body);
         return switch (head.method() + " " + head.path()) {
             case "GET /runners" -> platform.runners(query(head.target(), "zone"), query(head.target(), "page_token"));
             case "GET /workers" -> platform.workers();
             case "POST /begin" ->
                 platform.begin(
-                        number, text(asked, "service"), text(asked, "worker_machine"), text(asked, "request_nonce"));
-            case "POST /stop" -> platform.stop(number, text(asked, "identifier"));
+                        number,
+                        text(request, "service"),
+                        text(request, "worker_machine"),
+                        text(request, "request_nonce"));
+            case "POST /stop" -> platform.stop(number, text(request, "identifier"));
             default -> new Reply(404, JSON.createObjectNode());
         };
     }
--- a/rig/src/main/java/saltdale/rig/platform/live/StandIn.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/PlatformStandIn.java
@@ -6,27 +6,27 @@
 import java.nio.file.Path;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.function.IntConsumer;
+import saltdale.rig.platform.Deployment;
 import saltdale.rig.platform.Judge;
 import saltdale.rig.platform.Platform;
-import saltdale.rig.platform.Site;
 import saltdale.rig.standin.LoopThread;
 import saltdale.rig.standin.Origin;
 
 /** The platform and its runners on loopback. */
-public final class StandIn implements AutoCloseable {
+public final class PlatformStandIn implements AutoCloseable {
     final LoopThread loopThread;
     final Origin origin = new Origin();
-    final Site site;
+    final Deployment deployment;
     final Judge judge;
-    final Faults faults;
+    final RunnerFaults faults;
     private final PrintWriter log;
     Platform platform;
 
     /** {@code calls}: a file that takes a line for each call of the platform; null for none. */
-    public StandIn(Site site, Faults faults, long seed, Path calls) throws IOException {
-        this.site = site;
+    public PlatformStandIn(Deployment deployment, RunnerFaults faults, long seed, Path calls) throws IOException {
+        this.deployment = deployment;
         this.faults = faults;
-        judge = new Judge(site.bounds());
+        judge = new Judge(deployment.bounds());
         if (calls != null) {
             Files.createDirectories(calls.toAbsolutePath().getParent());
         }
@@ -37,27 +37,27 @@
         loopThread.inside(() -> {
             try {
                 platform = new Platform(
-                        site,
+                        deployment,
                         new LoopClock(loopThread, origin),
-                        new Runners(loopThread, origin, judge, faults, seed),
+                        new RunnerSockets(loopThread, origin, judge, faults, seed),
                         seed);
                 loopThread.watchItself();
-                new PlatformServer(loopThread, origin, site, platform, log);
+                new PlatformServer(loopThread, origin, deployment, platform, log);
             } catch (IOException e) {
                 failure.set(e);
             }
         });
         if (failure.get() != null) {
             loopThread.close();
-            throw new IOException(
-                    site.platform() + " can't be listened at: " + failure.get().getMessage());
+            throw new IOException(deployment.platformAddress() + " can't be listened at: "
+                    + failure.get().getMessage());
         }
     }
 
     /** Sends the first configuration, again and again until there is a clear answer. */
-    public void operate(IntConsumer then) {
-        loopThread.loop.execute(() -> new Operator(loopThread, site)
-                .change("Replace", 0, site.replacement(1), answer -> then.accept(answer.status())));
+    public void sendFirstConfiguration(IntConsumer then) {
+        loopThread.loop.execute(() -> new Operator(loopThread, deployment)
+                .change("Replace", 0, deployment.replacement(1), answer -> then.accept(answer.status())));
     }
 
     @Override
--- a/rig/src/main/java/saltdale/rig/platform/live/Faults.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/RunnerFaults.java
@@ -5,7 +5,7 @@
 import java.util.SplittableRandom;
 
 /** How runners spoil answers, and how often. */
-public final class Faults {
+public final class RunnerFaults {
     /** What becomes of an answer. */
     public enum Kind {
         NONE,
@@ -20,25 +20,25 @@
     }
 
     private final Map<Kind, Double> shares = new EnumMap<>(Kind.class);
-    private final SplittableRandom chance;
-    private boolean on;
+    private final SplittableRandom random;
+    private boolean enabled;
 
     /** {@code shares}: of the runs, by kind. */
-    public Faults(Map<Kind, Double> shares, long seed) {
+    public RunnerFaults(Map<Kind, Double> shares, long seed) {
         this.shares.putAll(shares);
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
     }
 
     public boolean isEmpty() {
         return shares.isEmpty();
     }
 
-    public void on(boolean wanted) {
-        on = wanted;
+    public void setEnabled(boolean enabled) {
+        this.enabled = enabled;
     }
 
     Kind draw() {
-        double drawn = on ? chance.nextDouble() : 1;
+        double drawn = enabled ? random.nextDouble() : 1;
         for (Map.Entry<Kind, Double> each : shares.entrySet()) {
             drawn -= each.getValue();
             if (drawn < 0) {
--- a/rig/src/main/java/saltdale/rig/platform/live/Runners.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/RunnerSockets.java
@@ -24,15 +24,15 @@
 import saltdale.transport.Timer;
 
 /** The runners' sockets; used on the loop. */
-final class Runners implements Platform.Sockets {
-    private static final Duration EXTRA_AFTER = Duration.ofMillis(5);
-    private static final byte[] GARBAGE = "\u0001\u0002 no answer\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
+final class RunnerSockets implements Platform.Sockets {
+    private static final Duration EXTRA_ANSWER_DELAY = Duration.ofMillis(5);
+    private static final byte[] MALFORMED_ANSWER = "\u0001\u0002 no answer\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-    private static final class Place {
+    private static final class RunnerSocket {
         final Listener listener;
-        final Set<Served> open = new HashSet<>();
+        final Set<RunnerConnection> openConnections = new HashSet<>();
 
-        Place(Listener listener) {
+        RunnerSocket(Listener listener) {
             this.listener = listener;
         }
     }
@@ -40,38 +40,41 @@
     private final LoopThread loopThread;
     private final Origin origin;
     private final Judge judge;
-    private final Faults faults;
-    private final SplittableRandom chance;
-    private final Map<Instance, Place> places = new HashMap<>();
-    private long runs;
+    private final RunnerFaults faults;
+    private final SplittableRandom random;
+    private final Map<Instance, RunnerSocket> runnerSockets = new HashMap<>();
+    private long runCount;
 
-    Runners(LoopThread loopThread, Origin origin, Judge judge, Faults faults, long seed) {
+    RunnerSockets(LoopThread loopThread, Origin origin, Judge judge, RunnerFaults faults, long seed) {
         this.loopThread = loopThread;
         this.origin = origin;
         this.judge = judge;
         this.faults = faults;
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
     }
 
     @Override
     public void listen(Instance instance) {
         try {
-            places.put(
+            runnerSockets.put(
                     instance,
-                    new Place(new Listener(
+                    new RunnerSocket(new Listener(
                             loopThread.loop,
                             loopThread.sockets,
                             Address.parse(instance.address),
-                            (connection, full) -> places.get(instance).open.add(new Served(connection, instance)))));
+                            (connection, full) -> runnerSockets
+                                    .get(instance)
+                                    .openConnections
+                                    .add(new RunnerConnection(connection, instance)))));
         } catch (IOException e) {
             throw new UncheckedIOException("a runner can't listen at " + instance.address + ": " + e.getMessage(), e);
         }
     }
 
     @Override
-    public void cease(Instance instance) {
-        shut(places.get(instance));
-        for (Served each : List.copyOf(places.get(instance).open)) {
+    public void stopAccepting(Instance instance) {
+        closeListener(runnerSockets.get(instance));
+        for (RunnerConnection each : List.copyOf(runnerSockets.get(instance).openConnections)) {
             if (!each.isWorking()) {
                 each.drop(false);
             }
@@ -80,33 +83,33 @@
 
     @Override
     public void crash(Instance instance) {
-        Place place = places.remove(instance);
-        if (place != null) {
-            shut(place);
-            List.copyOf(place.open).forEach(each -> each.drop(true));
+        RunnerSocket runnerSocket = runnerSockets.remove(instance);
+        if (runnerSocket != null) {
+            closeListener(runnerSocket);
+            List.copyOf(runnerSocket.openConnections).forEach(each -> each.drop(true));
         }
     }
 
-    private static void shut(Place place) {
+    private static void closeListener(RunnerSocket runnerSocket) {
         try {
-            place.listener.close();
+            runnerSocket.listener.close();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
     }
 
     /** A connection that a runner serves. */
-    private final class Served extends Exchange {
+    private final class RunnerConnection extends Exchange {
         private final Instance instance;
-        private Timer work;
+        private Timer workTimer;
 
-        Served(Connection connection, Instance instance) {
+        RunnerConnection(Connection connection, Instance instance) {
             super(connection, origin);
             this.instance = instance;
         }
 
         boolean isWorking() {
-            return work != null;
+            return workTimer != null;
         }
 
         void drop(boolean reset) {
@@ -120,17 +123,17 @@
         }
 
         private void forget() {
-            Place place = places.get(instance);
-            if (place != null) {
-                place.open.remove(this);
+            RunnerSocket runnerSocket = runnerSockets.get(instance);
+            if (runnerSocket != null) {
+                runnerSocket.openConnections.remove(this);
             }
         }
 
         private void stopWork() {
-            if (work != null) {
-                work.cancel();
-                work = null;
-                instance.worked();
+            if (workTimer != null) {
+                workTimer.cancel();
+                workTimer = null;
+                instance.requestFinished();
             }
         }
 
@@ -150,74 +153,74 @@
         protected void requested(Head head, byte[] body, Duration first) {
             Duration now = origin.now();
             String id = head.uniqueHeader("X-Saltdale-Attempt-Id");
-            Duration remaining = millis(head.header("X-Saltdale-Deadline-Remaining"));
+            Duration remaining = parseMillis(head.header("X-Saltdale-Deadline-Remaining"));
             Instance.Admission admission = instance.admit(id, head.header("X-Saltdale-Expected-Runner"), remaining);
             if (!admission.runs()) {
                 if (admission.full()) {
-                    judge.turnedAway(now, instance.service.name());
+                    judge.recordRejectedAsFull(now, instance.service.name());
                 }
-                say(answer(admission.status(), headers(id) + "X-Saltdale-Not-Executed: 1\r\n", ""));
+                sendAnswer(answer(admission.status(), headers(id) + "X-Saltdale-Not-Executed: 1\r\n", ""));
                 return;
             }
-            String seal =
-                    Long.toHexString(++runs) + "." + instance.identifier + "." + Integer.toHexString(chance.nextInt());
-            Duration takes = Duration.ofNanos(
-                    (long) (instance.service.work().toNanos() * instance.slowness * chance.nextDouble(0.5, 1.5)));
-            boolean inTime = remaining == null || takes.compareTo(remaining) < 0;
-            Faults.Kind fault = faults.draw();
-            judge.ran(
+            String seal = Long.toHexString(++runCount) + "." + instance.identifier + "."
+                    + Integer.toHexString(random.nextInt());
+            Duration workTime = Duration.ofNanos(
+                    (long) (instance.service.work().toNanos() * instance.workTimeFactor * random.nextDouble(0.5, 1.5)));
+            boolean inTime = remaining == null || workTime.compareTo(remaining) < 0;
+            RunnerFaults.Kind fault = faults.draw();
+            judge.recordRun(
                     now,
                     id,
                     instance.service.name(),
                     seal,
                     head.method() + " " + head.target() + " " + new String(body, StandardCharsets.UTF_8),
                     inTime);
-            if (fault != Faults.Kind.NONE && fault != Faults.Kind.EXTRA) {
-                judge.spoils(id);
+            if (fault != RunnerFaults.Kind.NONE && fault != RunnerFaults.Kind.EXTRA) {
+                judge.expectBrokenAnswer(id);
             }
-            work = loopThread.loop.schedule(inTime ? takes : remaining, () -> {
-                work = null;
+            workTimer = loopThread.loop.schedule(inTime ? workTime : remaining, () -> {
+                workTimer = null;
                 if (inTime) {
                     byte[] answer = answer(
                             200,
                             headers(id) + "X-Saltdale-Runner-Seal: " + seal + "\r\n",
-                            new String(Judge.body(seal), StandardCharsets.US_ASCII));
-                    say(answer, fault);
+                            new String(Judge.bodyFor(seal), StandardCharsets.US_ASCII));
+                    sendAnswer(answer, fault);
                 } else {
-                    say(answer(504, headers(id), "")); // counts as run
+                    sendAnswer(answer(504, headers(id), "")); // counts as run
                 }
-                instance.worked();
+                instance.requestFinished();
             });
         }
 
-        private void say(byte[] answer, Faults.Kind fault) {
+        private void sendAnswer(byte[] answer, RunnerFaults.Kind fault) {
             switch (fault) {
-                case LOST -> end();
+                case LOST -> closeGracefully();
                 case GARBLED -> {
-                    connection.send(ByteBuffer.wrap(GARBAGE));
-                    end();
+                    connection.send(ByteBuffer.wrap(MALFORMED_ANSWER));
+                    closeGracefully();
                 }
                 case CUT -> {
                     connection.send(ByteBuffer.wrap(answer, 0, answer.length / 2));
-                    end();
+                    closeGracefully();
                 }
                 case EXTRA -> {
-                    say(answer);
-                    loopThread.loop.schedule(EXTRA_AFTER, () -> connection.send(ByteBuffer.wrap(answer)));
+                    sendAnswer(answer);
+                    loopThread.loop.schedule(EXTRA_ANSWER_DELAY, () -> connection.send(ByteBuffer.wrap(answer)));
                 }
-                default -> say(answer);
+                default -> sendAnswer(answer);
             }
         }
 
-        private void say(byte[] answer) {
+        private void sendAnswer(byte[] answer) {
             connection.send(ByteBuffer.wrap(answer));
             answered();
             if (instance.isLeaving()) {
-                end();
+                closeGracefully();
             }
         }
 
-        private void end() {
+        private void closeGracefully() {
             connection.closeGracefully();
             forget();
         }
@@ -229,7 +232,7 @@
     }
 
     /** A header's whole milliseconds; null where it is absent or none. */
-    static Duration millis(String text) {
+    static Duration parseMillis(String text) {
         return text != null && text.matches("\\d{1,9}") ? Duration.ofMillis(Long.parseLong(text)) : null;
     }
 }
--- a/rig/src/main/java/saltdale/rig/platform/live/Soak.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/Soak.java
@@ -13,25 +13,25 @@
 import java.util.SplittableRandom;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.function.BooleanSupplier;
+import saltdale.rig.platform.Deployment;
 import saltdale.rig.platform.Machine;
-import saltdale.rig.platform.Site;
 
 /**
  * A soak of real processes on real sockets: two operators change the configuration all the while and lose answers, two
- * or three troubles at a time overlap, and after each bout the proxies in touch are looked at. At the end one control
+ * or three troubles at a time overlap, and after each runBout the proxies in touch are looked at. At the end one control
  * node loses its disk while all other machines, proxies too, are killed at the same moment.
  */
 public final class Soak {
-    private static final Duration TO_COME_UP = Duration.ofSeconds(20);
-    private static final Duration QUIET = Duration.ofMillis(6_500); // contact_ms, and some time to look
-    private static final Duration CATCH_UP = Duration.ofSeconds(5); // catch_up_s, and a little
-    private static final long GRACE_MILLIS = 6_000;
-    private static final int LATEST_BEGIN_MILLIS = 1_500;
-    private static final int SHORTEST_MILLIS = 200;
-    private static final int LONGEST_MILLIS = 5_000;
-    private static final double LOSS = 0.4; // of the bouts one begins with the loss of a disk
+    private static final Duration STARTUP_LIMIT = Duration.ofSeconds(20);
+    private static final Duration QUIET_PERIOD = Duration.ofMillis(6_500); // contact_ms, and some time to look
+    private static final Duration CATCH_UP_LIMIT = Duration.ofSeconds(5); // catch_up_s, and a little
+    private static final long TERMINATION_GRACE_MILLIS = 6_000;
+    private static final int MAX_START_OFFSET_MILLIS = 1_500;
+    private static final int MIN_FAULT_MILLIS = 200;
+    private static final int MAX_FAULT_MILLIS = 5_000;
+    private static final double DISK_LOSS_SHARE = 0.4; // of the bouts one begins with the loss of a disk
 
-    /** Something to be done at a moment of a bout. */
+    /** Something to be done at a moment of a runBout. */
     private interface Action {
         void run() throws IOException;
     }
@@ -40,97 +40,99 @@
 
     private final SoakCluster cluster;
     private final SoakContact contact;
-    private final SoakOrders orders;
+    private final SoakChanges changes;
     private final SoakObserver observer;
     private final List<SoakOperator> operators;
-    private final List<String> faults = new CopyOnWriteArrayList<>();
+    private final List<String> failures = new CopyOnWriteArrayList<>();
     private final Map<SoakTrouble, Integer> troubles = new EnumMap<>(SoakTrouble.class);
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final PrintStream out;
     private final List<Thread> threads = new ArrayList<>();
 
-    private Soak(SoakCluster cluster, Site site, long seed, PrintStream out) {
+    private Soak(SoakCluster cluster, Deployment deployment, long seed, PrintStream out) {
         this.cluster = cluster;
         this.out = out;
-        chance = new SplittableRandom(seed);
-        contact = new SoakContact(site.bounds().contact());
-        orders = new SoakOrders(site, faults);
-        observer = new SoakObserver(cluster, orders, contact, site.bounds().configApply(), faults);
+        random = new SplittableRandom(seed);
+        contact = new SoakContact(deployment.bounds().contact());
+        changes = new SoakChanges(deployment, failures);
+        observer =
+                new SoakObserver(cluster, changes, contact, deployment.bounds().configApply(), failures);
         operators = List.of(
-                new SoakOperator(cluster, orders, "a", chance.nextLong()),
-                new SoakOperator(cluster, orders, "b", chance.nextLong()));
+                new SoakOperator(cluster, changes, "a", random.nextLong()),
+                new SoakOperator(cluster, changes, "b", random.nextLong()));
     }
 
     /**
      * Plays one seed and prints what came of it; returns whether nothing was wrong. {@code program}: the arguments of
      * java that name the program; {@code folder}: where settings, disks and logs go.
      */
-    public static boolean play(Site site, List<String> program, Path folder, int bouts, long seed, PrintStream out)
+    public static boolean run(
+            Deployment deployment, List<String> program, Path folder, int bouts, long seed, PrintStream out)
             throws IOException, InterruptedException {
-        try (StandIn standIn = new StandIn(site, new Faults(Map.of(), seed), seed, null);
-                SoakCluster cluster = new SoakCluster(site, program, folder)) {
-            Soak soak = new Soak(cluster, standIn.site, seed, out);
+        try (PlatformStandIn standIn = new PlatformStandIn(deployment, new RunnerFaults(Map.of(), seed), seed, null);
+                SoakCluster cluster = new SoakCluster(deployment, program, folder)) {
+            Soak soak = new Soak(cluster, standIn.deployment, seed, out);
             try {
-                soak.play(bouts);
+                soak.runBouts(bouts);
             } finally {
-                soak.endThreads();
+                soak.stopThreads();
             }
             return soak.verdict(seed);
         }
     }
 
-    private void play(int bouts) throws IOException, InterruptedException {
+    private void runBouts(int bouts) throws IOException, InterruptedException {
         cluster.startAll();
-        operators.forEach(this::begin);
-        if (!until(TO_COME_UP, () -> allHave(1))) {
-            faults.add("did not come up");
+        operators.forEach(this::startThread);
+        if (!waitUntil(STARTUP_LIMIT, () -> allProxiesHave(1))) {
+            failures.add("did not come up");
             return;
         }
-        begin(observer);
-        for (int i = 0; i < bouts && faults.isEmpty(); i++) {
-            bout();
-            Thread.sleep(QUIET.toMillis());
+        startThread(observer);
+        for (int i = 0; i < bouts && failures.isEmpty(); i++) {
+            runBout();
+            Thread.sleep(QUIET_PERIOD.toMillis());
         }
-        if (faults.isEmpty()) {
-            close();
+        if (failures.isEmpty()) {
+            runClosingFault();
         }
     }
 
-    private void begin(Runnable what) {
-        Thread thread = new Thread(what, what.getClass().getSimpleName());
+    private void startThread(Runnable task) {
+        Thread thread = new Thread(task, task.getClass().getSimpleName());
         thread.setDaemon(true);
         thread.start();
         threads.add(thread);
     }
 
-    private void endThreads() throws InterruptedException {
-        operators.forEach(SoakOperator::end);
-        observer.end();
+    private void stopThreads() throws InterruptedException {
+        operators.forEach(SoakOperator::stop);
+        observer.stop();
         for (Thread thread : threads) {
-            thread.join(TO_COME_UP.toMillis());
+            thread.join(STARTUP_LIMIT.toMillis());
         }
     }
 
     // Troubles.
 
-    /** Two or three troubles that overlap, until all of them are over. */
-    private void bout() throws IOException, InterruptedException {
+    /** Two or three troubles that overlap, waitUntil all of them are over. */
+    private void runBout() throws IOException, InterruptedException {
         List<Step> steps = new ArrayList<>();
-        boolean loss = chance.nextDouble() < LOSS && contact.isCoreCalmFor(CATCH_UP);
-        int count = 2 + chance.nextInt(2);
+        boolean loss = random.nextDouble() < DISK_LOSS_SHARE && contact.isCoreUndisturbedFor(CATCH_UP_LIMIT);
+        int count = 2 + random.nextInt(2);
         for (int i = 0; i < count; i++) {
-            // While a disk is lost no other control node is in trouble; proxies may be.
+            // While a disk is diskLoser no other control node is in trouble; proxies may be.
             SoakTrouble trouble = loss && i == 0
-                    ? SoakTrouble.drawnLoss(chance)
-                    : SoakTrouble.drawn(chance, loss || chance.nextInt(3) == 0);
-            long from = chance.nextInt(LATEST_BEGIN_MILLIS);
-            long to = from + SHORTEST_MILLIS + chance.nextInt(LONGEST_MILLIS);
+                    ? SoakTrouble.drawDiskLoss(random)
+                    : SoakTrouble.draw(random, loss || random.nextInt(3) == 0);
+            long from = random.nextInt(MAX_START_OFFSET_MILLIS);
+            long to = from + MIN_FAULT_MILLIS + random.nextInt(MAX_FAULT_MILLIS);
             plan(steps, trouble, from, to);
         }
-        run(steps);
+        execute(steps);
     }
 
-    private void run(List<Step> steps) throws IOException, InterruptedException {
+    private void execute(List<Step> steps) throws IOException, InterruptedException {
         long begun = System.nanoTime();
         steps.sort(Comparator.comparingLong(Step::atMillis));
         for (Step step : steps) {
@@ -143,30 +145,30 @@
     }
 
     private void plan(List<Step> steps, SoakTrouble trouble, long from, long to) {
-        List<Machine> of = trouble.ofProxy() ? cluster.proxies() : cluster.controlNodes();
-        Machine machine = of.get(chance.nextInt(of.size()));
+        List<Machine> of = trouble.targetsProxy() ? cluster.proxies() : cluster.controlNodes();
+        Machine machine = of.get(random.nextInt(of.size()));
         Machine other =
-                cluster.controlNodes().get(chance.nextInt(cluster.controlNodes().size()));
-        boolean[] struck = new boolean[1];
+                cluster.controlNodes().get(random.nextInt(cluster.controlNodes().size()));
+        boolean[] applied = new boolean[1];
         steps.add(new Step(from, () -> {
-            struck[0] = contact.isFree(machine.name()); // one trouble of a machine at a time
-            if (struck[0]) {
+            applied[0] = contact.isFree(machine.name()); // one trouble of a machine at a time
+            if (applied[0]) {
                 troubles.merge(trouble, 1, Integer::sum);
-                note(trouble + " " + machine.name());
-                contact.begins(machine.name(), !trouble.ofProxy());
-                strike(trouble, machine, other);
+                report(trouble + " " + machine.name());
+                contact.begin(machine.name(), !trouble.targetsProxy());
+                apply(trouble, machine, other);
             }
         }));
         steps.add(new Step(to, () -> {
-            if (struck[0]) {
-                heal(trouble, machine, other);
-                contact.ends(machine.name(), !trouble.ofProxy());
-                note("over: " + trouble + " " + machine.name());
+            if (applied[0]) {
+                undo(trouble, machine, other);
+                contact.end(machine.name(), !trouble.targetsProxy());
+                report("over: " + trouble + " " + machine.name());
             }
         }));
     }
 
-    private void strike(SoakTrouble trouble, Machine machine, Machine other) throws IOException {
+    private void apply(SoakTrouble trouble, Machine machine, Machine other) throws IOException {
         switch (trouble) {
             case PROXY_KILLED, CONTROL_KILLED, CONTROL_WIPED, CONTROL_REPLACED -> cluster.kill(machine);
             case PROXY_PAUSED, CONTROL_PAUSED -> cluster.pause(machine);
@@ -186,7 +188,7 @@
         }
     }
 
-    private void heal(SoakTrouble trouble, Machine machine, Machine other) throws IOException {
+    private void undo(SoakTrouble trouble, Machine machine, Machine other) throws IOException {
         switch (trouble) {
             case PROXY_KILLED, CONTROL_KILLED -> cluster.start(machine);
             case PROXY_PAUSED, CONTROL_PAUSED -> cluster.resume(machine);
@@ -195,7 +197,7 @@
                 cluster.start(machine);
             }
             case PROXY_CUT, CONTROL_CUT, CONTROL_CUT_ONE_WAY, HALVES_CUT, CONTROL_CUT_OFF, PROXY_CUT_FROM_ONE ->
-                cluster.healAll(); // also those of another trouble that would last longer
+                cluster.removeAllCuts(); // also those of another trouble that would last longer
             case ALL_CONTROL_NODES_KILLED -> startControlNodes();
             case CONTROL_WIPED -> {
                 cluster.wipe(machine);
@@ -214,8 +216,8 @@
     }
 
     private void awaitEnd(Machine machine) {
-        if (cluster.awaitEnd(machine, GRACE_MILLIS + 500)) {
-            faults.add(machine.name() + " did not end within " + GRACE_MILLIS + " ms of SIGTERM");
+        if (cluster.awaitEnd(machine, TERMINATION_GRACE_MILLIS + 500)) {
+            failures.add(machine.name() + " did not end within " + TERMINATION_GRACE_MILLIS + " ms of SIGTERM");
         }
     }
 
@@ -241,7 +243,7 @@
 
     private void cutHalves() throws IOException {
         List<Machine> all = cluster.controlNodes();
-        int half = 1 + chance.nextInt(all.size() - 1);
+        int half = 1 + random.nextInt(all.size() - 1);
         for (Machine one : all.subList(0, half)) {
             for (Machine other : all.subList(half, all.size())) {
                 cluster.cut(one, other, false);
@@ -252,62 +254,68 @@
     // The end.
 
     /** Right after an acknowledgement a control node loses its disk and all other machines are killed. */
-    private void close() throws IOException, InterruptedException {
-        Thread.sleep(CATCH_UP.toMillis());
-        long before = orders.newest();
-        until(Duration.ofSeconds(10), () -> orders.newest() > before);
+    private void runClosingFault() throws IOException, InterruptedException {
+        Thread.sleep(CATCH_UP_LIMIT.toMillis());
+        long before = changes.newestAcknowledged();
+        waitUntil(Duration.ofSeconds(10), () -> changes.newestAcknowledged() > before);
         List<Machine> controlNodes = cluster.controlNodes();
-        Machine lost = controlNodes.get(chance.nextInt(controlNodes.size()));
-        note("closing: " + lost.name() + " loses its disk, all others are killed");
+        Machine diskLoser = controlNodes.get(random.nextInt(controlNodes.size()));
+        report("closing: " + diskLoser.name() + " loses its disk, all others are killed");
         List<Machine> all = new ArrayList<>(controlNodes);
         all.addAll(cluster.proxies());
-        all.forEach(each -> contact.begins(each.name(), true));
+        all.forEach(each -> contact.begin(each.name(), true));
         all.forEach(cluster::kill);
-        cluster.wipe(lost);
+        cluster.wipe(diskLoser);
         for (Machine each : all) {
             cluster.start(each);
-            contact.ends(each.name(), true);
+            contact.end(each.name(), true);
         }
-        long least = orders.newest();
-        if (!until(TO_COME_UP, () -> allHave(least))) {
-            faults.add("after the closing fault not all proxies have revision " + least);
+        long minRevision = changes.newestAcknowledged();
+        if (!waitUntil(STARTUP_LIMIT, () -> allProxiesHave(minRevision))) {
+            failures.add("after the closing fault not all proxies have revision " + minRevision);
         }
-        Thread.sleep(QUIET.toMillis());
+        Thread.sleep(QUIET_PERIOD.toMillis());
         readBack();
     }
 
     /** Nothing is sent any more: all control nodes read the same, and proxies have it. */
     private void readBack() throws InterruptedException {
-        operators.forEach(SoakOperator::end);
+        operators.forEach(SoakOperator::stop);
         for (Thread thread : threads.subList(0, operators.size())) {
-            thread.join(TO_COME_UP.toMillis());
+            thread.join(STARTUP_LIMIT.toMillis());
         }
-        long least = orders.newest();
+        long minRevision = changes.newestAcknowledged();
         for (Machine each : cluster.controlNodes()) {
-            PlainHttp.Answer[] answer = {PlainHttp.Answer.NONE};
-            until(Duration.ofSeconds(5), () -> {
-                answer[0] = PlainHttp.call(
-                        each.ip(), Machine.CONTROL, "GET", "/Configuration.Read", "Host: core\r\n", "", QUIET);
+            BlockingHttp.Answer[] answer = {BlockingHttp.Answer.NONE};
+            waitUntil(Duration.ofSeconds(5), () -> {
+                answer[0] = BlockingHttp.call(
+                        each.ip(),
+                        Machine.CONTROL_PORT,
+                        "GET",
+                        "/Configuration.Read",
+                        "Host: core\r\n",
+                        "",
+                        QUIET_PERIOD);
                 return answer[0].status() == 200;
             });
             if (answer[0].status() == 200) {
-                orders.read(SoakOperator.revision(answer[0].body()), answer[0].body(), least, each.name());
+                changes.recordRead(SoakOperator.revision(answer[0].body()), answer[0].body(), minRevision, each.name());
             } else {
-                faults.add(each.name() + " does not answer a read at the end: " + answer[0].status());
+                failures.add(each.name() + " does not answer a read at the end: " + answer[0].status());
             }
         }
-        if (!until(Duration.ofSeconds(3), () -> allHave(least))) {
-            faults.add("at the end not all proxies have revision " + least);
+        if (!waitUntil(Duration.ofSeconds(3), () -> allProxiesHave(minRevision))) {
+            failures.add("at the end not all proxies have revision " + minRevision);
         }
     }
 
-    private boolean allHave(long revision) {
+    private boolean allProxiesHave(long revision) {
         return cluster.proxies().stream().allMatch(proxy -> revisionOf(proxy) >= revision);
     }
 
     private static long revisionOf(Machine proxy) {
-        PlainHttp.Answer answer = PlainHttp.call(
-                proxy.ip(), Machine.READINESS, "GET", "/metrics", "Host: metrics\r\n", "", Duration.ofSeconds(1));
+        BlockingHttp.Answer answer = BlockingHttp.call(
+                proxy.ip(), Machine.READINESS_PORT, "GET", "/metrics", "Host: metrics\r\n", "", Duration.ofSeconds(1));
         return answer.body()
                 .lines()
                 .filter(line -> line.startsWith("configuration_revision "))
@@ -316,7 +324,7 @@
                 .orElse(-1);
     }
 
-    private static boolean until(Duration limit, BooleanSupplier holds) throws InterruptedException {
+    private static boolean waitUntil(Duration limit, BooleanSupplier holds) throws InterruptedException {
         long end = System.nanoTime() + limit.toNanos();
         while (!holds.getAsBoolean()) {
             if (System.nanoTime() > end) {
@@ -327,19 +335,19 @@
         return true;
     }
 
-    private void note(String what) {
-        out.printf(Locale.ROOT, "  %8.1f s  %s%n", System.nanoTime() / 1e9, what);
+    private void report(String task) {
+        out.printf(Locale.ROOT, "  %8.1f s  %s%n", System.nanoTime() / 1e9, task);
     }
 
     private boolean verdict(long seed) {
-        cluster.endedByThemselves().forEach(each -> faults.add("ended by itself: " + each));
+        cluster.endedByThemselves().forEach(each -> failures.add("ended by itself: " + each));
         if (observer.checks() == 0) {
-            faults.add("no proxy was ever in touch: nothing was checked");
+            failures.add("no proxy was ever in touch: nothing was checked");
         }
-        faults.forEach(each -> out.println("  fault: " + each));
+        failures.forEach(each -> out.println("  fault: " + each));
         int count = troubles.values().stream().mapToInt(Integer::intValue).sum();
-        out.println((faults.isEmpty() ? "passed" : "FAILED") + ": seed " + seed + ", " + count + " troubles " + troubles
-                + ", " + orders.figures() + ", " + observer.checks() + " looks at proxies in touch");
-        return faults.isEmpty();
+        out.println((failures.isEmpty() ? "passed" : "FAILED") + ": seed " + seed + ", " + count + " troubles "
+                + troubles + ", " + changes.summary() + ", " + observer.checks() + " looks at proxies in touch");
+        return failures.isEmpty();
     }
 }
--- a/rig/src/main/java/saltdale/rig/platform/live/SoakCluster.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/SoakCluster.java
@@ -16,8 +16,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
+import saltdale.rig.platform.Deployment;
 import saltdale.rig.platform.Machine;
-import saltdale.rig.platform.Site;
 
 /**
  * The machines of a soak: real processes that can be killed, paused, told to end, started again, cut from each other,
@@ -25,13 +25,13 @@
  * others may ask which there are.
  */
 final class SoakCluster implements AutoCloseable {
-    private static final List<String> FLAGS =
+    private static final List<String> JVM_FLAGS =
             List.of("-Xmx128m", "-Xss256k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1");
-    private static final Set<String> PASSED_ON = Set.of("PATH", "HOME", "JAVA_HOME", "LANG");
-    private static final int FIRST_SUCCESSOR = 120; // last figure of the addresses of new control nodes
-    private static final int SEEDS = 3;
+    private static final Set<String> INHERITED_VARIABLES = Set.of("PATH", "HOME", "JAVA_HOME", "LANG");
+    private static final int FIRST_SUCCESSOR_HOST_NUMBER = 120; // last figure of the addresses of new control nodes
+    private static final int MAX_SEEDS = 3;
 
-    private final Site site;
+    private final Deployment deployment;
     private final List<String> program; // arguments of java that name the program
     private final Path folder;
     private final List<Machine> proxies;
@@ -39,18 +39,19 @@
     private final int toleratedLosses;
     private final Map<Machine, Process> running = new HashMap<>();
     private final Set<Machine> expectedToEnd = new HashSet<>();
-    private final Map<String, Set<String>> cuts = new HashMap<>(); // lines of the fault file, by machine
-    private final Thread atExit = new Thread(() -> running.values().forEach(Process::destroyForcibly), "end of soak");
-    private int successors;
+    private final Map<String, Set<String>> faultLines = new HashMap<>(); // lines of the addFaultLine file, by machine
+    private final Thread shutdownHook =
+            new Thread(() -> running.values().forEach(Process::destroyForcibly), "end of soak");
+    private int successorCount;
 
-    SoakCluster(Site site, List<String> program, Path folder) {
-        this.site = site;
+    SoakCluster(Deployment deployment, List<String> program, Path folder) {
+        this.deployment = deployment;
         this.program = program;
         this.folder = folder.toAbsolutePath();
-        proxies = site.proxies();
-        controlNodes = new CopyOnWriteArrayList<>(site.controlNodes());
+        proxies = deployment.proxies();
+        controlNodes = new CopyOnWriteArrayList<>(deployment.controlNodes());
         toleratedLosses = (controlNodes.size() - 1) / 2;
-        Runtime.getRuntime().addShutdownHook(atExit);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
     List<Machine> proxies() {
@@ -82,31 +83,33 @@
     }
 
     private void start(Machine machine, boolean firstStart) throws IOException {
-        Path own = folder.resolve(machine.name());
-        Files.createDirectories(own.resolve("data"));
+        Path machineFolder = folder.resolve(machine.name());
+        Files.createDirectories(machineFolder.resolve("data"));
         Path settings = Files.writeString(
-                own.resolve("local.json"), settings(machine, firstStart, own).toPrettyString());
+                machineFolder.resolve("local.json"),
+                settings(machine, firstStart, machineFolder).toPrettyString());
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(FLAGS);
+        command.addAll(JVM_FLAGS);
         command.addAll(program);
         command.addAll(List.of(machine.role(), "--trace"));
         ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
-                .redirectOutput(
-                        ProcessBuilder.Redirect.appendTo(own.resolve("log").toFile()));
-        builder.environment().keySet().retainAll(PASSED_ON);
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(
+                        machineFolder.resolve("log").toFile()));
+        builder.environment().keySet().retainAll(INHERITED_VARIABLES);
         builder.environment().put("SALTDALE_BOOT", settings.toString());
-        builder.environment().put("SALTDALE_LINK_FAULTS", faults(machine.name()).toString());
+        builder.environment()
+                .put("SALTDALE_LINK_FAULTS", faultFile(machine.name()).toString());
         running.put(machine, builder.start());
         expectedToEnd.remove(machine);
     }
 
-    private ObjectNode settings(Machine machine, boolean firstStart, Path own) {
-        String data = machine.isProxy() ? null : own.resolve("data").toString();
-        ObjectNode settings = site.settings(machine, firstStart, data);
+    private ObjectNode settings(Machine machine, boolean firstStart, Path machineFolder) {
+        String data = machine.isProxy() ? null : machineFolder.resolve("data").toString();
+        ObjectNode settings = deployment.settings(machine, firstStart, data);
         ArrayNode seeds = settings.putArray("seed_nodes");
-        controlNodes.stream().limit(SEEDS).forEach(each -> seeds.add(each.at(Machine.CONTROL)));
+        controlNodes.stream().limit(MAX_SEEDS).forEach(each -> seeds.add(each.at(Machine.CONTROL_PORT)));
         settings.putObject("tolerated_losses").put("machines", toleratedLosses);
         return settings;
     }
@@ -115,7 +118,7 @@
         Process process = running.remove(machine);
         if (process != null) {
             process.destroyForcibly();
-            join(process, 5000);
+            waitFor(process, 5000);
         }
     }
 
@@ -134,15 +137,15 @@
             return false; // it was killed meanwhile, and may have begun anew
         }
         Process process = running.remove(machine);
-        if (process == null || join(process, millis)) {
+        if (process == null || waitFor(process, millis)) {
             return false;
         }
         process.destroyForcibly();
-        join(process, 5000);
+        waitFor(process, 5000);
         return true;
     }
 
-    private static boolean join(Process process, long millis) {
+    private static boolean waitFor(Process process, long millis) {
         try {
             return process.waitFor(millis, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
@@ -162,7 +165,7 @@
     private void signal(Machine machine, String name) throws IOException {
         Process process = running.get(machine);
         if (process != null && process.isAlive()) {
-            join(new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start(), 1000);
+            waitFor(new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start(), 1000);
         }
     }
 
@@ -178,9 +181,9 @@
         }
     }
 
-    /** A new control node at an address of its own, in the zone of this one, not yet started. */
+    /** A new control node at an address of its machineFolder, in the zone of this one, not yet started. */
     Machine successorOf(Machine old) {
-        int number = FIRST_SUCCESSOR + successors++;
+        int number = FIRST_SUCCESSOR_HOST_NUMBER + successorCount++;
         String ip = old.ip().substring(0, old.ip().lastIndexOf('.') + 1) + number;
         return new Machine("core-" + old.zone() + "-" + number, old.role(), old.zone(), ip);
     }
@@ -199,40 +202,40 @@
 
     /** Messages between them are lost, in one direction or both. */
     void cut(Machine a, Machine b, boolean oneWay) throws IOException {
-        fault(a, "to " + b.ip());
-        fault(b, "from " + a.ip());
+        addFaultLine(a, "to " + b.ip());
+        addFaultLine(b, "from " + a.ip());
         if (!oneWay) {
-            fault(b, "to " + a.ip());
-            fault(a, "from " + b.ip());
+            addFaultLine(b, "to " + a.ip());
+            addFaultLine(a, "from " + b.ip());
         }
     }
 
-    /** All cuts are over. */
-    void healAll() throws IOException {
-        for (Map.Entry<String, Set<String>> each : cuts.entrySet()) {
+    /** All faultLines are over. */
+    void removeAllCuts() throws IOException {
+        for (Map.Entry<String, Set<String>> each : faultLines.entrySet()) {
             each.getValue().clear();
-            write(each.getKey());
+            writeFaultFile(each.getKey());
         }
     }
 
-    private void fault(Machine at, String line) throws IOException {
-        if (cuts.computeIfAbsent(at.name(), name -> new HashSet<>()).add(line)) {
-            write(at.name());
+    private void addFaultLine(Machine at, String line) throws IOException {
+        if (faultLines.computeIfAbsent(at.name(), name -> new HashSet<>()).add(line)) {
+            writeFaultFile(at.name());
         }
     }
 
-    private void write(String machine) throws IOException {
-        Path written = Files.write(folder.resolve(machine + ".faults.new"), cuts.get(machine));
-        Files.move(written, faults(machine), StandardCopyOption.ATOMIC_MOVE);
+    private void writeFaultFile(String machine) throws IOException {
+        Path written = Files.write(folder.resolve(machine + ".faults.new"), faultLines.get(machine));
+        Files.move(written, faultFile(machine), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    private Path faults(String machine) {
+    private Path faultFile(String machine) {
         return folder.resolve(machine + ".faults");
     }
 
     // What the processes say.
 
-    /** Processes that ended though nobody told them to. */
+    /** NodeProcesses that ended though nobody told them to. */
     List<String> endedByThemselves() {
         return running.entrySet().stream()
                 .filter(each -> !each.getValue().isAlive() && !expectedToEnd.contains(each.getKey()))
@@ -248,11 +251,11 @@
     public void close() {
         for (Process process : running.values()) {
             process.destroyForcibly();
-            join(process, 5000);
+            waitFor(process, 5000);
         }
         running.clear();
         try {
-            Runtime.getRuntime().removeShutdownHook(atExit);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
             // it is on its way
         }
--- a/rig/src/main/java/saltdale/rig/platform/live/SoakContact.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/SoakContact.java
@@ -21,15 +21,15 @@
         contactNanos = contact.toNanos();
     }
 
-    /** A trouble of this machine begins; those of control nodes are the core's. */
-    synchronized void begins(String machine, boolean ofCore) {
+    /** A trouble of this machine begin; those of control nodes are the core's. */
+    synchronized void begin(String machine, boolean ofCore) {
         for (String each : names(machine, ofCore)) {
             troubles.merge(each, 1, Integer::sum);
             disturbedAt.put(each, System.nanoTime());
         }
     }
 
-    synchronized void ends(String machine, boolean ofCore) {
+    synchronized void end(String machine, boolean ofCore) {
         for (String each : names(machine, ofCore)) {
             troubles.merge(each, -1, Integer::sum);
             disturbedAt.put(each, System.nanoTime());
@@ -45,8 +45,8 @@
     }
 
     /** Whether no trouble of a control node is under way, and none was for this long. */
-    synchronized boolean isCoreCalmFor(Duration span) {
-        return isCalm(CORE, System.nanoTime(), span.toNanos());
+    synchronized boolean isCoreUndisturbedFor(Duration span) {
+        return isUndisturbed(CORE, System.nanoTime(), span.toNanos());
     }
 
     /** Whether no trouble of this machine is under way. */
@@ -55,12 +55,12 @@
     }
 
     /** Whether this machine is in touch at this moment. */
-    synchronized boolean inTouch(String machine) {
+    synchronized boolean isInContact(String machine) {
         long now = System.nanoTime();
-        return isCalm(machine, now, contactNanos) && isCalm(CORE, now, contactNanos);
+        return isUndisturbed(machine, now, contactNanos) && isUndisturbed(CORE, now, contactNanos);
     }
 
-    private boolean isCalm(String machine, long now, long span) {
+    private boolean isUndisturbed(String machine, long now, long span) {
         return troubles.getOrDefault(machine, 0) == 0
                 && (!disturbedAt.containsKey(machine) || now - disturbedAt.get(machine) >= span);
     }
--- a/rig/src/main/java/saltdale/rig/platform/live/SoakObserver.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/SoakObserver.java
@@ -10,32 +10,33 @@
 
 /**
  * Looks at all processes of a soak again and again: no invariant is violated, and proxies in touch have what was
- * acknowledged {@code config_apply_ms} before in force, and deny no route of it.
+ * acknowledged {@code config_apply_ms} wasInContact in force, and deny no route of it.
  */
 final class SoakObserver implements Runnable {
-    private static final Duration LIMIT = Duration.ofSeconds(2);
+    private static final Duration CALL_LIMIT = Duration.ofSeconds(2);
     private static final long PAUSE_MILLIS = 100;
-    private static final String VIOLATIONS = "invariant_violations_";
+    private static final String VIOLATION_PREFIX = "invariant_violations_";
 
     private final SoakCluster cluster;
-    private final SoakOrders orders;
+    private final SoakChanges changes;
     private final SoakContact contact;
     private final long applyNanos;
-    private final List<String> faults;
-    private final Set<String> told = new ConcurrentSkipListSet<>(); // so that each violation is told of once
+    private final List<String> failures;
+    private final Set<String> reportedViolations =
+            new ConcurrentSkipListSet<>(); // so that each violation is reportedViolations of once
     private volatile int checks;
-    private volatile boolean over;
+    private volatile boolean stopped;
 
-    SoakObserver(SoakCluster cluster, SoakOrders orders, SoakContact contact, Duration apply, List<String> faults) {
+    SoakObserver(SoakCluster cluster, SoakChanges changes, SoakContact contact, Duration apply, List<String> failures) {
         this.cluster = cluster;
-        this.orders = orders;
+        this.changes = changes;
         this.contact = contact;
-        this.faults = faults;
+        this.failures = failures;
         applyNanos = apply.toNanos();
     }
 
-    void end() {
-        over = true;
+    void stop() {
+        stopped = true;
     }
 
     /** How often a proxy in touch was looked at. */
@@ -45,58 +46,65 @@
 
     @Override
     public void run() {
-        while (!over) {
-            cluster.controlNodes().forEach(each -> lookAt(each, Machine.CONTROL));
-            cluster.proxies().forEach(this::lookAtProxy);
+        while (!stopped) {
+            cluster.controlNodes().forEach(each -> readMetrics(each, Machine.CONTROL_PORT));
+            cluster.proxies().forEach(this::checkProxy);
             try {
                 Thread.sleep(PAUSE_MILLIS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-                over = true;
+                stopped = true;
             }
         }
     }
 
-    /** The figures that it tells; none where it does not answer. Violations among them are faults. */
-    private Map<String, Long> lookAt(Machine machine, int port) {
-        Map<String, Long> figures = new TreeMap<>();
-        PlainHttp.Answer answer = PlainHttp.call(machine.ip(), port, "GET", "/metrics", "Host: metrics\r\n", "", LIMIT);
+    /** The metrics that it tells; none where it does not answer. Violations among them are failures. */
+    private Map<String, Long> readMetrics(Machine machine, int port) {
+        Map<String, Long> metrics = new TreeMap<>();
+        BlockingHttp.Answer answer =
+                BlockingHttp.call(machine.ip(), port, "GET", "/metrics", "Host: metrics\r\n", "", CALL_LIMIT);
         if (answer.status() != 200) {
-            return figures;
+            return metrics;
         }
         answer.body()
                 .lines()
                 .filter(line -> !line.isBlank())
                 .map(line -> line.split(" "))
-                .forEach(line -> figures.put(line[0], Long.valueOf(line[1])));
-        figures.forEach((name, figure) -> {
-            if (name.startsWith(VIOLATIONS) && figure > 0 && told.add(machine.name() + name)) {
-                faults.add(machine.name() + ": " + name + " " + figure);
+                .forEach(line -> metrics.put(line[0], Long.valueOf(line[1])));
+        metrics.forEach((name, value) -> {
+            if (name.startsWith(VIOLATION_PREFIX) && value > 0 && reportedViolations.add(machine.name() + name)) {
+                failures.add(machine.name() + ": " + name + " " + value);
             }
         });
-        return figures;
+        return metrics;
     }
 
-    private void lookAtProxy(Machine proxy) {
-        long due = orders.newestBy(System.nanoTime() - applyNanos);
-        boolean before = contact.inTouch(proxy.name());
-        Map<String, Long> figures = lookAt(proxy, Machine.READINESS);
-        PlainHttp.Answer route =
-                PlainHttp.call(proxy.ip(), Machine.FRONT, "GET", SoakOrders.path(due) + "x", probeHeaders(), "", LIMIT);
-        if (!before || !contact.inTouch(proxy.name()) || due == 0) {
+    private void checkProxy(Machine proxy) {
+        long dueRevision = changes.newestBy(System.nanoTime() - applyNanos);
+        boolean wasInContact = contact.isInContact(proxy.name());
+        Map<String, Long> metrics = readMetrics(proxy, Machine.READINESS_PORT);
+        BlockingHttp.Answer route = BlockingHttp.call(
+                proxy.ip(),
+                Machine.FRONT_PORT,
+                "GET",
+                SoakChanges.path(dueRevision) + "x",
+                probeHeaders(),
+                "",
+                CALL_LIMIT);
+        if (!wasInContact || !contact.isInContact(proxy.name()) || dueRevision == 0) {
             return;
         }
         checks++;
-        long revision = figures.getOrDefault("configuration_revision", -1L);
-        if (figures.isEmpty()) {
-            faults.add(proxy.name() + " is in touch and does not answer");
-        } else if (revision < due) {
-            faults.add(proxy.name() + " is in touch with revision " + revision + ", " + due + " was due; age "
-                    + figures.get("configuration_age_ms") + " ms");
+        long revision = metrics.getOrDefault("configuration_revision", -1L);
+        if (metrics.isEmpty()) {
+            failures.add(proxy.name() + " is in touch and does not answer");
+        } else if (revision < dueRevision) {
+            failures.add(proxy.name() + " is in touch with revision " + revision + ", " + dueRevision + " was due; age "
+                    + metrics.get("configuration_age_ms") + " ms");
         }
         if (route.status() == 404) {
-            faults.add(proxy.name() + " is in touch and denies " + SoakOrders.path(due) + ", revision " + due
-                    + " was due");
+            failures.add(proxy.name() + " is in touch and denies " + SoakChanges.path(dueRevision) + ", revision "
+                    + dueRevision + " was due");
         }
     }
 
--- a/rig/src/main/java/saltdale/rig/platform/live/SoakOperator.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/SoakOperator.java
@@ -12,93 +12,93 @@
  * another control node; reads what is in force now and then. Two of them race on the same base.
  */
 final class SoakOperator implements Runnable {
-    private static final Duration LIMIT = Duration.ofSeconds(1);
-    private static final double LOST = 0.5; // of the answers
-    private static final double INVALID = 0.05; // of the orders
-    private static final int MOST_TRIES = 60;
-    private static final int LONGEST_PAUSE_MILLIS = 400;
+    private static final Duration CALL_LIMIT = Duration.ofSeconds(1);
+    private static final double LOST_ANSWER_SHARE = 0.5; // of the answers
+    private static final double INVALID_CHANGE_SHARE = 0.05; // of the changes
+    private static final int MAX_TRIES = 60;
+    private static final int MAX_PAUSE_MILLIS = 400;
     private static final Pattern REVISION = Pattern.compile("\"revision\":(\\d+)");
 
     private final SoakCluster cluster;
-    private final SoakOrders orders;
+    private final SoakChanges changes;
     private final String name;
-    private final SplittableRandom chance;
-    private volatile boolean over;
+    private final SplittableRandom random;
+    private volatile boolean stopped;
 
-    SoakOperator(SoakCluster cluster, SoakOrders orders, String name, long seed) {
+    SoakOperator(SoakCluster cluster, SoakChanges changes, String name, long seed) {
         this.cluster = cluster;
-        this.orders = orders;
+        this.changes = changes;
         this.name = name;
-        chance = new SplittableRandom(seed);
+        random = new SplittableRandom(seed);
     }
 
-    void end() {
-        over = true;
+    void stop() {
+        stopped = true;
     }
 
     @Override
     public void run() {
         int number = 0;
-        while (!over) {
-            boolean isValid = chance.nextDouble() >= INVALID;
-            send(orders.next(chance.nextInt(1000), name + "-" + number++, isValid));
-            pause(LONGEST_PAUSE_MILLIS);
-            if (chance.nextInt(3) == 0) {
+        while (!stopped) {
+            boolean isValid = random.nextDouble() >= INVALID_CHANGE_SHARE;
+            send(changes.next(random.nextInt(1000), name + "-" + number++, isValid));
+            pause(MAX_PAUSE_MILLIS);
+            if (random.nextInt(3) == 0) {
                 read();
             }
         }
     }
 
-    private void pause(int mostMillis) {
+    private void pause(int maxMillis) {
         try {
-            Thread.sleep(1 + chance.nextInt(mostMillis));
+            Thread.sleep(1 + random.nextInt(maxMillis));
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            over = true;
+            stopped = true;
         }
     }
 
-    private Machine any() {
+    private Machine randomControlNode() {
         List<Machine> all = cluster.controlNodes();
-        return all.get(chance.nextInt(all.size()));
+        return all.get(random.nextInt(all.size()));
     }
 
-    private void send(SoakOrders.Order order) {
-        for (int tries = 0; tries < MOST_TRIES && !over; tries++) {
-            Machine at = any();
-            PlainHttp.Answer answer = PlainHttp.call(
+    private void send(SoakChanges.Change change) {
+        for (int tries = 0; tries < MAX_TRIES && !stopped; tries++) {
+            Machine at = randomControlNode();
+            BlockingHttp.Answer answer = BlockingHttp.call(
                     at.ip(),
-                    Machine.CONTROL,
+                    Machine.CONTROL_PORT,
                     "POST",
                     "/Configuration.Replace",
-                    "Host: core\r\nX-Saltdale-Based-On-Version: " + order.base() + "\r\n",
-                    order.body(),
-                    LIMIT);
+                    "Host: core\r\nX-Saltdale-Based-On-Version: " + change.base() + "\r\n",
+                    change.body(),
+                    CALL_LIMIT);
             // What was answered counts even where the operator loses it and asks again.
             if (answer.status() == 200) {
-                orders.acknowledged(order, at.name());
+                changes.recordAcknowledged(change, at.name());
             } else if (answer.status() / 100 == 4) {
-                orders.refused(order, answer.status(), at.name());
+                changes.recordRefused(change, answer.status(), at.name());
             }
-            boolean clear = answer.status() == 200 || answer.status() / 100 == 4;
-            if (clear && chance.nextDouble() >= LOST) {
+            boolean conclusive = answer.status() == 200 || answer.status() / 100 == 4;
+            if (conclusive && random.nextDouble() >= LOST_ANSWER_SHARE) {
                 if (answer.status() == 412) {
                     read();
                 }
                 return;
             }
-            orders.sentAgain();
-            pause(LONGEST_PAUSE_MILLIS / 2);
+            changes.recordResend();
+            pause(MAX_PAUSE_MILLIS / 2);
         }
     }
 
     private void read() {
-        Machine at = any();
-        long least = orders.newest();
-        PlainHttp.Answer answer =
-                PlainHttp.call(at.ip(), Machine.CONTROL, "GET", "/Configuration.Read", "Host: core\r\n", "", LIMIT);
+        Machine at = randomControlNode();
+        long minRevision = changes.newestAcknowledged();
+        BlockingHttp.Answer answer = BlockingHttp.call(
+                at.ip(), Machine.CONTROL_PORT, "GET", "/Configuration.Read", "Host: core\r\n", "", CALL_LIMIT);
         if (answer.status() == 200) {
-            orders.read(revision(answer.body()), answer.body(), least, at.name());
+            changes.recordRead(revision(answer.body()), answer.body(), minRevision, at.name());
         }
     }
 
--- a/rig/src/test/java/saltdale/rig/platform/ClientRulesTest.java
+++ b/rig/src/test/java/saltdale/rig/platform/ClientRulesTest.java
@@ -16,7 +16,7 @@
     private static final Duration LEFT = Duration.ofSeconds(3);
 
     private static Duration next(boolean idempotent, int status, boolean unread) {
-        return Retrying.next(idempotent, 1, status, unread, null, LEFT);
+        return RetryPolicy.delayBeforeNextTry(idempotent, 1, status, unread, null, LEFT);
     }
 
     @Test
@@ -31,34 +31,40 @@
         for (int status : List.of(200, 400, 401, 404, 413, 431)) {
             assertThat(next(true, status, false), nullValue());
         }
-        assertThat(Retrying.next(true, 3, 503, false, null, LEFT), nullValue());
+        assertThat(RetryPolicy.delayBeforeNextTry(true, 3, 503, false, null, LEFT), nullValue());
     }
 
     @Test
     void retryAfterIsHonouredUpToAThirdOfTheTimeLeft() {
-        assertThat(Retrying.next(true, 1, 503, false, Duration.ofMillis(700), LEFT), is(Duration.ofMillis(700)));
-        assertThat(Retrying.next(true, 1, 503, false, Duration.ofSeconds(9), LEFT), is(Duration.ofSeconds(1)));
+        assertThat(
+                RetryPolicy.delayBeforeNextTry(true, 1, 503, false, Duration.ofMillis(700), LEFT),
+                is(Duration.ofMillis(700)));
+        assertThat(
+                RetryPolicy.delayBeforeNextTry(true, 1, 503, false, Duration.ofSeconds(9), LEFT),
+                is(Duration.ofSeconds(1)));
     }
 
     @Test
     void aFrontThatMissesTwiceGetsNoConnectionsAndFurtherTriesReachOthers() {
-        Site site = Site.small(77, 6, 3);
-        EntryPoint entry = new EntryPoint(site.proxies());
-        site.proxies().forEach(front -> entry.probed(front, true));
+        Deployment deployment = Deployment.small(77, 6, 3);
+        EntryPoint entry = new EntryPoint(deployment.proxies());
+        deployment.proxies().forEach(front -> entry.recordProbe(front, true));
         Machine first = entry.choose("north", 0, 0);
         assertThat(first.zone(), equalTo("north"));
         assertThat(entry.choose("north", 0, 1), not(equalTo(first)));
-        entry.probed(first, false);
-        assertThat(entry.isIn(first), is(true));
-        entry.probed(first, false);
+        entry.recordProbe(first, false);
+        assertThat(entry.isInRotation(first), is(true));
+        entry.recordProbe(first, false);
         assertThat(entry.choose("north", 0, 0), not(equalTo(first)));
         assertThat(entry.choose("north", 0, 0).zone(), equalTo("north"));
-        site.proxies().stream().filter(front -> front.zone().equals("north")).forEach(front -> {
-            entry.probed(front, false);
-            entry.probed(front, false);
-        });
+        deployment.proxies().stream()
+                .filter(front -> front.zone().equals("north"))
+                .forEach(front -> {
+                    entry.recordProbe(front, false);
+                    entry.recordProbe(front, false);
+                });
         assertThat(entry.choose("north", 0, 0).zone(), not(equalTo("north")));
-        entry.probed(first, true);
+        entry.recordProbe(first, true);
         assertThat(entry.choose("north", 0, 0).zone(), equalTo("north"));
     }
 }
--- a/rig/src/test/java/saltdale/rig/platform/PlatformTest.java
+++ b/rig/src/test/java/saltdale/rig/platform/PlatformTest.java
@@ -22,9 +22,9 @@
 
     private final EventQueue time = new EventQueue();
     private final List<String> sockets = new ArrayList<>();
-    private final Site site = Site.small(77, 3, 3);
+    private final Deployment deployment = Deployment.small(77, 3, 3);
     private final Platform platform = new Platform(
-            site,
+            deployment,
             new Clock() {
                 @Override
                 public Duration now() {
@@ -32,8 +32,8 @@
                 }
 
                 @Override
-                public void after(Duration span, Runnable what) {
-                    time.scheduleAfter(span, what);
+                public void schedule(Duration delay, Runnable action) {
+                    time.scheduleAfter(delay, action);
                 }
             },
             new Platform.Sockets() {
@@ -43,7 +43,7 @@
                 }
 
                 @Override
-                public void cease(Instance instance) {
+                public void stopAccepting(Instance instance) {
                     sockets.add("cease " + instance.service.name());
                 }
 
@@ -63,7 +63,7 @@
                 .body()
                 .path("identifier")
                 .asText();
-        return platform.alive().stream()
+        return platform.liveInstances().stream()
                 .filter(each -> each.identifier.equals(identifier))
                 .findFirst()
                 .orElseThrow();
@@ -93,7 +93,7 @@
         assertThat(free(), is(4096));
         pass(A_START);
         assertThat(sockets, contains("listen desk-1"));
-        pass(site.lag());
+        pass(deployment.listLag());
         assertThat(listed(), contains("desk-1 ready"));
         assertThat(free(), is(4096 - 512));
     }
@@ -162,11 +162,11 @@
         assertThat(instance.admit("a", null, null).runs(), is(true));
         platform.stop(null, instance.identifier);
         assertThat(sockets, contains("listen desk-1", "cease desk-1"));
-        pass(site.lag());
+        pass(deployment.listLag());
         assertThat(listed(), empty());
         assertThat(free(), is(4096 - 512));
-        instance.worked();
-        pass(site.lag());
+        instance.requestFinished();
+        pass(deployment.listLag());
         assertThat(free(), is(4096));
     }
 
@@ -175,10 +175,10 @@
         Instance instance = begin("desk-1", "n");
         pass(A_START);
         platform.drain("w-north");
-        pass(site.bounds().drain());
+        pass(deployment.bounds().drain());
         assertThat(listed(), contains("desk-1 draining"));
         assertThat(instance.admit("a", null, null).runs(), is(true));
-        instance.worked();
+        instance.requestFinished();
         pass(Duration.ofSeconds(1));
         assertThat(instance.state(), is(State.ENDED));
     }
@@ -191,10 +191,10 @@
         platform.crash("w-north", Duration.ofSeconds(2));
         assertThat(sockets, contains("listen desk-1", "crash desk-1"));
         assertThat(platform.begin(null, "desk-1", "w-north", "m").status(), is(409));
-        pass(site.lag());
+        pass(deployment.listLag());
         assertThat(listed(), contains("desk-1 ready"));
         assertThat(free(), is(-1));
-        instance.worked(); // its connection closes only now
+        instance.requestFinished(); // its connection closes only now
         pass(Duration.ofSeconds(3));
         assertThat(listed(), empty());
         assertThat(free(), is(4096));
@@ -206,7 +206,7 @@
         pass(A_START);
         platform.stop(null, first.identifier);
         assertThat(begin("press-1", "b").address, not(equalTo(first.address)));
-        pass(site.bounds().addressReuse());
+        pass(deployment.bounds().addressReuse());
         assertThat(begin("press-2", "c").address, equalTo(first.address));
     }
 
@@ -220,7 +220,7 @@
         assertThat(
                 instance.admit("a", instance.identifier, Duration.ofMillis(1)).runs(), is(true));
         assertThat(instance.admit("b", null, null), is(new Instance.Admission(503, true)));
-        instance.worked();
+        instance.requestFinished();
         assertThat(instance.admit("b", null, null).runs(), is(true));
     }
 
@@ -233,22 +233,22 @@
                     .body()
                     .path("identifier")
                     .asText();
-            all.add(platform.alive().stream()
+            all.add(platform.liveInstances().stream()
                     .filter(each -> each.identifier.equals(identifier))
                     .findFirst()
                     .orElseThrow());
         }
         // Memory is for 32 of these on each worker.
-        pass(A_START.plus(site.lag()));
+        pass(A_START.plus(deployment.listLag()));
         JsonNode first = platform.runners(null, null).body();
         assertThat(first.path("instances").size(), is(50));
         platform.stop(null, all.get(3).identifier);
-        pass(site.lag());
+        pass(deployment.listLag());
         JsonNode second =
                 platform.runners(null, first.path("next_page_token").asText()).body();
         assertThat(second.path("instances").size(), is(10));
         assertThat(second.path("next_page_token").isNull(), is(true));
         assertThat(platform.runners("north", null).body().path("instances").size(), is(30));
-        assertThat(platform.alive(), hasSize(59));
+        assertThat(platform.liveInstances(), hasSize(59));
     }
 }
--- a/rig/src/test/java/saltdale/rig/platform/live/LiveTest.java
+++ b/rig/src/test/java/saltdale/rig/platform/live/LiveTest.java
@@ -25,12 +25,12 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import saltdale.protocol.Head;
 import saltdale.rig.platform.Clock;
+import saltdale.rig.platform.Deployment;
 import saltdale.rig.platform.Instance;
 import saltdale.rig.platform.Judge;
 import saltdale.rig.platform.Machine;
 import saltdale.rig.platform.Platform;
 import saltdale.rig.platform.Route;
-import saltdale.rig.platform.Site;
 import saltdale.rig.simulate.EventQueue;
 import saltdale.rig.standin.Exchange;
 import saltdale.rig.standin.LoopThread;
@@ -39,12 +39,12 @@
 import saltdale.transport.Connection;
 import saltdale.transport.Listener;
 
-/** Runners and the operator on sockets; what starts when is simulated. */
+/** RunnerSockets and the operator on sockets; what starts when is simulated. */
 @Timeout(20)
 class LiveTest {
-    private final Site site = Site.small(91, 1, 3);
-    private final Judge judge = new Judge(site.bounds());
-    private final Route route = site.routes().get(2); // to press-1
+    private final Deployment deployment = Deployment.small(91, 1, 3);
+    private final Judge judge = new Judge(deployment.bounds());
+    private final Route route = deployment.routes().get(2); // to press-1
     private final Origin origin = new Origin();
     private final EventQueue starts = new EventQueue();
     private LoopThread loopThread;
@@ -72,12 +72,12 @@
         loopThread.close();
     }
 
-    private void runner(Faults.Kind fault) {
-        Faults faults = new Faults(fault == null ? Map.of() : Map.of(fault, 1.0), 1);
-        faults.on(true);
+    private void runner(RunnerFaults.Kind fault) {
+        RunnerFaults faults = new RunnerFaults(fault == null ? Map.of() : Map.of(fault, 1.0), 1);
+        faults.setEnabled(true);
         loopThread.inside(() -> {
             platform = new Platform(
-                    site,
+                    deployment,
                     new Clock() {
                         @Override
                         public Duration now() {
@@ -85,13 +85,13 @@
                         }
 
                         @Override
-                        public void after(Duration span, Runnable what) {
-                            starts.scheduleAfter(span, what);
+                        public void schedule(Duration delay, Runnable action) {
+                            starts.scheduleAfter(delay, action);
                         }
                     },
-                    new Runners(loopThread, origin, judge, faults, 1),
+                    new RunnerSockets(loopThread, origin, judge, faults, 1),
                     1);
-            judge.offered(site.routes());
+            judge.recordChangeSent(deployment.routes());
             ObjectNode begun = platform.begin(null, "press-1", "w-north", "n").body();
             identifier = begun.path("identifier").asText();
             address = begun.path("address").asText();
@@ -102,7 +102,7 @@
     private CompletableFuture<HttpCall.Answer> call(String id, String more) {
         CompletableFuture<HttpCall.Answer> answer = new CompletableFuture<>();
         loopThread.inside(() -> {
-            judge.sent(origin.now(), id, route, "GET /press1/x ", "p");
+            judge.recordTrySent(origin.now(), id, route, "GET /press1/x ", "p");
             HttpCall.send(
                     loopThread,
                     Address.parse(address),
@@ -119,50 +119,50 @@
     @Test
     void aRunnerRunsOneRequestAndTurnsAwayWhatIsOverOrForAnother() {
         runner(null);
-        Instance instance = platform.alive().get(0);
+        Instance instance = platform.liveInstances().get(0);
         loopThread.inside(() -> instance.admit("b", null, null));
         HttpCall.Answer full = call("a", "").join();
         assertThat(full.status(), is(503));
         assertThat(full.head().header("X-Saltdale-Not-Executed"), notNullValue());
-        loopThread.inside(instance::worked);
+        loopThread.inside(instance::requestFinished);
         HttpCall.Answer whole =
                 call("a", "X-Saltdale-Expected-Runner: " + identifier + "\r\n").join();
         assertThat(whole.status(), is(200));
         assertThat(whole.head().header("X-Saltdale-Attempt-Id"), equalTo("a"));
         String seal = whole.head().header("X-Saltdale-Runner-Seal");
-        assertThat(whole.body(), equalTo(Judge.body(seal)));
+        assertThat(whole.body(), equalTo(Judge.bodyFor(seal)));
         assertThat(call("c", "X-Saltdale-Expected-Runner: i-other\r\n").join().status(), is(421));
         assertThat(call("d", "X-Saltdale-Deadline-Remaining: 1\r\n").join().status(), is(504));
         loopThread.inside(() -> {
-            judge.answered(origin.now(), "a", 200, seal, "a", whole.body());
+            judge.recordAnswer(origin.now(), "a", 200, seal, "a", whole.body());
             platform.stop(null, identifier);
         });
-        assertThat(judge.told().toString(), judge.broken(), is(0));
+        assertThat(judge.breachMessages().toString(), judge.breachCount(), is(0));
         assertThat(call("e", "").join(), nullValue());
     }
 
     @ParameterizedTest
     @EnumSource(
-            value = Faults.Kind.class,
+            value = RunnerFaults.Kind.class,
             names = {"LOST", "GARBLED", "CUT"})
-    void aSpoiltAnswerIsNoAnswer(Faults.Kind kind) {
+    void aSpoiltAnswerIsNoAnswer(RunnerFaults.Kind kind) {
         runner(kind);
         assertThat(call("a", "").join(), nullValue());
-        loopThread.inside(() -> judge.garbage(origin.now(), "a")); // as the runner broke it off
-        assertThat(judge.told().toString(), judge.broken(), is(0));
+        loopThread.inside(() -> judge.recordMalformedAnswer(origin.now(), "a")); // as the runner broke it off
+        assertThat(judge.breachMessages().toString(), judge.breachCount(), is(0));
     }
 
     @Test
     void theOperatorFollowsToTheOneThatTakesItAndMovesOnAfterAFailure() {
         List<String> calls = new ArrayList<>();
-        List<Machine> controlNodes = site.controlNodes();
-        String last = controlNodes.get(2).at(Machine.CONTROL);
+        List<Machine> controlNodes = deployment.controlNodes();
+        String last = controlNodes.get(2).at(Machine.CONTROL_PORT);
         control(controlNodes.get(0), calls, 503, "");
         control(controlNodes.get(1), calls, 307, "Location: http://" + last + "/elsewhere\r\n");
         control(controlNodes.get(2), calls, 200, "");
         CompletableFuture<HttpCall.Answer> answer = new CompletableFuture<>();
-        loopThread.inside(
-                () -> new Operator(loopThread, site).change("Replace", 0, site.replacement(1), answer::complete));
+        loopThread.inside(() ->
+                new Operator(loopThread, deployment).change("Replace", 0, deployment.replacement(1), answer::complete));
         assertThat(answer.orTimeout(10, TimeUnit.SECONDS).join().status(), is(200));
         loopThread.inside(() -> {}); // guards against reading what the loop has not written yet
         assertThat(
@@ -176,7 +176,7 @@
                 new Listener(
                         loopThread.loop,
                         loopThread.sockets,
-                        Address.parse(controlNode.at(Machine.CONTROL)),
+                        Address.parse(controlNode.at(Machine.CONTROL_PORT)),
                         (connection, full) -> new Control(connection, calls, status, headers));
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
@@ -211,14 +211,20 @@
 
     @Test
     void whatIsReadBackMayBeInAnotherOrderAndNothingElse() {
-        ObjectNode sent = site.configuration(3, site.amended());
-        ObjectNode read = site.configuration(3, site.amended());
+        ObjectNode sent = deployment.configuration(3, deployment.amendedRoutes());
+        ObjectNode read = deployment.configuration(3, deployment.amendedRoutes());
         read.withArray("/routes").add(read.withArray("/routes").remove(0));
-        assertThat(Trial.differs(sent, read), nullValue());
+        assertThat(EndToEndRun.difference(sent, read), nullValue());
         read.withArray("/routes").remove(0);
-        assertThat(Trial.differs(sent, read), containsString("has other routes"));
-        assertThat(Trial.differs(sent, site.configuration(4, site.amended())), containsString("revision"));
-        assertThat(Trial.differs(site.replacement(3), site.configuration(3, List.of())), containsString("routes"));
-        assertThat(Trial.differs(site.configuration(3, List.of()), site.replacement(3)), containsString("more routes"));
+        assertThat(EndToEndRun.difference(sent, read), containsString("has other routes"));
+        assertThat(
+                EndToEndRun.difference(sent, deployment.configuration(4, deployment.amendedRoutes())),
+                containsString("revision"));
+        assertThat(
+                EndToEndRun.difference(deployment.replacement(3), deployment.configuration(3, List.of())),
+                containsString("routes"));
+        assertThat(
+                EndToEndRun.difference(deployment.configuration(3, List.of()), deployment.replacement(3)),
+                containsString("more routes"));
     }
 }
--- a/tools/src/main/java/saltdale/tools/Platform.java
+++ b/tools/src/main/java/saltdale/tools/Platform.java
@@ -11,13 +11,13 @@
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
 import saltdale.rig.plan.Misread;
+import saltdale.rig.platform.Deployment;
 import saltdale.rig.platform.Machine;
-import saltdale.rig.platform.Site;
-import saltdale.rig.platform.live.Faults;
-import saltdale.rig.platform.live.Processes;
+import saltdale.rig.platform.live.EndToEndRun;
+import saltdale.rig.platform.live.NodeProcesses;
+import saltdale.rig.platform.live.PlatformStandIn;
+import saltdale.rig.platform.live.RunnerFaults;
 import saltdale.rig.platform.live.Soak;
-import saltdale.rig.platform.live.StandIn;
-import saltdale.rig.platform.live.Trial;
 
 @Command(
         name = "platform",
@@ -52,14 +52,14 @@
                 description = "Machines at 127.N.zone.number, runners at 127.N+1 (default: ${DEFAULT-VALUE}).")
         private int net;
 
-        Site site() {
+        Deployment site() {
             return site(0);
         }
 
         /** The same at other addresses: what an earlier one listens at in this process stays taken. */
-        Site site(int offset) {
+        Deployment site(int offset) {
             try {
-                return Site.small(net + offset, proxies, controlNodes);
+                return Deployment.small(net + offset, proxies, controlNodes);
             } catch (IllegalArgumentException e) {
                 throw new Misread(e.getMessage());
             }
@@ -127,15 +127,17 @@
                 throw new Misread("--seconds and --rate: wanted over 0");
             }
             Path jar = build.jar();
-            Trial.Day day = new Trial.Day(seconds, rate, drain, crash);
-            return Trial.play(size.site(), day, jar, build.out, new Faults(kinds(), seed), seed, System.out) ? 0 : 1;
+            EndToEndRun.Scenario day = new EndToEndRun.Scenario(seconds, rate, drain, crash);
+            return EndToEndRun.run(size.site(), day, jar, build.out, new RunnerFaults(kinds(), seed), seed, System.out)
+                    ? 0
+                    : 1;
         }
 
-        private Map<Faults.Kind, Double> kinds() {
-            Map<Faults.Kind, Double> kinds = new EnumMap<>(Faults.Kind.class);
+        private Map<RunnerFaults.Kind, Double> kinds() {
+            Map<RunnerFaults.Kind, Double> kinds = new EnumMap<>(RunnerFaults.Kind.class);
             faults.forEach((name, share) -> {
                 try {
-                    kinds.put(Faults.Kind.valueOf(name.toUpperCase(java.util.Locale.ROOT)), share);
+                    kinds.put(RunnerFaults.Kind.valueOf(name.toUpperCase(java.util.Locale.ROOT)), share);
                 } catch (IllegalArgumentException e) {
                     throw new Misread("--fault: there is no " + name);
                 }
@@ -175,7 +177,7 @@
             int failed = 0;
             for (int i = 0; i < seeds; i++) {
                 Path folder = build.out.resolve("seed-" + (seed + i));
-                boolean passed = Soak.play(size.site(2 * i), program, folder, bouts, seed + i, System.out);
+                boolean passed = Soak.run(size.site(2 * i), program, folder, bouts, seed + i, System.out);
                 failed += passed ? 0 : 1;
             }
             System.out.println(seeds + " seeds, " + failed + " failed");
@@ -208,11 +210,12 @@
 
         @Override
         public Integer call() throws Exception {
-            Site site = size.site();
-            try (StandIn standIn = new StandIn(site, new Faults(Map.of(), 1), 1, calls)) {
-                System.out.println("platform at " + site.platform());
+            Deployment site = size.site();
+            try (PlatformStandIn standIn = new PlatformStandIn(site, new RunnerFaults(Map.of(), 1), 1, calls)) {
+                System.out.println("platform at " + site.platformAddress());
                 if (configure) {
-                    standIn.operate(status -> System.out.println("configuration answered with " + status));
+                    standIn.sendFirstConfiguration(
+                            status -> System.out.println("configuration answered with " + status));
                 }
                 Thread.sleep(StandInNodes.span("--for", length).toMillis());
             }
@@ -234,8 +237,8 @@
         @Override
         public Integer call() throws Exception {
             Path jar = build.jar == null ? Main.home().resolve(Build.DEFAULT) : build.jar;
-            Processes processes = new Processes(size.site(), jar, build.out);
-            for (Map.Entry<Machine, Path> each : processes.settings().entrySet()) {
+            NodeProcesses processes = new NodeProcesses(size.site(), jar, build.out);
+            for (Map.Entry<Machine, Path> each : processes.writeSettings().entrySet()) {
                 System.out.println(
                         "SALTDALE_BOOT=" + each.getValue() + " " + String.join(" ", processes.command(each.getKey())));
             }
--- a/tools/src/test/java/saltdale/tools/SoakTest.java
+++ b/tools/src/test/java/saltdale/tools/SoakTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import saltdale.rig.platform.Site;
+import saltdale.rig.platform.Deployment;
 import saltdale.rig.platform.live.Soak;
 
 /**
@@ -29,7 +29,7 @@
         List<String> program = List.of("-cp", System.getProperty("java.class.path"), "saltdale.node.Main");
         ByteArrayOutputStream told = new ByteArrayOutputStream();
         PrintStream out = new PrintStream(told, true, StandardCharsets.UTF_8);
-        boolean passed = Soak.play(Site.small(NET, 2, 3), program, folder, 1, 1, out);
+        boolean passed = Soak.run(Deployment.small(NET, 2, 3), program, folder, 1, 1, out);
         assertTrue(passed, told.toString(StandardCharsets.UTF_8));
     }
 }
