--- a/rig/src/main/java/saltdale/rig/platform/Bounds.java
+++ b/rig/src/main/java/saltdale/rig/platform/Bounds.java
@@ -4,9 +4,10 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.time.Duration;
 
-/** The figures of the rules in force. */
+/** The numeric bounds of the contracts in force, as the nodes get them in their settings and the judge applies them. */
 public record Bounds(
         Duration addressReuse, Duration contact, Duration drain, Duration grace, Duration configApply, int limitSlack) {
+    /** The bounds that every deployment of the rig uses. */
     public static final Bounds DEFAULTS = new Bounds(
             Duration.ofSeconds(2),
             Duration.ofSeconds(4),
--- a/rig/src/main/java/saltdale/rig/platform/DelayedMap.java
+++ b/rig/src/main/java/saltdale/rig/platform/DelayedMap.java
@@ -6,7 +6,7 @@
 import java.util.SortedMap;
 import java.util.TreeMap;
 
-/** A table that is visible as it was some time ago. */
+/** A map whose changes become visible to readers after a fixed delay. */
 final class DelayedMap<K extends Comparable<K>, V> {
     private record Change<K, V>(Duration at, K key, V value) {}
 
@@ -18,11 +18,12 @@
         this.delay = delay;
     }
 
-    /** From now on the key has this value; null where it has none. */
+    /** Sets the value of the key from {@code now} on; null removes the key. */
     void set(Duration now, K key, V value) {
         pending.add(new Change<>(now, key, value));
     }
 
+    /** Returns the content as readers see it at {@code now}; calls must come in order of time. */
     SortedMap<K, V> at(Duration now) {
         while (!pending.isEmpty() && pending.peek().at.plus(delay).compareTo(now) <= 0) {
             Change<K, V> change = pending.poll();
--- a/rig/src/main/java/saltdale/rig/platform/Deployment.java
+++ b/rig/src/main/java/saltdale/rig/platform/Deployment.java
@@ -9,10 +9,13 @@
 import java.util.stream.Stream;
 
 /**
- * A small deployment on loopback: 127.net.zone.number are the machines, 127.(net + 1).zone.number the runners.
+ * A small deployment on loopback addresses: machines are at 127.net.zone.number, runners at
+ * 127.(net + 1).zone.number.
  *
- * @param net the second figure of the machines' addresses, so that several can stand side by side
- * @param listLag by which the platformAddress's lists run behind
+ * @param net the second octet of the machines' addresses, so that several deployments can run side by side
+ * @param listLag the delay with which changes appear in the platform's lists
+ * @param ratePerS the number of list calls that the platform accepts in any second
+ * @param dutyPerS the number of starts and stops that the platform accepts in any second
  */
 public record Deployment(
         int net,
@@ -29,10 +32,13 @@
     private static final String REGION = "harbour";
     private static final int RARE_SERVICES = 6;
 
-    /** A worker machine, as it stands when the day begins. */
+    /** A worker machine in its initial state. */
     public record Worker(String name, String zone, int memoryMb) {}
 
-    /** Three zones with a worker each; a busy service that may not be repeated, a busy one that may, six rare ones. */
+    /**
+     * Returns a deployment of three zones with one worker each, and of eight services: a busy one for non-idempotent
+     * requests, a busy one for idempotent requests, and six that are called rarely.
+     */
     public static Deployment small(int net, int proxies, int controlNodes) {
         if (net < 1
                 || net > 254
@@ -122,17 +128,20 @@
         return machines.stream().filter(machine -> !machine.isProxy()).toList();
     }
 
-    /** Where the platformAddress is called. */
+    /** The address of the platform's API. */
     public String platformAddress() {
         return "127." + net + ".250.1:8240";
     }
 
-    /** Where the runnerAddress at this number of a zone listens. */
+    /** The address of the runner with this number in a zone. */
     String runnerAddress(String zone, int number) {
         return "127." + (net + 1) + "." + (ZONES.indexOf(zone) + 1) + "." + number + ":8080";
     }
 
-    /** The routes once the operator has amendedRoutes them: one is new, one goes to another service, one is gone. */
+    /**
+     * The routes after the operator's amendment: one is added, one is moved to another service, and the unused
+     * one is removed.
+     */
     public List<Route> amendedRoutes() {
         Route movedRoute = movedRoute();
         return Stream.concat(
@@ -190,7 +199,11 @@
         return root;
     }
 
-    /** What a process is told; {@code data}: the folder of its disk, null where it has none. */
+    /**
+     * The settings file of a node.
+     *
+     * @param data the node's data directory; null for a node without a disk
+     */
     public ObjectNode settings(Machine machine, boolean firstStart, String data) {
         ObjectNode root = JsonNodeFactory.instance
                 .objectNode()
--- a/rig/src/main/java/saltdale/rig/platform/EntryPoint.java
+++ b/rig/src/main/java/saltdale/rig/platform/EntryPoint.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Which front a new connection of a client goes to, by what the probes of readiness saw. */
+/** Chooses the front that a new client connection goes to, by the results of the readiness probes. */
 public final class EntryPoint {
     private static final int MISSED_PROBES_LIMIT = 2;
 
@@ -14,9 +14,11 @@
     public EntryPoint(List<Machine> fronts) {
         this.fronts = fronts;
         consecutiveMisses = new int[fronts.size()];
-        Arrays.fill(consecutiveMisses, MISSED_PROBES_LIMIT); // none is ownZoneInRotation before it has answered
+        Arrays.fill(
+                consecutiveMisses, MISSED_PROBES_LIMIT); // a front is out of rotation until its first successful probe
     }
 
+    /** Records the result of a readiness probe; two failures in a row take the front out of rotation. */
     public void recordProbe(Machine front, boolean ready) {
         int i = fronts.indexOf(front);
         consecutiveMisses[i] = ready ? 0 : consecutiveMisses[i] + 1;
@@ -26,7 +28,12 @@
         return consecutiveMisses[fronts.indexOf(front)] < MISSED_PROBES_LIMIT;
     }
 
-    /** {@code previousTries}: tries that its client has made before, which reach other fronts. */
+    /**
+     * Chooses the front for a new connection.
+     *
+     * @param hash identifies the client, whose connections go to the same front while the rotation stays the same
+     * @param previousTries the number of earlier tries of the request, so that each further try reaches another front
+     */
     public Machine choose(String zone, int hash, int previousTries) {
         List<Machine> ownZone =
                 fronts.stream().filter(front -> front.zone().equals(zone)).toList();
@@ -38,7 +45,8 @@
         if (candidates.isEmpty()) {
             candidates = fronts;
         } else if (previousTries > 0 && candidates.size() == 1) {
-            // Our reading: where a zone has but one front, previousTries tries reach those of the other zones.
+            // An interpretation of the specification: where a zone has only one front, further tries reach the fronts
+            // of the other zones.
             List<Machine> allInRotation =
                     new ArrayList<>(fronts.stream().filter(this::isInRotation).toList());
             candidates = allInRotation.isEmpty() ? candidates : allInRotation;
--- a/rig/src/main/java/saltdale/rig/platform/Instance.java
+++ b/rig/src/main/java/saltdale/rig/platform/Instance.java
@@ -2,22 +2,23 @@
 
 import java.time.Duration;
 
-/** One life of a runner: how far it has come, and which requests it works on. */
+/** One runner from start to end: its state and the number of requests that it works on. */
 public final class Instance {
-    /** How far a life has come. */
+    /** The states of a runner, in the order in which it passes them. */
     public enum State {
         BOOTING,
         READY,
         DRAINING,
+        /** It accepts no connections, and ends with its last request. */
         CEASED,
         ENDED
     }
 
     /**
-     * What a runner does with a request.
+     * A runner's decision on a request.
      *
-     * @param status 200 where it runs it, else the answer that says it was not run
-     * @param full whether it is turned away because {@code max_concurrency} are at work
+     * @param status 200 if the runner executes it, otherwise the status of the answer that says it was not executed
+     * @param full whether it was rejected because {@code max_concurrency} requests are being executed
      */
     public record Admission(int status, boolean full) {
         public boolean runs() {
@@ -30,7 +31,7 @@
     public final Service service;
     public final String address;
     public final Deployment.Worker worker;
-    /** Of its work time; runners of one service vary. */
+    /** A factor of the work time, since the runners of one service vary in speed. */
     public final double workTimeFactor;
 
     private final Platform platform;
@@ -62,6 +63,7 @@
         state = next;
     }
 
+    /** Whether the runner is draining, or past that. */
     public boolean isLeaving() {
         return state.compareTo(State.DRAINING) >= 0;
     }
@@ -71,10 +73,10 @@
     }
 
     /**
-     * Takes a request in or turns it away; {@link #requestFinished} follows if it runs.
+     * Accepts or rejects a request; {@link #requestFinished} follows for each accepted one.
      *
-     * @param expected the identifier that its sender expects; null for any
-     * @param remaining of its deadline; null where it names none
+     * @param expected the identifier of the runner that the sender expects; null for any
+     * @param remaining the time left until the request's deadline; null if it has none
      */
     public Admission admit(String attemptId, String expected, Duration remaining) {
         if (expected != null && !expected.equals(identifier)) {
@@ -92,7 +94,7 @@
         return new Admission(200, false);
     }
 
-    /** It works on one request less. */
+    /** Records that an accepted request has ended. */
     public void requestFinished() {
         activeRequests--;
         platform.endIfIdle(this);
--- a/rig/src/main/java/saltdale/rig/platform/Judge.java
+++ b/rig/src/main/java/saltdale/rig/platform/Judge.java
@@ -14,11 +14,11 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Judges by what clients, runners and the operator saw. It is breachMessages in the order of time. Less than the pages have:
- * no DRAIN, LOST, BUDGET nor RECOVER.
+ * Checks the contracts by what clients, runners and the operator observed. Events have to be recorded in order of
+ * time. The contracts DRAIN, LOST, BUDGET and RECOVER are not checked here.
  */
 public final class Judge {
-    /** The rules that are judged. */
+    /** The rules that are checked. */
     public enum Rule {
         TWICE,
         MIXED,
@@ -31,10 +31,9 @@
     }
 
     private static final Duration LIMIT_WINDOW = Duration.ofSeconds(5);
-    private static final int MAX_LISTED_BREACHES =
-            20; // breaches breachMessages one by one; beyond that they are counted
+    private static final int MAX_LISTED_BREACHES = 20; // further breaches are only counted
 
-    /** A try of a client. */
+    /** One try of a client request. */
     private static final class Try {
         final Duration sentAt;
         final Route route;
@@ -54,7 +53,9 @@
 
     private record Run(String attemptId, boolean succeeds) {}
 
-    /** A configuration that was sent; in force for certain some time after its acknowledgement. */
+    /**
+     * A configuration that was sent; it is certain to be in force {@code config_apply_ms} after its acknowledgement.
+     */
     private static final class Version {
         final Map<String, String> serviceByRoute = new HashMap<>();
         Duration acknowledgedAt;
@@ -87,7 +88,7 @@
 
     // The operator.
 
-    /** Sends a configuration; returns its number here. */
+    /** Records that a configuration is sent; returns its index, which {@link #recordChangeAcknowledged} takes. */
     public int recordChangeSent(List<Route> routes) {
         Version version = new Version();
         routes.forEach(route -> version.serviceByRoute.put(routeKey(route), route.service()));
@@ -95,11 +96,12 @@
         return versions.size() - 1;
     }
 
+    /** Records the acknowledgement of the configuration with this index. */
     public void recordChangeAcknowledged(Duration now, int version) {
         versions.get(version).acknowledgedAt = now;
     }
 
-    /** The configuration that was read back is not the one that was acknowledged. */
+    /** Records that the configuration read back is not the one that was acknowledged. */
     public void recordReadBackMismatch(Duration now, String message) {
         breach(now, Rule.CONFIG, message);
     }
@@ -108,9 +110,14 @@
         return route.hostname() + route.pathPrefix();
     }
 
-    // Trouble.
+    // Disturbances.
 
-    /** A machine was killed, or runners were harmed: until then, and for {@code contact_ms} more. */
+    /**
+     * Records that a machine was killed or that runners were harmed. Until {@code until} and for {@code contact_ms}
+     * after it, the rules that assume contact don't apply.
+     *
+     * @param machine the machine out of contact; null if only runners are concerned
+     */
     public void beginDisturbance(String machine, Duration until) {
         Duration end = until.plus(bounds.contact());
         disturbedUntil = disturbedUntil.compareTo(end) > 0 ? disturbedUntil : end;
@@ -119,7 +126,7 @@
         }
     }
 
-    /** It is back already: only {@code contact_ms} more. */
+    /** Records that the machine is back early: the disturbance ends {@code contact_ms} from now. */
     public void endDisturbance(String machine, Duration now) {
         disturbedUntil = now.plus(bounds.contact());
         outOfContactUntil.put(machine, disturbedUntil);
@@ -131,17 +138,21 @@
 
     // Clients.
 
-    /** {@code request}: method, path and body, as a runner is to see them. */
+    /**
+     * Records that a try is sent.
+     *
+     * @param request method, target and body, as the runner has to receive them
+     */
     public void recordTrySent(Duration now, String attemptId, Route route, String request, String machine) {
         triesSent++;
         tries.put(attemptId, new Try(now, route, request, machine));
     }
 
     /**
-     * A whole answer has come.
+     * Records a complete answer.
      *
-     * @param seal null where there is none
-     * @param answeredId what the answer names as the attempt; null where it names none
+     * @param seal the runner's seal; null if the answer has none
+     * @param answeredId the attempt that the answer names; null if it names none
      */
     public void recordAnswer(Duration now, String attemptId, int status, String seal, String answeredId, byte[] body) {
         Try sentTry = tries.get(attemptId);
@@ -181,7 +192,11 @@
         }
     }
 
-    /** What came was no answer, or came where no request was waiting; {@code attemptId} null for the latter. */
+    /**
+     * Records bytes that are no valid answer, or that came while no request was waiting.
+     *
+     * @param attemptId the attempt that was waiting; null if there was none
+     */
     public void recordMalformedAnswer(Duration now, String attemptId) {
         if (attemptId == null || !tries.get(attemptId).brokenByRunner) {
             breach(
@@ -193,7 +208,11 @@
         }
     }
 
-    /** All is over with what a client wanted; {@code status} of its last try, 0 where no answer came. */
+    /**
+     * Records the end of a client request with all its tries.
+     *
+     * @param status the status of the last try; 0 if no answer came
+     */
     public void recordRequestEnded(Route route, Duration elapsed, int status) {
         requestCount++;
         if (status / 100 == 2) {
@@ -208,14 +227,14 @@
         }
     }
 
-    /** What became of those that were not servedCount: outcome often the last try ended outcome, by service. */
+    /** The numbers of unserved requests by service and by the outcome of their last try. */
     public Map<String, Map<String, Integer>> unservedByService() {
         return unservedByOutcome;
     }
 
-    // RunnerSockets.
+    // Runners.
 
-    /** A runner begins to work on a request. */
+    /** Records that a runner begins to execute a request. */
     public void recordRun(
             Duration now, String attemptId, String service, String seal, String request, boolean succeeds) {
         runs.put(seal, new Run(attemptId, succeeds));
@@ -245,7 +264,7 @@
         }
     }
 
-    /** The runner will break its answer off, or send what is none. */
+    /** Announces that the runner will break its answer off, or send bytes that are no answer. */
     public void expectBrokenAnswer(String attemptId) {
         Try sentTry = tries.get(attemptId);
         if (sentTry != null) {
@@ -253,7 +272,7 @@
         }
     }
 
-    /** A runner turns a request away as {@code max_concurrency} are at work. */
+    /** Records that a runner rejects a request because {@code max_concurrency} requests are being executed. */
     public void recordRejectedAsFull(Duration now, String service) {
         rejectedAsFull++;
         if (now.compareTo(disturbedUntil) < 0) {
@@ -273,7 +292,7 @@
         }
     }
 
-    /** The body of the run with this seal: no other run has the same. */
+    /** The response body of the run with this seal; no other run has the same. */
     public static byte[] bodyFor(String seal) {
         byte[] body = new byte[2400];
         for (int i = 0; i < body.length; i++) {
@@ -288,7 +307,7 @@
         }
     }
 
-    /** The versions that may be in force for a request, by when it was sent. */
+    /** The versions that may be in force for a request, by the time at which it was sent. */
     private List<Version> versionsPossiblyInForce(Try sentTry) {
         int from = 0;
         for (int i = 0; i < versions.size(); i++) {
@@ -310,10 +329,12 @@
 
     // The verdict.
 
+    /** The number of breaches; for {@link Rule#DENIED}, 1 if more tries than tolerated were denied. */
     public int breachCount(Rule rule) {
         return rule == Rule.DENIED ? (deniedTries > 5 + triesSent / 500 ? 1 : 0) : breachCounts.get(rule);
     }
 
+    /** The number of breaches of all rules. */
     public int breachCount() {
         int total = 0;
         for (Rule rule : Rule.values()) {
@@ -322,19 +343,22 @@
         return total;
     }
 
-    /** The first breaches, one a line. */
+    /** The first breaches, one message each. */
     public List<String> breachMessages() {
         return breachMessages;
     }
 
+    /** The number of client requests that have ended. */
     public long requestCount() {
         return requestCount;
     }
 
+    /** The number of client requests that ended with a success. */
     public long servedCount() {
         return servedCount;
     }
 
+    /** The result in one line. */
     public String verdict() {
         List<String> rules = new ArrayList<>();
         for (Rule rule : Rule.values()) {
--- a/rig/src/main/java/saltdale/rig/platform/Platform.java
+++ b/rig/src/main/java/saltdale/rig/platform/Platform.java
@@ -14,20 +14,20 @@
 import java.util.SplittableRandom;
 import saltdale.rig.platform.Instance.State;
 
-/** The platform's rules: workers and their memory, starts and stops of runners, and the lists of both. */
+/** A model of the platform: workers and their memory, starts and stops of runners, and the lists of both. */
 public final class Platform {
-    /** Who holds the runners' sockets. */
+    /** Opens and closes the sockets of the runners. */
     public interface Sockets {
         void listen(Instance instance);
 
-        /** It takes rejection connection more; requests that it works on go on. */
+        /** The runner accepts no further connections; the requests it is executing continue. */
         void stopAccepting(Instance instance);
 
-        /** It is gone at once, with all that it works on. */
+        /** The runner is gone at once, with all requests that it is executing. */
         void crash(Instance instance);
     }
 
-    /** An answer of the platform. */
+    /** A response of the platform's API. */
     public record Reply(int status, ObjectNode body) {
         static Reply of(int status) {
             return new Reply(status, JsonNodeFactory.instance.objectNode());
@@ -36,7 +36,7 @@
 
     private static final int PAGE_SIZE = 50;
     private static final int MAX_NONCE_LENGTH = 64;
-    private static final Duration DRAIN_MARGIN = Duration.ofMillis(500); // "and a little longer"
+    private static final Duration DRAIN_MARGIN = Duration.ofMillis(500); // the specification says "and a little longer"
     private static final Duration CRASH_DETECTION_DELAY = Duration.ofSeconds(3);
 
     private static final class WorkerState {
@@ -97,7 +97,7 @@
         dutyLimiter = new RateLimiter(deployment.dutyPerS());
         deployment.workers().forEach(worker -> {
             workerStates.put(worker.name(), new WorkerState(worker));
-            // Long there when the day begins.
+            // The workers have been listed since long before the run starts.
             workers.set(
                     clock.now().minus(deployment.listLag()),
                     worker.name(),
@@ -106,7 +106,7 @@
         });
     }
 
-    /** {@code GET /runners}; zone and page may be null. */
+    /** {@code GET /runners}; {@code zone} and {@code page} may be null. */
     public Reply runners(String zone, String page) {
         callCount++;
         if (!readLimiter.tryAcquire(clock.now())) {
@@ -157,7 +157,8 @@
             return rejection;
         }
         Service service = services.get(serviceName);
-        // Nonces are of any text; the bound on their bytes is held for those of ASCII, as all that is sent here is.
+        // A nonce may be any text; its bound is in bytes, and is applied here to characters, since the nodes send ASCII
+        // only.
         if (service == null
                 || worker == null
                 || nonce == null
@@ -218,13 +219,14 @@
         return Reply.of(200);
     }
 
-    /** What forbids a start or stop; null for nothing. */
+    /** Returns the rejection of a start or stop; null if it is allowed. */
     private Reply dutyRejection(Long fence) {
         if (!dutyLimiter.tryAcquire(clock.now())) {
             return refuseOverRate();
         }
-        // The pages name the header X-Saltdale-Fence-Number and say nothing of what the platform does with it: that
-        // a number lower than one seen before is overRateCount, with 409, is our reading. A call without it is taken.
+        // The specification names the header X-Saltdale-Fence-Number but not what the platform does with it.
+        // Interpretation: a number lower than one seen before is rejected with 409, and a call without the header is
+        // accepted.
         if (fence != null) {
             if (fence < highestFenceNumber) {
                 return Reply.of(409);
@@ -245,7 +247,10 @@
         return reply;
     }
 
-    /** An address: the one that has been freeMemoryMb for longest, once it may be used again; null where there is none. */
+    /**
+     * Returns the address that has been free for longest if it may be used again, otherwise a new one; null if
+     * there is none.
+     */
     private String allocateAddress(String zone) {
         FreedAddress longestFree = freedAddresses.get(zone).peek();
         if (longestFree != null
@@ -259,7 +264,7 @@
         return number > 254 ? null : deployment.runnerAddress(zone, number);
     }
 
-    // Lives.
+    // Lifecycle of runners.
 
     private void drain(Instance instance) {
         if (instance.state() == State.READY) {
@@ -282,7 +287,7 @@
         endIfIdle(instance);
     }
 
-    /** It may have done its last request. */
+    /** Ends a runner that accepts no requests and has finished its last one. */
     void endIfIdle(Instance instance) {
         if (instance.state() == State.CEASED && instance.activeRequests() == 0) {
             end(instance);
@@ -299,11 +304,12 @@
         freedAddresses.get(instance.worker.zone()).add(new FreedAddress(instance.address, clock.now()));
     }
 
+    /** The memory that a runner has held so far, in MB seconds. */
     private double memoryMbSecondsOf(Instance instance) {
         return clock.now().minus(memoryHeldSince.get(instance)).toMillis() / 1e3 * instance.service.memoryMb();
     }
 
-    /** A worker is emptied: its runners leave in order, and it takes none until {@link #restore}. */
+    /** Drains a worker: its runners are drained and end, and it accepts no starts until {@link #restore}. */
     public void drain(String worker) {
         WorkerState workerState = workerStates.get(worker);
         workerState.draining = true;
@@ -311,14 +317,15 @@
         instancesOn(worker).forEach(this::drain);
     }
 
-    /** A worker crashes with all its runners, and comes back empty. */
+    /** Crashes a worker with all its runners; it comes back empty after {@code downFor}. */
     public void crash(String worker, Duration downFor) {
         WorkerState workerState = workerStates.get(worker);
         workerState.down = true;
         publish(workerState);
         for (Instance instance : instancesOn(worker)) {
             if (instance.state() != State.BOOTING && instance.state() != State.CEASED) {
-                // Guards against a list that tells of a crash at once: it stays there for some seconds.
+                // A crashed runner stays listed for some seconds, so that no node may rely on the list to notice a
+                // crash at once.
                 clock.schedule(CRASH_DETECTION_DELAY, () -> runners.set(clock.now(), instance.sequence, null));
             }
             instance.state(State.ENDED);
@@ -328,6 +335,7 @@
         clock.schedule(downFor, () -> restore(worker));
     }
 
+    /** Returns a drained or crashed worker to service. */
     public void restore(String worker) {
         WorkerState workerState = workerStates.get(worker);
         workerState.down = false;
@@ -362,15 +370,16 @@
                         .put("worker_machine", instance.worker.name()));
     }
 
-    // What previous seen.
+    // Observation.
 
+    /** The runners that have not ended. */
     public List<Instance> liveInstances() {
         return new ArrayList<>(instances.values().stream()
                 .filter(each -> each.state() != State.ENDED)
                 .toList());
     }
 
-    /** Calls, refusals, starts, stops and memory, in one line. */
+    /** The numbers of calls, rejections, starts and stops, and the memory used, in one line. */
     public String summary() {
         double memory = memoryMbSeconds
                 + memoryHeldSince.keySet().stream()
--- a/rig/src/main/java/saltdale/rig/platform/RateLimiter.java
+++ b/rig/src/main/java/saltdale/rig/platform/RateLimiter.java
@@ -4,7 +4,7 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Lets so many calls through in any second. */
+/** A rate limit over a sliding window of one second. */
 final class RateLimiter {
     private static final Duration SECOND = Duration.ofSeconds(1);
 
@@ -15,6 +15,7 @@
         this.perSecond = perSecond;
     }
 
+    /** Returns whether a call is allowed, and counts it if so. */
     boolean tryAcquire(Duration now) {
         while (!grantedAt.isEmpty() && now.minus(grantedAt.peek()).compareTo(SECOND) >= 0) {
             grantedAt.poll();
--- a/rig/src/main/java/saltdale/rig/platform/RetryPolicy.java
+++ b/rig/src/main/java/saltdale/rig/platform/RetryPolicy.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 import java.util.Set;
 
-/** Whether and when a client tries again, as the pages have it. */
+/** The rules by which clients retry, as specified. */
 public final class RetryPolicy {
     private static final int MAX_TRIES = 3;
     private static final Duration PAUSE_PER_TRY = Duration.ofMillis(50);
@@ -12,16 +12,19 @@
 
     private RetryPolicy() {}
 
+    /** Whether an answer with this status promises that the request was not executed. */
     public static boolean promisesNotExecuted(int status) {
         return NOT_EXECUTED_STATUSES.contains(status);
     }
 
     /**
-     * How long to delay before the delayBeforeNextTry try; null where none follows.
+     * The delay before the next try; null if the request is not retried.
      *
-     * @param status of the last try; 0 where no answer came
+     * @param tries the number of tries so far
+     * @param status the status of the last try; 0 if no answer came
      * @param notSent whether the front cannot have read the request
-     * @param retryAfter what the answer asked for; null for nothing
+     * @param retryAfter the delay that the answer asks for; null if it asks for none
+     * @param remaining the time left until the request's deadline
      */
     public static Duration delayBeforeNextTry(
             boolean idempotent, int tries, int status, boolean notSent, Duration retryAfter, Duration remaining) {
--- a/rig/src/main/java/saltdale/rig/platform/Route.java
+++ b/rig/src/main/java/saltdale/rig/platform/Route.java
@@ -5,11 +5,11 @@
 import java.time.Duration;
 
 /**
- * A route of a configuration, and what its clients do.
+ * A route of the configuration, and the load that clients put on it.
  *
  * @param aim the time within which an answer earns its full worth
  * @param deadline how long clients wait
- * @param share of the first tries; 0 for a route that nobody calls
+ * @param share the weight of the route among the requests; 0 for a route that is never called
  */
 public record Route(
         String name,
@@ -20,6 +20,7 @@
         Duration aim,
         Duration deadline,
         double share) {
+    /** The same route to another service. */
     Route to(String otherService) {
         return new Route(name, hostname, pathPrefix, idempotent, otherService, aim, deadline, share);
     }
--- a/rig/src/main/java/saltdale/rig/platform/Service.java
+++ b/rig/src/main/java/saltdale/rig/platform/Service.java
@@ -5,7 +5,7 @@
 import java.time.Duration;
 
 /**
- * A function, as its configuration and its runners have it.
+ * A function with the properties that its configuration and its runners use.
  *
  * @param boot the average duration of a start
  * @param work the average duration of a request
--- a/rig/src/main/java/saltdale/rig/platform/live/ClientLoad.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/ClientLoad.java
@@ -25,15 +25,17 @@
 import saltdale.transport.Connection;
 import saltdale.transport.Timer;
 
-/** Clients: an openRequests loop of requests to the fronts, and the probes that say which front is in. Used on the loop. */
+/**
+ * Open-loop client load on the fronts, with the readiness probes that decide which fronts are in rotation. Used on
+ * the loop thread.
+ */
 final class ClientLoad {
     private static final Duration CONNECT_LIMIT = Duration.ofSeconds(1);
     private static final Duration PROBE_INTERVAL = Duration.ofSeconds(1);
     private static final Duration IDLE_LIMIT = Duration.ofSeconds(4);
     private static final int CLIENTS = 100;
-    private static final double REUSE_SHARE =
-            0.8; // of the tries come on a idleConnections connection, where there is one
-    private static final double CHUNKED_SHARE = 0.25; // of the bodies
+    private static final double REUSE_SHARE = 0.8; // of the tries use an idle connection if there is one
+    private static final double CHUNKED_SHARE = 0.25; // of the request bodies
 
     private final LoopThread loopThread;
     private final Origin origin;
@@ -65,11 +67,12 @@
         return entry.isInRotation(proxy);
     }
 
-    /** Whether it has called itself ready since since. */
+    /** Whether the front has reported itself ready since that time. */
     boolean isReadySince(Machine proxy, Duration since) {
         return readyAt.getOrDefault(proxy, Duration.ZERO).compareTo(since) > 0;
     }
 
+    /** The number of client requests that have not ended. */
     long openRequests() {
         return openRequests;
     }
@@ -93,22 +96,27 @@
         loopThread.loop.schedule(PROBE_INTERVAL, () -> probe(proxy));
     }
 
+    /** Starts sending requests at this rate per second. */
     void start(double rate) {
         perSecond = rate;
         sending = true;
         next(origin.now());
     }
 
+    /** Stops sending new requests. */
     void end() {
         sending = false;
     }
 
-    /** What is called from now on. */
+    /** Sets the routes that are called from now on. */
     void routes(List<Route> newRoutes) {
         routes = newRoutes;
     }
 
-    /** Guards against a load that falls behind: a call's time is fixed by the one before, not by its sending. */
+    /**
+     * Schedules the next request relative to the planned time of the one before, not to its sending, so that the load
+     * doesn't fall behind its rate.
+     */
     private void next(Duration before) {
         Duration at = before.plusNanos((long) (-Math.log(1 - random.nextDouble()) / perSecond * 1e9));
         loopThread.loop.schedule(at.minus(origin.now()), () -> {
@@ -131,7 +139,7 @@
         return routes.get(0);
     }
 
-    /** One thing that a client wants, end all its tries. */
+    /** One client request with all its tries. */
     private final class ClientRequest {
         final Route route;
         final Duration firstAt;
@@ -154,7 +162,7 @@
             new Try(this, entry.choose(zone, hash, tries), tries++ > 0).send(requestNumber);
         }
 
-        /** {@code status}: 0 where no answer came. */
+        /** Ends a try; {@code status} is 0 if no answer came. */
         void end(int status, boolean notSent, Duration retryAfter) {
             Duration remaining = remaining();
             Duration delay = remaining.isNegative()
@@ -207,7 +215,7 @@
         }
     }
 
-    /** One request and its answer. */
+    /** One try: a request and its answer. */
     private final class Try implements Connection.Handler {
         private final ClientRequest clientRequest;
         private final Machine machine;
@@ -303,7 +311,7 @@
         }
     }
 
-    /** How long a connection may idleLimit after this answer; null where it is to be closed. */
+    /** How long a connection may stay idle after this answer; null if it has to be closed. */
     private static Duration idleLimit(Head head) {
         if (!head.keepsAlive()) {
             return null;
@@ -326,7 +334,7 @@
                 : null;
     }
 
-    /** The idleLimit of a request: how its body is bodySection, and the body. */
+    /** The rest of a request after its own headers: the framing header, the empty line and the body. */
     private static String bodySection(String body, boolean chunked) {
         if (body.isEmpty()) {
             return "\r\n";
--- a/rig/src/main/java/saltdale/rig/platform/live/EndToEndRun.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/EndToEndRun.java
@@ -18,9 +18,12 @@
 import saltdale.rig.platform.Machine;
 import saltdale.rig.platform.Route;
 
-/** Plays a short scenario with real processes: a proxy is killed, the configuration amended, all judged from outside. */
+/**
+ * Runs a short scenario with real processes: a proxy is killed and the configuration is amended, while clients,
+ * runners and the operator check the contracts from outside.
+ */
 public final class EndToEndRun {
-    /** What a scenario holds beside the kill of a proxy. */
+    /** The load, and the faults beside the kill of a proxy. */
     public record Scenario(int seconds, double rate, boolean drainWorker, boolean crashWorker) {}
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -31,7 +34,7 @@
     private static final Duration MAX_LOOP_DELAY = Duration.ofMillis(50);
     private static final Duration POLL_INTERVAL = Duration.ofMillis(20);
     private static final int FIRST_REVISION = 1;
-    private static final int SECOND_REVISION = 3; // versions rise by uneven steps
+    private static final int SECOND_REVISION = 3; // revisions need not be consecutive
 
     private final PlatformStandIn standIn;
     private final Deployment deployment;
@@ -51,7 +54,7 @@
         operator = new Operator(standIn.loopThread, deployment);
     }
 
-    /** Plays it and prints the verdict in one line; returns whether nothing failed. */
+    /** Runs the scenario and prints the verdict in one line; returns whether nothing failed. */
     public static boolean run(
             Deployment deployment,
             Scenario scenario,
@@ -153,6 +156,7 @@
         waitUntil(Duration.ofMillis(longest + 500), () -> clients.openRequests() == 0);
     }
 
+    /** Amends the configuration; clients call the new routes once it has to be in force. */
     private void amend() {
         change("Amend", FIRST_REVISION, deployment.amendment(SECOND_REVISION), deployment.amendedRoutes());
         if (!waitUntil(Duration.ofSeconds(5), () -> acknowledged)) {
@@ -163,7 +167,7 @@
                 deployment.bounds().configApply(), () -> clients.routes(deployment.amendedRoutes())));
     }
 
-    /** Sends a change; {@link #acknowledged} once it is acknowledged. */
+    /** Sends a configuration change; sets {@link #acknowledged} once it is acknowledged. */
     private void change(String call, int basedOn, ObjectNode body, List<Route> routes) {
         acknowledged = false;
         Judge judge = standIn.judge;
@@ -196,7 +200,10 @@
         }
     }
 
-    /** What difference between two configurations, whatever the order of their items; null for nothing. */
+    /**
+     * Describes the first difference between two configurations, regardless of the order of their items; null if
+     * there is none.
+     */
     static String difference(JsonNode expected, JsonNode read) {
         for (String part : List.of("revision", "limits")) {
             if (!expected.path(part).toString().equals(read.path(part).toString())
@@ -264,6 +271,7 @@
         out.printf(Locale.ROOT, "%5.1f s  %s%n", now().toMillis() / 1e3, message);
     }
 
+    /** Sleeps until this share of the scenario has passed. */
     private void sleepUntil(Duration from, Scenario scenario, double share) throws InterruptedException {
         Duration extraNames =
                 from.plusMillis((long) (share * scenario.seconds * 1000)).minus(now());
@@ -272,7 +280,7 @@
         }
     }
 
-    /** Waits waitUntil this holds, asked on the loop; false where it does not in time. */
+    /** Polls a condition on the loop thread; returns false if it does not hold within the limit. */
     private boolean waitUntil(Duration limit, BooleanSupplier condition) {
         Duration end = now().plus(limit);
         boolean[] holds = new boolean[1];
--- a/rig/src/main/java/saltdale/rig/platform/live/HttpCall.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/HttpCall.java
@@ -12,7 +12,7 @@
 import saltdale.transport.Connection;
 import saltdale.transport.Timer;
 
-/** One request on a connection of its own; used on the loop. */
+/** One HTTP request on a connection of its own; used on the loop thread. */
 final class HttpCall implements Connection.Handler {
     record Answer(Head head, byte[] body) {
         int status() {
@@ -29,7 +29,10 @@
         this.callback = callback;
     }
 
-    /** {@code headers}: whole lines; {@code callback} is told null where no whole answer came within the limit. */
+    /**
+     * Sends a request. {@code headers} are complete header lines; {@code callback} gets null if no complete answer
+     * comes within the limit.
+     */
     static void send(
             LoopThread loopThread,
             InetSocketAddress address,
--- a/rig/src/main/java/saltdale/rig/platform/live/LoopClock.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/LoopClock.java
@@ -5,7 +5,7 @@
 import saltdale.rig.standin.LoopThread;
 import saltdale.rig.standin.Origin;
 
-/** The time of a loop on a thread of its own. */
+/** A clock that schedules actions on a loop thread. */
 record LoopClock(LoopThread loopThread, Origin origin) implements Clock {
     @Override
     public Duration now() {
--- a/rig/src/main/java/saltdale/rig/platform/live/NodeProcesses.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/NodeProcesses.java
@@ -16,7 +16,7 @@
 import saltdale.rig.platform.Deployment;
 import saltdale.rig.platform.Machine;
 
-/** The processes of the system: child processes of one build, each with its settings file, disk and log. */
+/** The nodes as child processes of one build, each with its settings file, disk and log. */
 public final class NodeProcesses implements AutoCloseable {
     private static final List<String> JVM_FLAGS =
             List.of("-Xmx192m", "-Xss256k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1");
@@ -28,7 +28,7 @@
     private final Path folder;
     private final Map<Machine, Process> running = new LinkedHashMap<>();
     private final Map<Machine, Integer> exitStatuses = new LinkedHashMap<>();
-    // Guards against processes that outlive a rig which was told to end.
+    // Kills the processes if the rig itself is terminated.
     private final Thread shutdownHook =
             new Thread(() -> running.values().forEach(Process::destroyForcibly), "end of all");
 
@@ -38,7 +38,7 @@
         this.folder = folder.toAbsolutePath();
     }
 
-    /** Writes the settings files of a first start, with empty disks, and returns them. */
+    /** Writes the settings files for a first start with empty disks; returns them by machine. */
     public Map<Machine, Path> writeSettings() throws IOException {
         Map<Machine, Path> all = new LinkedHashMap<>();
         for (Machine machine : deployment.machines()) {
@@ -72,7 +72,7 @@
         return file;
     }
 
-    /** The command that starts a machine's process, its settings file aside. */
+    /** The command that starts a machine's process, without the environment variable that names its settings file. */
     public List<String> command(Machine machine) {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -81,8 +81,9 @@
         return command;
     }
 
+    /** Starts all machines with empty disks. */
     void startAll() throws IOException {
-        // Guards against a build that writes over the jar while processes load from it.
+        // Processes run from a copy, since a build may overwrite the jar while they load classes from it.
         Files.createDirectories(folder);
         Files.copy(jar, folder.resolve(JAR_COPY), StandardCopyOption.REPLACE_EXISTING);
         jar = folder.resolve(JAR_COPY);
@@ -105,7 +106,7 @@
         return folder.resolve(machine.name()).resolve("log");
     }
 
-    /** The last line that it wrote. */
+    /** The last line of the machine's log. */
     String lastLine(Machine machine) {
         try {
             List<String> lines = Files.readAllLines(log(machine), StandardCharsets.UTF_8);
@@ -115,18 +116,19 @@
         }
     }
 
-    /** Kills one outright, and returns once it is gone. */
+    /** Kills a process with SIGKILL and waits for its end. */
     void kill(Machine machine) throws InterruptedException {
         Process process = running.remove(machine);
         process.destroyForcibly();
         process.waitFor(5, TimeUnit.SECONDS);
     }
 
+    /** Starts a killed machine again, with its disk. */
     void restart(Machine machine) throws IOException {
         start(machine, writeSettings(machine, false));
     }
 
-    /** Those that have exitStatuses by themselves, with their exit status. */
+    /** The exit statuses of the processes that ended by themselves. */
     Map<Machine, Integer> exitStatuses() {
         running.forEach((machine, process) -> {
             if (!process.isAlive()) {
@@ -136,7 +138,7 @@
         return exitStatuses;
     }
 
-    /** Tells all to end in order, and kills what is left after the grace; returns those that had to be killed. */
+    /** Sends SIGTERM to all processes and kills those left after the grace period; returns the latter. */
     List<Machine> terminateAll(Duration grace) throws InterruptedException {
         exitStatuses();
         running.values().forEach(Process::destroy);
@@ -158,7 +160,7 @@
         try {
             Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
-            // it is on its way
+            // the JVM is already shutting down
         }
     }
 }
--- a/rig/src/main/java/saltdale/rig/platform/live/Operator.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/Operator.java
@@ -13,7 +13,7 @@
 import saltdale.rig.standin.LoopThread;
 import saltdale.transport.Address;
 
-/** Sends configurations location those who serve controlAddresses, and reads them back; used on the loop. */
+/** Sends configuration changes to the control nodes and reads the configuration back; used on the loop thread. */
 final class Operator {
     private static final Duration CALL_LIMIT = Duration.ofSeconds(1);
     private static final Duration MAX_PAUSE = Duration.ofSeconds(1);
@@ -32,11 +32,12 @@
                 .toList();
     }
 
+    /** The number of redirects that were followed. */
     int redirects() {
         return redirects;
     }
 
-    /** Repeats the change unchanged until there is a clear answer; {@code then} is told it. */
+    /** Sends a change, and repeats it unchanged until the answer is conclusive; {@code then} gets that answer. */
     void change(String call, int basedOn, ObjectNode body, Consumer<HttpCall.Answer> then) {
         new PendingCall(
                         "POST",
@@ -47,6 +48,7 @@
                 .send();
     }
 
+    /** Reads the configuration; {@code then} gets the first conclusive answer. */
     void read(Consumer<HttpCall.Answer> then) {
         new PendingCall("GET", "/Configuration.Read", "", new byte[0], then).send();
     }
@@ -108,7 +110,7 @@
                 }
                 return at != null;
             } catch (IllegalArgumentException | NullPointerException e) {
-                return false; // it names no place location send location
+                return false; // Location is missing or is no URI with an address
             }
         }
     }
--- a/rig/src/main/java/saltdale/rig/platform/live/PlatformServer.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/PlatformServer.java
@@ -22,7 +22,7 @@
 import saltdale.transport.Connection;
 import saltdale.transport.Listener;
 
-/** The platform's calls on HTTP; used on the loop. */
+/** The HTTP server of the platform's API; used on the loop thread. */
 final class PlatformServer {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -30,7 +30,11 @@
     private final Platform platform;
     private final PrintWriter log;
 
-    /** {@code log}: takes a line for each call; null for none. */
+    /**
+     * Starts listening.
+     *
+     * @param log gets a line for each call; null for none
+     */
     PlatformServer(LoopThread loopThread, Origin origin, Deployment deployment, Platform platform, PrintWriter log)
             throws IOException {
         this.origin = origin;
@@ -50,7 +54,7 @@
 
         @Override
         public void disconnected(String cause) {
-            // It answers at once: nothing is under way.
+            // Requests are answered at once, so that none can be in progress.
         }
 
         @Override
@@ -108,9 +112,9 @@
         try {
             return JSON.readTree(body);
         } catch (JsonProcessingException e) {
-            return MissingNode.getInstance(); // whose members are all missing
+            return MissingNode.getInstance(); // a node without members
         } catch (IOException e) {
-            throw new IllegalStateException(e); // bytes in memory can be read
+            throw new IllegalStateException(e); // reading from memory doesn't fail
         }
     }
 
--- a/rig/src/main/java/saltdale/rig/platform/live/PlatformStandIn.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/PlatformStandIn.java
@@ -12,7 +12,7 @@
 import saltdale.rig.standin.LoopThread;
 import saltdale.rig.standin.Origin;
 
-/** The platform and its runners on loopback. */
+/** A stand-in for the platform and its runners on loopback. */
 public final class PlatformStandIn implements AutoCloseable {
     final LoopThread loopThread;
     final Origin origin = new Origin();
@@ -22,7 +22,11 @@
     private final PrintWriter log;
     Platform platform;
 
-    /** {@code calls}: a file that takes a line for each call of the platform; null for none. */
+    /**
+     * Starts the stand-in.
+     *
+     * @param calls a file that gets a line for each call of the platform's API; null for none
+     */
     public PlatformStandIn(Deployment deployment, RunnerFaults faults, long seed, Path calls) throws IOException {
         this.deployment = deployment;
         this.faults = faults;
@@ -54,7 +58,7 @@
         }
     }
 
-    /** Sends the first configuration, again and again until there is a clear answer. */
+    /** Sends the first configuration until the answer is conclusive; {@code then} gets its status. */
     public void sendFirstConfiguration(IntConsumer then) {
         loopThread.loop.execute(() -> new Operator(loopThread, deployment)
                 .change("Replace", 0, deployment.replacement(1), answer -> then.accept(answer.status())));
--- a/rig/src/main/java/saltdale/rig/platform/live/RunnerFaults.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/RunnerFaults.java
@@ -4,18 +4,19 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** How runners spoil answers, and how often. */
+/** The faults of runners' answers, and their shares. */
 public final class RunnerFaults {
-    /** What becomes of an answer. */
+    /** The faults of an answer. */
     public enum Kind {
+        /** The answer is sent correctly. */
         NONE,
-        /** The connection is closed in its place. */
+        /** The connection is closed instead. */
         LOST,
-        /** Bytes come that are no answer. */
+        /** Bytes that are no HTTP answer are sent. */
         GARBLED,
-        /** It ends before its length. */
+        /** The answer ends before its stated length. */
         CUT,
-        /** It comes, and comes again a little later. */
+        /** The answer is sent, and sent again a little later. */
         EXTRA
     }
 
@@ -23,20 +24,27 @@
     private final SplittableRandom random;
     private boolean enabled;
 
-    /** {@code shares}: of the runs, by kind. */
+    /**
+     * Creates the faults, initially disabled.
+     *
+     * @param shares the share of the runs that get each kind of fault
+     */
     public RunnerFaults(Map<Kind, Double> shares, long seed) {
         this.shares.putAll(shares);
         random = new SplittableRandom(seed);
     }
 
+    /** Whether no fault is configured. */
     public boolean isEmpty() {
         return shares.isEmpty();
     }
 
+    /** Enables or disables all faults. */
     public void setEnabled(boolean enabled) {
         this.enabled = enabled;
     }
 
+    /** Draws the fault of the next answer. */
     Kind draw() {
         double drawn = enabled ? random.nextDouble() : 1;
         for (Map.Entry<Kind, Double> each : shares.entrySet()) {
--- a/rig/src/main/java/saltdale/rig/platform/live/RunnerSockets.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/RunnerSockets.java
@@ -23,7 +23,7 @@
 import saltdale.transport.Listener;
 import saltdale.transport.Timer;
 
-/** The runners' sockets; used on the loop. */
+/** The sockets of the runners, and the HTTP they serve; used on the loop thread. */
 final class RunnerSockets implements Platform.Sockets {
     private static final Duration EXTRA_ANSWER_DELAY = Duration.ofMillis(5);
     private static final byte[] MALFORMED_ANSWER = "\u0001\u0002 no answer\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
@@ -98,7 +98,7 @@
         }
     }
 
-    /** A connection that a runner serves. */
+    /** A connection to a runner. */
     private final class RunnerConnection extends Exchange {
         private final Instance instance;
         private Timer workTimer;
@@ -137,7 +137,7 @@
             }
         }
 
-        /** A runner drops a request once its connection closes. */
+        /** The runner abandons a request once its connection closes. */
         @Override
         public void disconnected(String cause) {
             forget();
@@ -187,7 +187,7 @@
                             new String(Judge.bodyFor(seal), StandardCharsets.US_ASCII));
                     sendAnswer(answer, fault);
                 } else {
-                    sendAnswer(answer(504, headers(id), "")); // counts as run
+                    sendAnswer(answer(504, headers(id), "")); // the judge has counted it as run
                 }
                 instance.requestFinished();
             });
@@ -231,7 +231,7 @@
         }
     }
 
-    /** A header's whole milliseconds; null where it is absent or none. */
+    /** Parses a header value of whole milliseconds; null if it is absent or malformed. */
     static Duration parseMillis(String text) {
         return text != null && text.matches("\\d{1,9}") ? Duration.ofMillis(Long.parseLong(text)) : null;
     }
--- a/rig/src/main/java/saltdale/rig/platform/live/Soak.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/Soak.java
@@ -17,21 +17,21 @@
 import saltdale.rig.platform.Machine;
 
 /**
- * A soak of real processes on real sockets: two operators change the configuration all the while and lose answers, two
- * or three troubles at a time overlap, and after each runBout the proxies in touch are looked at. At the end one control
- * node loses its disk while all other machines, proxies too, are killed at the same moment.
+ * A soak test of real processes on real sockets. Two operators change the configuration all the time and lose
+ * answers, two or three faults overlap in each bout, and an observer checks the proxies in contact. At the end one
+ * control node loses its disk at the moment at which all other machines, proxies included, are killed.
  */
 public final class Soak {
     private static final Duration STARTUP_LIMIT = Duration.ofSeconds(20);
-    private static final Duration QUIET_PERIOD = Duration.ofMillis(6_500); // contact_ms, and some time to look
-    private static final Duration CATCH_UP_LIMIT = Duration.ofSeconds(5); // catch_up_s, and a little
+    private static final Duration QUIET_PERIOD = Duration.ofMillis(6_500); // contact_ms, and some time for checks
+    private static final Duration CATCH_UP_LIMIT = Duration.ofSeconds(5); // catch_up_s, and a margin
     private static final long TERMINATION_GRACE_MILLIS = 6_000;
     private static final int MAX_START_OFFSET_MILLIS = 1_500;
     private static final int MIN_FAULT_MILLIS = 200;
     private static final int MAX_FAULT_MILLIS = 5_000;
-    private static final double DISK_LOSS_SHARE = 0.4; // of the bouts one begins with the loss of a disk
+    private static final double DISK_LOSS_SHARE = 0.4; // of the bouts begin with the loss of a disk
 
-    /** Something to be done at a moment of a runBout. */
+    /** An action at a set time of a bout. */
     private interface Action {
         void run() throws IOException;
     }
@@ -63,8 +63,10 @@
     }
 
     /**
-     * Plays one seed and prints what came of it; returns whether nothing was wrong. {@code program}: the arguments of
-     * java that name the program; {@code folder}: where settings, disks and logs go.
+     * Runs the soak with one seed and prints the result; returns whether nothing failed.
+     *
+     * @param program the arguments of {@code java} that name the program
+     * @param folder the folder of settings, disks and logs
      */
     public static boolean run(
             Deployment deployment, List<String> program, Path folder, int bouts, long seed, PrintStream out)
@@ -113,15 +115,15 @@
         }
     }
 
-    // Troubles.
+    // Faults of machines.
 
-    /** Two or three troubles that overlap, waitUntil all of them are over. */
+    /** Runs two or three overlapping faults until all of them are over. */
     private void runBout() throws IOException, InterruptedException {
         List<Step> steps = new ArrayList<>();
         boolean loss = random.nextDouble() < DISK_LOSS_SHARE && contact.isCoreUndisturbedFor(CATCH_UP_LIMIT);
         int count = 2 + random.nextInt(2);
         for (int i = 0; i < count; i++) {
-            // While a disk is diskLoser no other control node is in trouble; proxies may be.
+            // While a control node has lost its disk only proxies may get further faults.
             SoakTrouble trouble = loss && i == 0
                     ? SoakTrouble.drawDiskLoss(random)
                     : SoakTrouble.draw(random, loss || random.nextInt(3) == 0);
@@ -151,7 +153,7 @@
                 cluster.controlNodes().get(random.nextInt(cluster.controlNodes().size()));
         boolean[] applied = new boolean[1];
         steps.add(new Step(from, () -> {
-            applied[0] = contact.isFree(machine.name()); // one trouble of a machine at a time
+            applied[0] = contact.isFree(machine.name()); // one fault per machine at a time
             if (applied[0]) {
                 troubles.merge(trouble, 1, Integer::sum);
                 report(trouble + " " + machine.name());
@@ -197,7 +199,7 @@
                 cluster.start(machine);
             }
             case PROXY_CUT, CONTROL_CUT, CONTROL_CUT_ONE_WAY, HALVES_CUT, CONTROL_CUT_OFF, PROXY_CUT_FROM_ONE ->
-                cluster.removeAllCuts(); // also those of another trouble that would last longer
+                cluster.removeAllCuts(); // includes cuts of another fault that was to last longer
             case ALL_CONTROL_NODES_KILLED -> startControlNodes();
             case CONTROL_WIPED -> {
                 cluster.wipe(machine);
@@ -251,9 +253,9 @@
         }
     }
 
-    // The end.
+    // The closing fault.
 
-    /** Right after an acknowledgement a control node loses its disk and all other machines are killed. */
+    /** Right after an acknowledgement, wipes the disk of one control node and kills all other machines. */
     private void runClosingFault() throws IOException, InterruptedException {
         Thread.sleep(CATCH_UP_LIMIT.toMillis());
         long before = changes.newestAcknowledged();
@@ -278,7 +280,10 @@
         readBack();
     }
 
-    /** Nothing is sent any more: all control nodes read the same, and proxies have it. */
+    /**
+     * With the operators stopped, all control nodes have to return the same configuration, and the proxies have
+     * to have it.
+     */
     private void readBack() throws InterruptedException {
         operators.forEach(SoakOperator::stop);
         for (Thread thread : threads.subList(0, operators.size())) {
--- a/rig/src/main/java/saltdale/rig/platform/live/SoakChanges.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/SoakChanges.java
@@ -11,24 +11,25 @@
 import saltdale.rig.platform.Route;
 
 /**
- * What the operators of a soak have sent and were answered, and what follows from that: one change is acknowledged on
- * each base, an change that was taken is never recordRefused, nothing older is read than what was acknowledged before.
+ * Records the changes that the operators of a soak sent and the answers they got, and checks what follows: one change
+ * at most is acknowledged on each base revision, an accepted change is never refused later, and no read returns a
+ * revision older than one acknowledged before.
  */
 final class SoakChanges {
-    /** A change as it is sent, resent and resent, until there is a clear answer. */
+    /** A change with the revision it is based on; it is resent unchanged until the answer is conclusive. */
     record Change(long base, long revision, String body, boolean isValid) {}
 
-    private static final int REVISIONS_PER_ROUTE = 20; // revisions that add the same route
-    private static final int SOAK_ROUTES = 4; // so many of these routes a configuration has
-    private static final int MAX_REVISION_STEP = 3; // revisions rise by uneven steps
+    private static final int REVISIONS_PER_ROUTE = 20; // consecutive revisions that add the same route
+    private static final int SOAK_ROUTES = 4; // the most recent of these routes that a configuration contains
+    private static final int MAX_REVISION_STEP = 3; // revisions need not be consecutive
 
     private final Deployment deployment;
     private final List<String> failures;
-    private final Map<Long, Change> acknowledged = new HashMap<>(); // by base
-    private final Map<Long, List<String>> offered = new HashMap<>(); // bodies, by revision
-    private final TreeMap<Long, Long> acknowledgedAt = new TreeMap<>(); // newestAcknowledged revision, by nanoTime
+    private final Map<Long, Change> acknowledged = new HashMap<>(); // by base revision
+    private final Map<Long, List<String>> offered = new HashMap<>(); // bodies sent, by revision
+    private final TreeMap<Long, Long> acknowledgedAt = new TreeMap<>(); // newest revision, by nanoTime
     private long newestAcknowledged;
-    private long newestKnown; // the newestAcknowledged revision acknowledged or read
+    private long newestKnown; // newest revision acknowledged or read
     private int sent;
     private int resent;
 
@@ -38,7 +39,10 @@
         acknowledgedAt.put(Long.MIN_VALUE, 0L);
     }
 
-    /** The next change on what is newestKnown to be newestAcknowledged; {@code step} and {@code marker} tell two of one base apart. */
+    /**
+     * Creates a change based on the newest known revision; {@code step} and {@code marker} distinguish changes with
+     * the same base.
+     */
     synchronized Change next(int step, String marker, boolean isValid) {
         long revision = newestKnown + 1 + Math.floorMod(step, MAX_REVISION_STEP);
         ObjectNode tree = deployment.configuration(Math.toIntExact(revision), routes(revision));
@@ -69,7 +73,10 @@
         return routes;
     }
 
-    /** The prefix of a route that every configuration has from this revision on, for as long as matters. */
+    /**
+     * The path prefix of a route that is part of every configuration from this revision on, until {@link
+     * #SOAK_ROUTES} newer routes have replaced it.
+     */
     static String path(long revision) {
         return "/soak-" + revision / REVISIONS_PER_ROUTE + "/";
     }
@@ -93,6 +100,7 @@
         }
     }
 
+    /** Records a 4xx answer; a valid change may be refused only with 412, and never once it was acknowledged. */
     synchronized void recordRefused(Change change, int status, String by) {
         boolean validAndNotConflicting = change.isValid() && status != 412;
         if (validAndNotConflicting || change.equals(acknowledged.get(change.base()))) {
@@ -101,7 +109,11 @@
         }
     }
 
-    /** A control node answered a read that was sent when {@code minRevision} was the newestAcknowledged acknowledged revision. */
+    /**
+     * Records a control node's answer to a read.
+     *
+     * @param minRevision the newest acknowledged revision when the read was sent
+     */
     synchronized void recordRead(long revision, String body, long minRevision, String by) {
         if (revision < minRevision) {
             failures.add(by + " reads revision " + revision + ", " + minRevision + " was acknowledged before");
@@ -115,7 +127,7 @@
         return newestAcknowledged;
     }
 
-    /** The newestAcknowledged revision that was acknowledged by this moment of {@link System#nanoTime}. */
+    /** The newest revision that was acknowledged by this value of {@link System#nanoTime}. */
     synchronized long newestBy(long nanos) {
         return acknowledgedAt.floorEntry(nanos).getValue();
     }
--- a/rig/src/main/java/saltdale/rig/platform/live/SoakCluster.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/SoakCluster.java
@@ -20,15 +20,15 @@
 import saltdale.rig.platform.Machine;
 
 /**
- * The machines of a soak: real processes that can be killed, paused, told to end, started again, cut from each other,
- * and, as control nodes, lose their disk or give their place to a new one at another address. One thread changes them;
- * others may ask which there are.
+ * The machines of a soak: real processes that can be killed, paused, terminated, restarted and cut off from each
+ * other. Control nodes can also lose their disk, or be replaced by a new one at another address. One thread changes
+ * the cluster; others may ask for its machines.
  */
 final class SoakCluster implements AutoCloseable {
     private static final List<String> JVM_FLAGS =
             List.of("-Xmx128m", "-Xss256k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1");
     private static final Set<String> INHERITED_VARIABLES = Set.of("PATH", "HOME", "JAVA_HOME", "LANG");
-    private static final int FIRST_SUCCESSOR_HOST_NUMBER = 120; // last figure of the addresses of new control nodes
+    private static final int FIRST_SUCCESSOR_HOST_NUMBER = 120; // last octet of the addresses of new control nodes
     private static final int MAX_SEEDS = 3;
 
     private final Deployment deployment;
@@ -39,7 +39,7 @@
     private final int toleratedLosses;
     private final Map<Machine, Process> running = new HashMap<>();
     private final Set<Machine> expectedToEnd = new HashSet<>();
-    private final Map<String, Set<String>> faultLines = new HashMap<>(); // lines of the addFaultLine file, by machine
+    private final Map<String, Set<String>> faultLines = new HashMap<>(); // lines of the fault file, by machine
     private final Thread shutdownHook =
             new Thread(() -> running.values().forEach(Process::destroyForcibly), "end of soak");
     private int successorCount;
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Starts it again, with the seeds of this moment, unless it runs. */
+    /** Restarts a machine with the current seeds, unless it is running. */
     void start(Machine machine) throws IOException {
         if (!isRunning(machine)) {
             start(machine, false);
@@ -122,7 +122,7 @@
         }
     }
 
-    /** SIGTERM; returns at once. */
+    /** Sends SIGTERM without waiting for the end. */
     void terminate(Machine machine) {
         Process process = running.get(machine);
         if (process != null) {
@@ -131,10 +131,10 @@
         }
     }
 
-    /** Waits for the end of one that was told to; kills it after this time, and returns whether that was needed. */
+    /** Waits for the end of a terminated machine, and kills it after this time; returns whether that was needed. */
     boolean awaitEnd(Machine machine, long millis) {
         if (!expectedToEnd.contains(machine)) {
-            return false; // it was killed meanwhile, and may have begun anew
+            return false; // it was killed in the meantime, and may have been restarted
         }
         Process process = running.remove(machine);
         if (process == null || waitFor(process, millis)) {
@@ -169,7 +169,7 @@
         }
     }
 
-    /** Removes its disk; it must not be running. */
+    /** Deletes the disk of a machine that is not running. */
     void wipe(Machine machine) throws IOException {
         Path data = folder.resolve(machine.name()).resolve("data");
         if (Files.isDirectory(data)) {
@@ -181,26 +181,26 @@
         }
     }
 
-    /** A new control node at an address of its machineFolder, in the zone of this one, not yet started. */
+    /** Creates, without starting it, a new control node with an address of its own in the zone of the old one. */
     Machine successorOf(Machine old) {
         int number = FIRST_SUCCESSOR_HOST_NUMBER + successorCount++;
         String ip = old.ip().substring(0, old.ip().lastIndexOf('.') + 1) + number;
         return new Machine("core-" + old.zone() + "-" + number, old.role(), old.zone(), ip);
     }
 
-    /** From now on this one is among the control nodes that seeds are taken from. */
+    /** Adds a control node to those that seeds are taken from. */
     void add(Machine machine) {
         controlNodes.add(machine);
     }
 
-    /** It is gone for good. */
+    /** Removes a control node for good. */
     void remove(Machine machine) {
         controlNodes.remove(machine);
     }
 
-    // Cuts.
+    // Network cuts.
 
-    /** Messages between them are lost, in one direction or both. */
+    /** Drops the messages from {@code a} to {@code b}, and those from {@code b} to {@code a} unless {@code oneWay}. */
     void cut(Machine a, Machine b, boolean oneWay) throws IOException {
         addFaultLine(a, "to " + b.ip());
         addFaultLine(b, "from " + a.ip());
@@ -210,7 +210,7 @@
         }
     }
 
-    /** All faultLines are over. */
+    /** Removes all cuts. */
     void removeAllCuts() throws IOException {
         for (Map.Entry<String, Set<String>> each : faultLines.entrySet()) {
             each.getValue().clear();
@@ -233,9 +233,9 @@
         return folder.resolve(machine + ".faults");
     }
 
-    // What the processes say.
+    // State of the processes.
 
-    /** NodeProcesses that ended though nobody told them to. */
+    /** The processes that ended without being told to, with their exit statuses. */
     List<String> endedByThemselves() {
         return running.entrySet().stream()
                 .filter(each -> !each.getValue().isAlive() && !expectedToEnd.contains(each.getKey()))
@@ -257,7 +257,7 @@
         try {
             Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
-            // it is on its way
+            // the JVM is already shutting down
         }
     }
 }
--- a/rig/src/main/java/saltdale/rig/platform/live/SoakContact.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/SoakContact.java
@@ -7,21 +7,21 @@
 import java.util.Set;
 
 /**
- * Which machines of a soak are in touch, as the rules have it: neither they nor the core had any trouble for
- * {@code contact_ms}. Used by several threads.
+ * Tracks which machines of a soak are in contact, as the contracts define it: for {@code contact_ms}, neither the
+ * machine nor the core had a fault. Thread-safe.
  */
 final class SoakContact {
     private static final String CORE = "the core";
 
     private final long contactNanos;
-    private final Map<String, Integer> troubles = new HashMap<>(); // under way, by machine
+    private final Map<String, Integer> troubles = new HashMap<>(); // number in progress, by machine
     private final Map<String, Long> disturbedAt = new HashMap<>();
 
     SoakContact(Duration contact) {
         contactNanos = contact.toNanos();
     }
 
-    /** A trouble of this machine begin; those of control nodes are the core's. */
+    /** Begins a fault of a machine; a fault of a control node is one of the core too. */
     synchronized void begin(String machine, boolean ofCore) {
         for (String each : names(machine, ofCore)) {
             troubles.merge(each, 1, Integer::sum);
@@ -29,6 +29,7 @@
         }
     }
 
+    /** Ends a fault of a machine. */
     synchronized void end(String machine, boolean ofCore) {
         for (String each : names(machine, ofCore)) {
             troubles.merge(each, -1, Integer::sum);
@@ -44,17 +45,17 @@
         return names;
     }
 
-    /** Whether no trouble of a control node is under way, and none was for this long. */
+    /** Whether the core has had no fault for this long. */
     synchronized boolean isCoreUndisturbedFor(Duration span) {
         return isUndisturbed(CORE, System.nanoTime(), span.toNanos());
     }
 
-    /** Whether no trouble of this machine is under way. */
+    /** Whether the machine has no fault in progress. */
     synchronized boolean isFree(String machine) {
         return troubles.getOrDefault(machine, 0) == 0;
     }
 
-    /** Whether this machine is in touch at this moment. */
+    /** Whether the machine is in contact now. */
     synchronized boolean isInContact(String machine) {
         long now = System.nanoTime();
         return isUndisturbed(machine, now, contactNanos) && isUndisturbed(CORE, now, contactNanos);
--- a/rig/src/main/java/saltdale/rig/platform/live/SoakObserver.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/SoakObserver.java
@@ -9,8 +9,8 @@
 import saltdale.rig.platform.Machine;
 
 /**
- * Looks at all processes of a soak again and again: no invariant is violated, and proxies in touch have what was
- * acknowledged {@code config_apply_ms} wasInContact in force, and deny no route of it.
+ * Polls all processes of a soak. No invariant may be violated; a proxy in contact has to have in force what was
+ * acknowledged {@code config_apply_ms} ago, and may not deny a route of it.
  */
 final class SoakObserver implements Runnable {
     private static final Duration CALL_LIMIT = Duration.ofSeconds(2);
@@ -22,8 +22,7 @@
     private final SoakContact contact;
     private final long applyNanos;
     private final List<String> failures;
-    private final Set<String> reportedViolations =
-            new ConcurrentSkipListSet<>(); // so that each violation is reportedViolations of once
+    private final Set<String> reportedViolations = new ConcurrentSkipListSet<>(); // each is reported once
     private volatile int checks;
     private volatile boolean stopped;
 
@@ -39,7 +38,7 @@
         stopped = true;
     }
 
-    /** How often a proxy in touch was looked at. */
+    /** The number of checks of a proxy in contact. */
     int checks() {
         return checks;
     }
@@ -58,7 +57,7 @@
         }
     }
 
-    /** The metrics that it tells; none where it does not answer. Violations among them are failures. */
+    /** Reads the metrics of a machine, and reports violations among them; empty if it does not answer. */
     private Map<String, Long> readMetrics(Machine machine, int port) {
         Map<String, Long> metrics = new TreeMap<>();
         BlockingHttp.Answer answer =
--- a/rig/src/main/java/saltdale/rig/platform/live/SoakOperator.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/SoakOperator.java
@@ -8,13 +8,14 @@
 import saltdale.rig.platform.Machine;
 
 /**
- * An operator of a soak: changes the configuration without pause, loses half of the answers and sends the same again to
- * another control node; reads what is in force now and then. Two of them race on the same base.
+ * An operator of a soak: changes the configuration all the time, loses half of the answers and resends the
+ * change to another control node, and reads the configuration in force from time to time. Two operators race on
+ * the same base revision.
  */
 final class SoakOperator implements Runnable {
     private static final Duration CALL_LIMIT = Duration.ofSeconds(1);
-    private static final double LOST_ANSWER_SHARE = 0.5; // of the answers
-    private static final double INVALID_CHANGE_SHARE = 0.05; // of the changes
+    private static final double LOST_ANSWER_SHARE = 0.5;
+    private static final double INVALID_CHANGE_SHARE = 0.05;
     private static final int MAX_TRIES = 60;
     private static final int MAX_PAUSE_MILLIS = 400;
     private static final Pattern REVISION = Pattern.compile("\"revision\":(\\d+)");
@@ -74,7 +75,7 @@
                     "Host: core\r\nX-Saltdale-Based-On-Version: " + change.base() + "\r\n",
                     change.body(),
                     CALL_LIMIT);
-            // What was answered counts even where the operator loses it and asks again.
+            // An answer counts even if the operator loses it and resends the change.
             if (answer.status() == 200) {
                 changes.recordAcknowledged(change, at.name());
             } else if (answer.status() / 100 == 4) {
@@ -102,7 +103,7 @@
         }
     }
 
-    /** The revision of a configuration as text; -1 where it has none. */
+    /** The revision of a configuration in JSON text; -1 if it has none. */
     static long revision(String body) {
         Matcher found = REVISION.matcher(body);
         return found.find() ? Long.parseLong(found.group(1)) : -1;
--- a/rig/src/main/java/saltdale/rig/platform/live/SoakTrouble.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/SoakTrouble.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/** What may befall a machine target a soak. */
+/** The faults of machines in a soak. */
 enum SoakTrouble {
     PROXY_KILLED(Target.PROXY),
     PROXY_PAUSED(Target.PROXY),
@@ -14,23 +14,23 @@
     CONTROL_KILLED(Target.CORE),
     CONTROL_PAUSED(Target.CORE),
     CONTROL_TERMINATED(Target.CORE),
-    /** From the other control nodes; proxies reach it. */
+    /** From the other control nodes; proxies still reach it. */
     CONTROL_CUT(Target.CORE),
     CONTROL_CUT_ONE_WAY(Target.CORE),
     /** From all other machines. */
     CONTROL_CUT_OFF(Target.CORE),
     ALL_CONTROL_NODES_KILLED(Target.CORE),
-    /** Half target the control nodes from the others; proxies reach both. */
+    /** Half of the control nodes from the others; proxies reach both. */
     HALVES_CUT(Target.CORE),
     CONTROL_WIPED(Target.DISK),
     CONTROL_REPLACED(Target.DISK),
     CONTROL_REPLACED_AS_PLANNED(Target.DISK);
 
-    /** What it concerns. */
+    /** What a fault concerns. */
     enum Target {
         PROXY,
         CORE,
-        /** A disk is lost: no other control node may be in trouble until it has caught up. */
+        /** A disk is lost: no other control node may have a fault until the affected one has caught up. */
         DISK
     }
 
@@ -48,7 +48,7 @@
         return target == Target.DISK;
     }
 
-    /** One that no disk is lost by, target a proxy or target the core. */
+    /** Draws a fault without loss of a disk, either of a proxy or of the core. */
     static SoakTrouble draw(SplittableRandom random, boolean targetsProxy) {
         SoakTrouble drawn;
         do {
@@ -57,7 +57,7 @@
         return drawn;
     }
 
-    /** One that a disk is lost by. */
+    /** Draws a fault with loss of a disk. */
     static SoakTrouble drawDiskLoss(SplittableRandom random) {
         SoakTrouble[] losses = {CONTROL_WIPED, CONTROL_REPLACED, CONTROL_REPLACED_AS_PLANNED};
         return losses[random.nextInt(losses.length)];
