--- a/rig/src/main/java/saltdale/rig/platform/Deployment.java
+++ b/rig/src/main/java/saltdale/rig/platform/Deployment.java
@@ -45,12 +45,12 @@
                 || proxies < 1
                 || controlNodes < 1
                 || Math.max(proxies, controlNodes) > 3 * MAX_MACHINES_PER_ZONE) {
-            throw new IllegalArgumentException(
-                    "no such site: net " + net + ", " + proxies + " proxies, " + controlNodes + " control nodes");
+            throw new IllegalArgumentException("unsupported deployment: net " + net + ", " + proxies + " proxies, "
+                    + controlNodes + " control nodes");
         }
         List<Machine> machines = new ArrayList<>();
-        add(machines, net, "proxy", "frontend", proxies, 1);
-        add(machines, net, "control", "core", controlNodes, 101);
+        addMachines(machines, net, "proxy", "frontend", proxies, 1);
+        addMachines(machines, net, "control", "core", controlNodes, 101);
         List<Worker> workers = new ArrayList<>();
         ZONES.forEach(zone -> workers.add(new Worker("w-" + zone, zone, 4096)));
         List<Service> services = new ArrayList<>();
@@ -108,7 +108,8 @@
                 105);
     }
 
-    private static void add(List<Machine> machines, int net, String role, String kind, int count, int from) {
+    private static void addMachines(
+            List<Machine> machines, int net, String role, String kind, int count, int firstHostNumber) {
         for (int i = 0; i < count; i++) {
             int zone = i % ZONES.size();
             int number = i / ZONES.size();
@@ -116,7 +117,7 @@
                     kind + "-" + ZONES.get(zone) + "-" + (number + 1),
                     role,
                     ZONES.get(zone),
-                    "127." + net + "." + (zone + 1) + "." + (from + number)));
+                    "127." + net + "." + (zone + 1) + "." + (firstHostNumber + number)));
         }
     }
 
--- a/rig/src/main/java/saltdale/rig/platform/Judge.java
+++ b/rig/src/main/java/saltdale/rig/platform/Judge.java
@@ -157,18 +157,18 @@
     public void recordAnswer(Duration now, String attemptId, int status, String seal, String answeredId, byte[] body) {
         Try sentTry = tries.get(attemptId);
         if (answeredId != null && !answeredId.equals(attemptId)) {
-            breach(now, Rule.MIXED, attemptId + " was answered with what belongs to " + answeredId);
+            breach(now, Rule.MIXED, attemptId + " got the answer of attempt " + answeredId);
         }
         if (status / 100 == 2) {
             Run run = seal == null ? null : runs.get(seal);
             if (run == null) {
-                breach(now, Rule.MIXED, attemptId + ": a success without a runner's seal");
+                breach(now, Rule.MIXED, attemptId + ": a success without the seal of a known run");
             } else if (!run.attemptId.equals(attemptId)) {
-                breach(now, Rule.MIXED, attemptId + ": a success with the seal of " + run.attemptId);
+                breach(now, Rule.MIXED, attemptId + ": a success with the seal of attempt " + run.attemptId);
             } else if (!run.succeeds) {
-                breach(now, Rule.MIXED, attemptId + ": a success where the runner had failed");
+                breach(now, Rule.MIXED, attemptId + ": a success although the run failed");
             } else if (!Arrays.equals(body, bodyFor(seal))) {
-                breach(now, Rule.MIXED, attemptId + ": a success with another body than the runner's");
+                breach(now, Rule.MIXED, attemptId + ": a success with a body that is not the runner's");
             }
         } else if (RetryPolicy.promisesNotExecuted(status)) {
             sentTry.refused = true;
@@ -188,7 +188,11 @@
         if (status == 404
                 && versions.stream()
                         .anyMatch(version -> !version.serviceByRoute.containsKey(routeKey(sentTry.route)))) {
-            breach(now, Rule.CONFIG, attemptId + ": 404 on " + sentTry.route.name() + ", which is there");
+            breach(
+                    now,
+                    Rule.CONFIG,
+                    attemptId + ": 404 on " + sentTry.route.name()
+                            + ", which is in every version that may be in force");
         }
     }
 
@@ -202,9 +206,7 @@
             breach(
                     now,
                     Rule.MIXED,
-                    attemptId == null
-                            ? "an answer where no request was waiting"
-                            : attemptId + ": bytes that are no answer");
+                    attemptId == null ? "an answer while no request was waiting" : attemptId + ": a malformed answer");
         }
     }
 
@@ -245,7 +247,7 @@
                     Rule.UNASKED,
                     attemptId
                             + (sentTry == null
-                                    ? ": run, and sent by no client"
+                                    ? ": run, but not sent by a client"
                                     : ": run as " + request + ", sent as " + sentTry.request));
             return;
         }
@@ -260,7 +262,11 @@
         } else if (isInContact(now, sentTry.machine)
                 && versionsPossiblyInForce(sentTry).stream()
                         .noneMatch(version -> service.equals(version.serviceByRoute.get(key)))) {
-            breach(now, Rule.CONFIG, attemptId + " of " + sentTry.route.name() + " was run by the old " + service);
+            breach(
+                    now,
+                    Rule.CONFIG,
+                    attemptId + " of " + sentTry.route.name() + " was run by a service of an outdated version: "
+                            + service);
         }
     }
 
@@ -287,7 +293,7 @@
             breach(
                     now,
                     Rule.LIMIT,
-                    service + " turned away " + times.size() + " within " + LIMIT_WINDOW.toSeconds() + " s");
+                    service + " rejected as full " + times.size() + " within " + LIMIT_WINDOW.toSeconds() + " s");
             times.clear();
         }
     }
@@ -303,21 +309,21 @@
 
     private void checkRefused(Duration now, String attemptId, Try sentTry) {
         if (sentTry.refused && sentTry.runs > 0 && !sentTry.route.idempotent()) {
-            breach(now, Rule.REFUSED, attemptId + " was run and refused");
+            breach(now, Rule.REFUSED, attemptId + " was run although it was refused");
         }
     }
 
     /** The versions that may be in force for a request, by the time at which it was sent. */
     private List<Version> versionsPossiblyInForce(Try sentTry) {
-        int from = 0;
+        int first = 0;
         for (int i = 0; i < versions.size(); i++) {
             Duration acknowledgedAt = versions.get(i).acknowledgedAt;
-            from = acknowledgedAt != null
+            first = acknowledgedAt != null
                             && acknowledgedAt.plus(bounds.configApply()).compareTo(sentTry.sentAt) < 0
                     ? i
-                    : from;
+                    : first;
         }
-        return versions.subList(from, versions.size());
+        return versions.subList(first, versions.size());
     }
 
     private void breach(Duration now, Rule rule, String message) {
--- a/rig/src/main/java/saltdale/rig/platform/live/BlockingHttp.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/BlockingHttp.java
@@ -41,7 +41,7 @@
         while (true) {
             long remainingMillis = (end - System.nanoTime()) / 1_000_000;
             if (remainingMillis <= 0) {
-                throw new SocketTimeoutException("no whole answer in time");
+                throw new SocketTimeoutException("no complete answer in time");
             }
             socket.setSoTimeout((int) remainingMillis);
             int count = in.read(buffer);
--- a/rig/src/main/java/saltdale/rig/platform/live/ClientLoad.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/ClientLoad.java
@@ -270,7 +270,7 @@
             if (parser.isMalformed()) {
                 judge.recordMalformedAnswer(origin.now(), id);
                 connection.close();
-                disconnected("no answer that can be read");
+                disconnected("malformed answer");
             } else if (parser.isComplete()) {
                 boolean surplusBytes = bytes.hasRemaining();
                 if (surplusBytes) {
--- a/rig/src/main/java/saltdale/rig/platform/live/EndToEndRun.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/EndToEndRun.java
@@ -74,7 +74,7 @@
         processes.startAll();
         runOnLoop(() ->
                 clients = new ClientLoad(standIn.loopThread, standIn.origin, deployment, standIn.judge, seed + 1));
-        change("Replace", 0, deployment.replacement(FIRST_REVISION), deployment.routes());
+        sendChange("Replace", 0, deployment.replacement(FIRST_REVISION), deployment.routes());
         boolean cameUp = waitUntil(
                 STARTUP_LIMIT,
                 () -> acknowledged && deployment.proxies().stream().allMatch(clients::isInRotation));
@@ -85,15 +85,15 @@
             runTraffic(scenario);
             readBack();
         } else {
-            failures.add("did not come up");
+            failures.add("the system did not become ready in time");
             deployment
                     .machines()
                     .forEach(machine -> out.println("  " + machine.name() + ": " + processes.lastLine(machine)));
         }
         processes
                 .exitStatuses()
-                .forEach((machine, status) -> failures.add(
-                        machine.name() + " ended by itself with " + status + ": " + processes.lastLine(machine)));
+                .forEach((machine, status) -> failures.add(machine.name() + " ended by itself with status " + status
+                        + ": " + processes.lastLine(machine)));
         processes
                 .terminateAll(deployment.bounds().grace())
                 .forEach(machine -> failures.add(machine.name() + " did not end within "
@@ -102,11 +102,11 @@
     }
 
     private void runTraffic(Scenario scenario) throws IOException, InterruptedException {
-        Duration from = now();
+        Duration start = now();
         Judge judge = standIn.judge;
         Machine killedProxy = deployment.proxies().get(deployment.proxies().size() - 1);
         runOnLoop(() -> clients.start(scenario.rate));
-        sleepUntil(from, scenario, 0.2);
+        sleepUntil(start, scenario, 0.2);
         report("killing " + killedProxy.name());
         runOnLoop(() -> judge.beginDisturbance(killedProxy.name(), now().plus(STARTUP_LIMIT)));
         processes.kill(killedProxy);
@@ -121,17 +121,17 @@
                                 Locale.ROOT,
                                 " ready again after %.1f s",
                                 now().minus(killed).toMillis() / 1e3)
-                        : " did not come back"));
+                        : " did not become ready again"));
         if (!cameBack) {
-            failures.add(killedProxy.name() + " did not come back: " + processes.lastLine(killedProxy));
+            failures.add(killedProxy.name() + " did not become ready again: " + processes.lastLine(killedProxy));
         }
-        sleepUntil(from, scenario, 0.4);
+        sleepUntil(start, scenario, 0.4);
         amend();
-        sleepUntil(from, scenario, 0.5);
+        sleepUntil(start, scenario, 0.5);
         if (!standIn.faults.isEmpty()) {
             runOnLoop(() -> {
                 standIn.faults.setEnabled(true);
-                judge.beginDisturbance(null, from.plusSeconds(scenario.seconds));
+                judge.beginDisturbance(null, start.plusSeconds(scenario.seconds));
             });
         }
         if (scenario.drainWorker) {
@@ -147,7 +147,7 @@
             });
             report("worker " + worker + " crashes");
         }
-        sleepUntil(from, scenario, 1);
+        sleepUntil(start, scenario, 1);
         runOnLoop(clients::end);
         long longest = deployment.routes().stream()
                 .mapToLong(route -> route.deadline().toMillis())
@@ -158,7 +158,7 @@
 
     /** Amends the configuration; clients call the new routes once it has to be in force. */
     private void amend() {
-        change("Amend", FIRST_REVISION, deployment.amendment(SECOND_REVISION), deployment.amendedRoutes());
+        sendChange("Amend", FIRST_REVISION, deployment.amendment(SECOND_REVISION), deployment.amendedRoutes());
         if (!waitUntil(Duration.ofSeconds(5), () -> acknowledged)) {
             failures.add("the amendment was not acknowledged within 5 s");
         }
@@ -168,7 +168,7 @@
     }
 
     /** Sends a configuration change; sets {@link #acknowledged} once it is acknowledged. */
-    private void change(String call, int basedOn, ObjectNode body, List<Route> routes) {
+    private void sendChange(String call, int basedOn, ObjectNode body, List<Route> routes) {
         acknowledged = false;
         Judge judge = standIn.judge;
         runOnLoop(() -> {
@@ -189,12 +189,12 @@
             try {
                 readBack = answer.status() == 200 ? JSON.readTree(answer.body()) : null;
             } catch (IOException e) {
-                failures.add("what is read back is no JSON");
+                failures.add("the configuration read back is not JSON");
             }
         }));
         waitUntil(READ_BACK_LIMIT, () -> readBack != null);
         JsonNode expected = deployment.configuration(SECOND_REVISION, deployment.amendedRoutes());
-        String difference = readBack == null ? "does not come" : difference(expected, readBack);
+        String difference = readBack == null ? "was not returned in time" : difference(expected, readBack);
         if (acknowledged && difference != null) {
             runOnLoop(() -> standIn.judge.recordReadBackMismatch(now(), "the configuration read back " + difference));
         }
@@ -205,27 +205,27 @@
      * there is none.
      */
     static String difference(JsonNode expected, JsonNode read) {
-        for (String part : List.of("revision", "limits")) {
-            if (!expected.path(part).toString().equals(read.path(part).toString())
-                    && !isSameJson(expected.path(part), read.path(part))) {
-                return "has another " + part + ": " + read.path(part);
+        for (String section : List.of("revision", "limits")) {
+            if (!expected.path(section).toString().equals(read.path(section).toString())
+                    && !isSameJson(expected.path(section), read.path(section))) {
+                return "has a different " + section + ": " + read.path(section);
             }
         }
-        for (String part : List.of("routes", "services")) {
+        for (String section : List.of("routes", "services")) {
             Set<String> extraNames = new HashSet<>();
-            read.path(part).forEach(item -> extraNames.add(item.path("name").asText()));
-            for (JsonNode item : expected.path(part)) {
+            read.path(section).forEach(item -> extraNames.add(item.path("name").asText()));
+            for (JsonNode item : expected.path(section)) {
                 JsonNode other = null;
-                for (JsonNode each : read.path(part)) {
+                for (JsonNode each : read.path(section)) {
                     other = each.path("name").equals(item.path("name")) ? each : other;
                 }
                 if (other == null || !isSameJson(item, other)) {
-                    return "has other " + part + ": " + (other == null ? "no " + item.path("name") : other);
+                    return "has other " + section + ": " + (other == null ? "no " + item.path("name") : other);
                 }
                 extraNames.remove(item.path("name").asText());
             }
             if (!extraNames.isEmpty()) {
-                return "has more " + part + ": " + extraNames;
+                return "has more " + section + ": " + extraNames;
             }
         }
         return null;
@@ -272,9 +272,9 @@
     }
 
     /** Sleeps until this share of the scenario has passed. */
-    private void sleepUntil(Duration from, Scenario scenario, double share) throws InterruptedException {
+    private void sleepUntil(Duration start, Scenario scenario, double share) throws InterruptedException {
         Duration extraNames =
-                from.plusMillis((long) (share * scenario.seconds * 1000)).minus(now());
+                start.plusMillis((long) (share * scenario.seconds * 1000)).minus(now());
         if (!extraNames.isNegative()) {
             Thread.sleep(extraNames.toMillis());
         }
--- a/rig/src/main/java/saltdale/rig/platform/live/NodeProcesses.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/NodeProcesses.java
@@ -30,7 +30,7 @@
     private final Map<Machine, Integer> exitStatuses = new LinkedHashMap<>();
     // Kills the processes if the rig itself is terminated.
     private final Thread shutdownHook =
-            new Thread(() -> running.values().forEach(Process::destroyForcibly), "end of all");
+            new Thread(() -> running.values().forEach(Process::destroyForcibly), "kill node processes");
 
     public NodeProcesses(Deployment deployment, Path jar, Path folder) {
         this.deployment = deployment;
@@ -110,9 +110,9 @@
     String lastLine(Machine machine) {
         try {
             List<String> lines = Files.readAllLines(log(machine), StandardCharsets.UTF_8);
-            return lines.isEmpty() ? "it said nothing" : lines.get(lines.size() - 1);
+            return lines.isEmpty() ? "the log is empty" : lines.get(lines.size() - 1);
         } catch (IOException e) {
-            return "its log can't be read";
+            return "the log can't be read";
         }
     }
 
@@ -143,15 +143,15 @@
         exitStatuses();
         running.values().forEach(Process::destroy);
         long end = System.nanoTime() + grace.toNanos();
-        List<Machine> left = new ArrayList<>();
+        List<Machine> killed = new ArrayList<>();
         for (Map.Entry<Machine, Process> each : running.entrySet()) {
             if (!each.getValue().waitFor(Math.max(0, end - System.nanoTime()), TimeUnit.NANOSECONDS)) {
-                left.add(each.getKey());
+                killed.add(each.getKey());
                 each.getValue().destroyForcibly().waitFor(5, TimeUnit.SECONDS);
             }
         }
         running.clear();
-        return left;
+        return killed;
     }
 
     @Override
--- a/rig/src/main/java/saltdale/rig/platform/live/PlatformServer.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/PlatformServer.java
@@ -69,7 +69,7 @@
                         head.target(),
                         reply.status(),
                         head.method().equals("POST")
-                                ? holder(head) + " " + new String(body, StandardCharsets.UTF_8) + " " + reply.body()
+                                ? dutyHolder(head) + " " + new String(body, StandardCharsets.UTF_8) + " " + reply.body()
                                 : "");
             }
             connection.send(ByteBuffer.wrap(answer(
@@ -88,27 +88,27 @@
         if (fence != null && !fence.matches("\\d{1,18}")) {
             return new Reply(400, JSON.createObjectNode());
         }
-        Long number = fence == null ? null : Long.valueOf(fence);
-        JsonNode request = json(body);
+        Long fenceNumber = fence == null ? null : Long.valueOf(fence);
+        JsonNode request = parseJson(body);
         return switch (head.method() + " " + head.path()) {
             case "GET /runners" -> platform.runners(query(head.target(), "zone"), query(head.target(), "page_token"));
             case "GET /workers" -> platform.workers();
             case "POST /begin" ->
                 platform.begin(
-                        number,
+                        fenceNumber,
                         text(request, "service"),
                         text(request, "worker_machine"),
                         text(request, "request_nonce"));
-            case "POST /stop" -> platform.stop(number, text(request, "identifier"));
+            case "POST /stop" -> platform.stop(fenceNumber, text(request, "identifier"));
             default -> new Reply(404, JSON.createObjectNode());
         };
     }
 
-    private static String holder(Head head) {
+    private static String dutyHolder(Head head) {
         return head.header("X-Saltdale-Duty-Holder") + " " + head.header("X-Saltdale-Fence-Number");
     }
 
-    private static JsonNode json(byte[] body) {
+    private static JsonNode parseJson(byte[] body) {
         try {
             return JSON.readTree(body);
         } catch (JsonProcessingException e) {
@@ -118,13 +118,15 @@
         }
     }
 
-    private static String text(JsonNode from, String name) {
-        return from.path(name).isTextual() ? from.path(name).textValue() : null;
+    private static String text(JsonNode node, String name) {
+        return node.path(name).isTextual() ? node.path(name).textValue() : null;
     }
 
     private static String query(String target, String name) {
-        int at = target.indexOf('?');
-        for (String each : at < 0 ? new String[0] : target.substring(at + 1).split("&")) {
+        int queryStart = target.indexOf('?');
+        for (String each : queryStart < 0
+                ? new String[0]
+                : target.substring(queryStart + 1).split("&")) {
             if (each.startsWith(name + "=")) {
                 return URLDecoder.decode(each.substring(name.length() + 1), StandardCharsets.UTF_8);
             }
--- a/rig/src/main/java/saltdale/rig/platform/live/PlatformStandIn.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/PlatformStandIn.java
@@ -53,7 +53,7 @@
         });
         if (failure.get() != null) {
             loopThread.close();
-            throw new IOException(deployment.platformAddress() + " can't be listened at: "
+            throw new IOException(deployment.platformAddress() + ": can't listen on this address: "
                     + failure.get().getMessage());
         }
     }
--- a/rig/src/main/java/saltdale/rig/platform/live/RunnerSockets.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/RunnerSockets.java
@@ -67,7 +67,7 @@
                                     .openConnections
                                     .add(new RunnerConnection(connection, instance)))));
         } catch (IOException e) {
-            throw new UncheckedIOException("a runner can't listen at " + instance.address + ": " + e.getMessage(), e);
+            throw new UncheckedIOException("a runner can't listen on " + instance.address + ": " + e.getMessage(), e);
         }
     }
 
--- a/rig/src/main/java/saltdale/rig/platform/live/Soak.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/Soak.java
@@ -44,7 +44,7 @@
     private final SoakObserver observer;
     private final List<SoakOperator> operators;
     private final List<String> failures = new CopyOnWriteArrayList<>();
-    private final Map<SoakTrouble, Integer> troubles = new EnumMap<>(SoakTrouble.class);
+    private final Map<SoakFault, Integer> faultCounts = new EnumMap<>(SoakFault.class);
     private final SplittableRandom random;
     private final PrintStream out;
     private final List<Thread> threads = new ArrayList<>();
@@ -87,7 +87,7 @@
         cluster.startAll();
         operators.forEach(this::startThread);
         if (!waitUntil(STARTUP_LIMIT, () -> allProxiesHave(1))) {
-            failures.add("did not come up");
+            failures.add("the proxies did not become ready in time");
             return;
         }
         startThread(observer);
@@ -124,12 +124,12 @@
         int count = 2 + random.nextInt(2);
         for (int i = 0; i < count; i++) {
             // While a control node has lost its disk only proxies may get further faults.
-            SoakTrouble trouble = loss && i == 0
-                    ? SoakTrouble.drawDiskLoss(random)
-                    : SoakTrouble.draw(random, loss || random.nextInt(3) == 0);
-            long from = random.nextInt(MAX_START_OFFSET_MILLIS);
-            long to = from + MIN_FAULT_MILLIS + random.nextInt(MAX_FAULT_MILLIS);
-            plan(steps, trouble, from, to);
+            SoakFault fault = loss && i == 0
+                    ? SoakFault.drawDiskLoss(random)
+                    : SoakFault.draw(random, loss || random.nextInt(3) == 0);
+            long startMillis = random.nextInt(MAX_START_OFFSET_MILLIS);
+            long endMillis = startMillis + MIN_FAULT_MILLIS + random.nextInt(MAX_FAULT_MILLIS);
+            plan(steps, fault, startMillis, endMillis);
         }
         execute(steps);
     }
@@ -146,32 +146,32 @@
         }
     }
 
-    private void plan(List<Step> steps, SoakTrouble trouble, long from, long to) {
-        List<Machine> of = trouble.targetsProxy() ? cluster.proxies() : cluster.controlNodes();
-        Machine machine = of.get(random.nextInt(of.size()));
+    private void plan(List<Step> steps, SoakFault fault, long startMillis, long endMillis) {
+        List<Machine> candidates = fault.targetsProxy() ? cluster.proxies() : cluster.controlNodes();
+        Machine machine = candidates.get(random.nextInt(candidates.size()));
         Machine other =
                 cluster.controlNodes().get(random.nextInt(cluster.controlNodes().size()));
         boolean[] applied = new boolean[1];
-        steps.add(new Step(from, () -> {
+        steps.add(new Step(startMillis, () -> {
             applied[0] = contact.isFree(machine.name()); // one fault per machine at a time
             if (applied[0]) {
-                troubles.merge(trouble, 1, Integer::sum);
-                report(trouble + " " + machine.name());
-                contact.begin(machine.name(), !trouble.targetsProxy());
-                apply(trouble, machine, other);
+                faultCounts.merge(fault, 1, Integer::sum);
+                report(fault + " " + machine.name());
+                contact.begin(machine.name(), !fault.targetsProxy());
+                apply(fault, machine, other);
             }
         }));
-        steps.add(new Step(to, () -> {
+        steps.add(new Step(endMillis, () -> {
             if (applied[0]) {
-                undo(trouble, machine, other);
-                contact.end(machine.name(), !trouble.targetsProxy());
-                report("over: " + trouble + " " + machine.name());
+                undo(fault, machine, other);
+                contact.end(machine.name(), !fault.targetsProxy());
+                report("ended: " + fault + " " + machine.name());
             }
         }));
     }
 
-    private void apply(SoakTrouble trouble, Machine machine, Machine other) throws IOException {
-        switch (trouble) {
+    private void apply(SoakFault fault, Machine machine, Machine other) throws IOException {
+        switch (fault) {
             case PROXY_KILLED, CONTROL_KILLED, CONTROL_WIPED, CONTROL_REPLACED -> cluster.kill(machine);
             case PROXY_PAUSED, CONTROL_PAUSED -> cluster.pause(machine);
             case PROXY_TERMINATED, CONTROL_TERMINATED -> cluster.terminate(machine);
@@ -190,8 +190,8 @@
         }
     }
 
-    private void undo(SoakTrouble trouble, Machine machine, Machine other) throws IOException {
-        switch (trouble) {
+    private void undo(SoakFault fault, Machine machine, Machine other) throws IOException {
+        switch (fault) {
             case PROXY_KILLED, CONTROL_KILLED -> cluster.start(machine);
             case PROXY_PAUSED, CONTROL_PAUSED -> cluster.resume(machine);
             case PROXY_TERMINATED, CONTROL_TERMINATED -> {
@@ -262,7 +262,7 @@
         waitUntil(Duration.ofSeconds(10), () -> changes.newestAcknowledged() > before);
         List<Machine> controlNodes = cluster.controlNodes();
         Machine diskLoser = controlNodes.get(random.nextInt(controlNodes.size()));
-        report("closing: " + diskLoser.name() + " loses its disk, all others are killed");
+        report("closing fault: " + diskLoser.name() + " loses its disk, all other machines are killed");
         List<Machine> all = new ArrayList<>(controlNodes);
         all.addAll(cluster.proxies());
         all.forEach(each -> contact.begin(each.name(), true));
@@ -306,11 +306,11 @@
             if (answer[0].status() == 200) {
                 changes.recordRead(SoakOperator.revision(answer[0].body()), answer[0].body(), minRevision, each.name());
             } else {
-                failures.add(each.name() + " does not answer a read at the end: " + answer[0].status());
+                failures.add(each.name() + " did not answer the final read: " + answer[0].status());
             }
         }
         if (!waitUntil(Duration.ofSeconds(3), () -> allProxiesHave(minRevision))) {
-            failures.add("at the end not all proxies have revision " + minRevision);
+            failures.add("after the final reads not all proxies have revision " + minRevision);
         }
     }
 
@@ -340,19 +340,19 @@
         return true;
     }
 
-    private void report(String task) {
-        out.printf(Locale.ROOT, "  %8.1f s  %s%n", System.nanoTime() / 1e9, task);
+    private void report(String message) {
+        out.printf(Locale.ROOT, "  %8.1f s  %s%n", System.nanoTime() / 1e9, message);
     }
 
     private boolean verdict(long seed) {
-        cluster.endedByThemselves().forEach(each -> failures.add("ended by itself: " + each));
+        cluster.endedByThemselves().forEach(each -> failures.add("process ended by itself: " + each));
         if (observer.checks() == 0) {
-            failures.add("no proxy was ever in touch: nothing was checked");
+            failures.add("no proxy was ever in contact: nothing was checked");
         }
         failures.forEach(each -> out.println("  fault: " + each));
-        int count = troubles.values().stream().mapToInt(Integer::intValue).sum();
+        int count = faultCounts.values().stream().mapToInt(Integer::intValue).sum();
         out.println((failures.isEmpty() ? "passed" : "FAILED") + ": seed " + seed + ", " + count + " troubles "
-                + troubles + ", " + changes.summary() + ", " + observer.checks() + " looks at proxies in touch");
+                + faultCounts + ", " + changes.summary() + ", " + observer.checks() + " looks at proxies in touch");
         return failures.isEmpty();
     }
 }
--- a/rig/src/main/java/saltdale/rig/platform/live/SoakChanges.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/SoakChanges.java
@@ -26,12 +26,12 @@
     private final Deployment deployment;
     private final List<String> failures;
     private final Map<Long, Change> acknowledged = new HashMap<>(); // by base revision
-    private final Map<Long, List<String>> offered = new HashMap<>(); // bodies sent, by revision
+    private final Map<Long, List<String>> sentBodies = new HashMap<>(); // bodies sent, by revision
     private final TreeMap<Long, Long> acknowledgedAt = new TreeMap<>(); // newest revision, by nanoTime
     private long newestAcknowledged;
     private long newestKnown; // newest revision acknowledged or read
-    private int sent;
-    private int resent;
+    private int sentCount;
+    private int resentCount;
 
     SoakChanges(Deployment deployment, List<String> failures) {
         this.deployment = deployment;
@@ -45,14 +45,14 @@
      */
     synchronized Change next(int step, String marker, boolean isValid) {
         long revision = newestKnown + 1 + Math.floorMod(step, MAX_REVISION_STEP);
-        ObjectNode tree = deployment.configuration(Math.toIntExact(revision), routes(revision));
-        tree.put("remark", marker);
+        ObjectNode configuration = deployment.configuration(Math.toIntExact(revision), routes(revision));
+        configuration.put("remark", marker);
         if (!isValid) {
-            ((ObjectNode) tree.withArray("/routes").get(0)).put("timeout_ms", 0);
+            ((ObjectNode) configuration.withArray("/routes").get(0)).put("timeout_ms", 0);
         }
-        Change change = new Change(newestKnown, revision, tree.toString(), isValid);
-        offered.computeIfAbsent(revision, r -> new ArrayList<>()).add(change.body());
-        sent++;
+        Change change = new Change(newestKnown, revision, configuration.toString(), isValid);
+        sentBodies.computeIfAbsent(revision, r -> new ArrayList<>()).add(change.body());
+        sentCount++;
         return change;
     }
 
@@ -82,16 +82,16 @@
     }
 
     synchronized void recordResend() {
-        resent++;
+        resentCount++;
     }
 
-    synchronized void recordAcknowledged(Change change, String by) {
+    synchronized void recordAcknowledged(Change change, String nodeName) {
         Change other = acknowledged.putIfAbsent(change.base(), change);
         if (!change.isValid()) {
-            failures.add(by + " acknowledged an invalid order, revision " + change.revision());
+            failures.add(nodeName + " acknowledged an invalid change, revision " + change.revision());
         } else if (other != null && !other.equals(change)) {
-            failures.add(by + " acknowledged " + change.revision() + " on " + change.base() + ", on which "
-                    + other.revision() + " was acknowledged before");
+            failures.add(nodeName + " acknowledged revision " + change.revision() + " based on revision "
+                    + change.base() + ", on which revision " + other.revision() + " was acknowledged before");
         }
         newestKnown = Math.max(newestKnown, change.revision());
         if (change.revision() > newestAcknowledged) {
@@ -101,11 +101,11 @@
     }
 
     /** Records a 4xx answer; a valid change may be refused only with 412, and never once it was acknowledged. */
-    synchronized void recordRefused(Change change, int status, String by) {
-        boolean validAndNotConflicting = change.isValid() && status != 412;
-        if (validAndNotConflicting || change.equals(acknowledged.get(change.base()))) {
-            failures.add(by + " answered " + status + " to revision " + change.revision() + " on " + change.base()
-                    + (validAndNotConflicting ? ", which is proper" : ", which was acknowledged"));
+    synchronized void recordRefused(Change change, int status, String nodeName) {
+        boolean mustBeAccepted = change.isValid() && status != 412;
+        if (mustBeAccepted || change.equals(acknowledged.get(change.base()))) {
+            failures.add(nodeName + " answered " + status + " to revision " + change.revision() + " based on revision "
+                    + change.base() + (mustBeAccepted ? ", which is valid" : ", which was acknowledged"));
         }
     }
 
@@ -114,11 +114,11 @@
      *
      * @param minRevision the newest acknowledged revision when the read was sent
      */
-    synchronized void recordRead(long revision, String body, long minRevision, String by) {
+    synchronized void recordRead(long revision, String body, long minRevision, String nodeName) {
         if (revision < minRevision) {
-            failures.add(by + " reads revision " + revision + ", " + minRevision + " was acknowledged before");
-        } else if (revision > 0 && !offered.getOrDefault(revision, List.of()).contains(body.strip())) {
-            failures.add(by + " reads revision " + revision + " that nobody sent so");
+            failures.add(nodeName + " returned revision " + revision + ", " + minRevision + " was acknowledged before");
+        } else if (revision > 0 && !sentBodies.getOrDefault(revision, List.of()).contains(body.strip())) {
+            failures.add(nodeName + " returned revision " + revision + " with a body that no operator sent");
         }
         newestKnown = Math.max(newestKnown, revision);
     }
@@ -133,7 +133,7 @@
     }
 
     synchronized String summary() {
-        return sent + " orders, " + resent + " sent again, " + acknowledged.size() + " acknowledged, revision "
-                + newestAcknowledged;
+        return sentCount + " orders, " + resentCount + " sent again, " + acknowledged.size()
+                + " acknowledged, revision " + newestAcknowledged;
     }
 }
--- a/rig/src/main/java/saltdale/rig/platform/live/SoakCluster.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/SoakCluster.java
@@ -41,7 +41,7 @@
     private final Set<Machine> expectedToEnd = new HashSet<>();
     private final Map<String, Set<String>> faultLines = new HashMap<>(); // lines of the fault file, by machine
     private final Thread shutdownHook =
-            new Thread(() -> running.values().forEach(Process::destroyForcibly), "end of soak");
+            new Thread(() -> running.values().forEach(Process::destroyForcibly), "kill soak processes");
     private int successorCount;
 
     SoakCluster(Deployment deployment, List<String> program, Path folder) {
@@ -239,7 +239,8 @@
     List<String> endedByThemselves() {
         return running.entrySet().stream()
                 .filter(each -> !each.getValue().isAlive() && !expectedToEnd.contains(each.getKey()))
-                .map(each -> each.getKey().name() + " with " + each.getValue().exitValue())
+                .map(each ->
+                        each.getKey().name() + " with status " + each.getValue().exitValue())
                 .toList();
     }
 
--- a/rig/src/main/java/saltdale/rig/platform/live/SoakContact.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/SoakContact.java
@@ -14,7 +14,7 @@
     private static final String CORE = "the core";
 
     private final long contactNanos;
-    private final Map<String, Integer> troubles = new HashMap<>(); // number in progress, by machine
+    private final Map<String, Integer> activeFaults = new HashMap<>(); // number in progress, by machine
     private final Map<String, Long> disturbedAt = new HashMap<>();
 
     SoakContact(Duration contact) {
@@ -24,7 +24,7 @@
     /** Begins a fault of a machine; a fault of a control node is one of the core too. */
     synchronized void begin(String machine, boolean ofCore) {
         for (String each : names(machine, ofCore)) {
-            troubles.merge(each, 1, Integer::sum);
+            activeFaults.merge(each, 1, Integer::sum);
             disturbedAt.put(each, System.nanoTime());
         }
     }
@@ -32,7 +32,7 @@
     /** Ends a fault of a machine. */
     synchronized void end(String machine, boolean ofCore) {
         for (String each : names(machine, ofCore)) {
-            troubles.merge(each, -1, Integer::sum);
+            activeFaults.merge(each, -1, Integer::sum);
             disturbedAt.put(each, System.nanoTime());
         }
     }
@@ -52,7 +52,7 @@
 
     /** Whether the machine has no fault in progress. */
     synchronized boolean isFree(String machine) {
-        return troubles.getOrDefault(machine, 0) == 0;
+        return activeFaults.getOrDefault(machine, 0) == 0;
     }
 
     /** Whether the machine is in contact now. */
@@ -62,7 +62,7 @@
     }
 
     private boolean isUndisturbed(String machine, long now, long span) {
-        return troubles.getOrDefault(machine, 0) == 0
+        return activeFaults.getOrDefault(machine, 0) == 0
                 && (!disturbedAt.containsKey(machine) || now - disturbedAt.get(machine) >= span);
     }
 }
--- a/rig/src/main/java/saltdale/rig/platform/live/SoakTrouble.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/SoakFault.java
@@ -3,7 +3,7 @@
 import java.util.SplittableRandom;
 
 /** The faults of machines in a soak. */
-enum SoakTrouble {
+enum SoakFault {
     PROXY_KILLED(Target.PROXY),
     PROXY_PAUSED(Target.PROXY),
     PROXY_TERMINATED(Target.PROXY),
@@ -36,7 +36,7 @@
 
     private final Target target;
 
-    SoakTrouble(Target target) {
+    SoakFault(Target target) {
         this.target = target;
     }
 
@@ -49,8 +49,8 @@
     }
 
     /** Draws a fault without loss of a disk, either of a proxy or of the core. */
-    static SoakTrouble draw(SplittableRandom random, boolean targetsProxy) {
-        SoakTrouble drawn;
+    static SoakFault draw(SplittableRandom random, boolean targetsProxy) {
+        SoakFault drawn;
         do {
             drawn = values()[random.nextInt(values().length)];
         } while (drawn.losesDisk() || drawn.targetsProxy() != targetsProxy);
@@ -58,8 +58,8 @@
     }
 
     /** Draws a fault with loss of a disk. */
-    static SoakTrouble drawDiskLoss(SplittableRandom random) {
-        SoakTrouble[] losses = {CONTROL_WIPED, CONTROL_REPLACED, CONTROL_REPLACED_AS_PLANNED};
+    static SoakFault drawDiskLoss(SplittableRandom random) {
+        SoakFault[] losses = {CONTROL_WIPED, CONTROL_REPLACED, CONTROL_REPLACED_AS_PLANNED};
         return losses[random.nextInt(losses.length)];
     }
 }
--- a/rig/src/main/java/saltdale/rig/platform/live/SoakObserver.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/SoakObserver.java
@@ -96,14 +96,14 @@
         checks++;
         long revision = metrics.getOrDefault("configuration_revision", -1L);
         if (metrics.isEmpty()) {
-            failures.add(proxy.name() + " is in touch and does not answer");
+            failures.add(proxy.name() + " is in contact and does not answer");
         } else if (revision < dueRevision) {
-            failures.add(proxy.name() + " is in touch with revision " + revision + ", " + dueRevision + " was due; age "
-                    + metrics.get("configuration_age_ms") + " ms");
+            failures.add(proxy.name() + " is in contact and has revision " + revision + ", " + dueRevision
+                    + " was due; age " + metrics.get("configuration_age_ms") + " ms");
         }
         if (route.status() == 404) {
-            failures.add(proxy.name() + " is in touch and denies " + SoakChanges.path(dueRevision) + ", revision "
-                    + dueRevision + " was due");
+            failures.add(proxy.name() + " is in contact and answers 404 to " + SoakChanges.path(dueRevision)
+                    + ", revision " + dueRevision + " was due");
         }
     }
 
