--- a/rig/src/main/java/saltdale/rig/platform/live/LoopClock.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/LoopClock.java
@@ -5,7 +5,7 @@
 import saltdale.rig.standin.LoopThread;
 import saltdale.rig.standin.Origin;
 
-/** The time of a loop on a thread of its own. */
+/** A clock that schedules actions on a loop thread. */
 record LoopClock(LoopThread loopThread, Origin origin) implements Clock {
     @Override
     public Duration now() {
@@ -13,7 +13,7 @@
     }
 
     @Override
-    public void after(Duration span, Runnable what) {
-        loopThread.loop.schedule(span, what);
+    public void schedule(Duration delay, Runnable action) {
+        loopThread.loop.schedule(delay, action);
     }
 }
--- a/rig/src/main/java/saltdale/rig/platform/live/PlatformServer.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/PlatformServer.java
@@ -12,9 +12,9 @@
 import java.time.Duration;
 import java.util.Locale;
 import saltdale.protocol.Head;
+import saltdale.rig.platform.Deployment;
 import saltdale.rig.platform.Platform;
 import saltdale.rig.platform.Platform.Reply;
-import saltdale.rig.platform.Site;
 import saltdale.rig.standin.Exchange;
 import saltdale.rig.standin.LoopThread;
 import saltdale.rig.standin.Origin;
@@ -22,7 +22,7 @@
 import saltdale.transport.Connection;
 import saltdale.transport.Listener;
 
-/** The platform's calls on HTTP; used on the loop. */
+/** The HTTP server of the platform's API; used on the loop thread. */
 final class PlatformServer {
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -30,8 +30,12 @@
     private final Platform platform;
     private final PrintWriter log;
 
-    /** {@code log}: takes a line for each call; null for none. */
-    PlatformServer(LoopThread loopThread, Origin origin, Site site, Platform platform, PrintWriter log)
+    /**
+     * Starts listening.
+     *
+     * @param log gets a line for each call; null for none
+     */
+    PlatformServer(LoopThread loopThread, Origin origin, Deployment deployment, Platform platform, PrintWriter log)
             throws IOException {
         this.origin = origin;
         this.platform = platform;
@@ -39,18 +43,18 @@
         new Listener(
                 loopThread.loop,
                 loopThread.sockets,
-                Address.parse(site.platform()),
-                (connection, full) -> new Called(connection));
+                Address.parse(deployment.platformAddress()),
+                (connection, full) -> new CallConnection(connection));
     }
 
-    private final class Called extends Exchange {
-        Called(Connection connection) {
+    private final class CallConnection extends Exchange {
+        CallConnection(Connection connection) {
             super(connection, origin);
         }
 
         @Override
         public void disconnected(String cause) {
-            // It answers at once: nothing is under way.
+            // Requests are answered at once, so that none can be in progress.
         }
 
         @Override
@@ -65,7 +69,7 @@
                         head.target(),
                         reply.status(),
                         head.method().equals("POST")
-                                ? holder(head) + " " + new String(body, StandardCharsets.UTF_8) + " " + reply.body()
+                                ? dutyHolder(head) + " " + new String(body, StandardCharsets.UTF_8) + " " + reply.body()
                                 : "");
             }
             connection.send(ByteBuffer.wrap(answer(
@@ -84,40 +88,45 @@
         if (fence != null && !fence.matches("\\d{1,18}")) {
             return new Reply(400, JSON.createObjectNode());
         }
-        Long number = fence == null ? null : Long.valueOf(fence);
-        JsonNode asked = json(body);
+        Long fenceNumber = fence == null ? null : Long.valueOf(fence);
+        JsonNode request = parseJson(body);
         return switch (head.method() + " " + head.path()) {
             case "GET /runners" -> platform.runners(query(head.target(), "zone"), query(head.target(), "page_token"));
             case "GET /workers" -> platform.workers();
             case "POST /begin" ->
                 platform.begin(
-                        number, text(asked, "service"), text(asked, "worker_machine"), text(asked, "request_nonce"));
-            case "POST /stop" -> platform.stop(number, text(asked, "identifier"));
+                        fenceNumber,
+                        text(request, "service"),
+                        text(request, "worker_machine"),
+                        text(request, "request_nonce"));
+            case "POST /stop" -> platform.stop(fenceNumber, text(request, "identifier"));
             default -> new Reply(404, JSON.createObjectNode());
         };
     }
 
-    private static String holder(Head head) {
+    private static String dutyHolder(Head head) {
         return head.header("X-Saltdale-Duty-Holder") + " " + head.header("X-Saltdale-Fence-Number");
     }
 
-    private static JsonNode json(byte[] body) {
+    private static JsonNode parseJson(byte[] body) {
         try {
             return JSON.readTree(body);
         } catch (JsonProcessingException e) {
-            return MissingNode.getInstance(); // whose members are all missing
+            return MissingNode.getInstance(); // a node without members
         } catch (IOException e) {
-            throw new IllegalStateException(e); // bytes in memory can be read
+            throw new IllegalStateException(e); // reading from memory doesn't fail
         }
     }
 
-    private static String text(JsonNode from, String name) {
-        return from.path(name).isTextual() ? from.path(name).textValue() : null;
+    private static String text(JsonNode node, String name) {
+        return node.path(name).isTextual() ? node.path(name).textValue() : null;
     }
 
     private static String query(String target, String name) {
-        int at = target.indexOf('?');
-        for (String each : at < 0 ? new String[0] : target.substring(at + 1).split("&")) {
+        int queryStart = target.indexOf('?');
+        for (String each : queryStart < 0
+                ? new String[0]
+                : target.substring(queryStart + 1).split("&")) {
             if (each.startsWith(name + "=")) {
                 return URLDecoder.decode(each.substring(name.length() + 1), StandardCharsets.UTF_8);
             }
--- a/rig/src/main/java/saltdale/rig/platform/live/SoakCluster.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/SoakCluster.java
@@ -16,22 +16,22 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
+import saltdale.rig.platform.Deployment;
 import saltdale.rig.platform.Machine;
-import saltdale.rig.platform.Site;
 
 /**
- * The machines of a soak: real processes that can be killed, paused, told to end, started again, cut from each other,
- * and, as control nodes, lose their disk or give their place to a new one at another address. One thread changes them;
- * others may ask which there are.
+ * The machines of a soak: real processes that can be killed, paused, terminated, restarted and cut off from each
+ * other. Control nodes can also lose their disk, or be replaced by a new one at another address. One thread changes
+ * the cluster; others may ask for its machines.
  */
 final class SoakCluster implements AutoCloseable {
-    private static final List<String> FLAGS =
+    private static final List<String> JVM_FLAGS =
             List.of("-Xmx128m", "-Xss256k", "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1");
-    private static final Set<String> PASSED_ON = Set.of("PATH", "HOME", "JAVA_HOME", "LANG");
-    private static final int FIRST_SUCCESSOR = 120; // last figure of the addresses of new control nodes
-    private static final int SEEDS = 3;
+    private static final Set<String> INHERITED_VARIABLES = Set.of("PATH", "HOME", "JAVA_HOME", "LANG");
+    private static final int FIRST_SUCCESSOR_HOST_NUMBER = 120; // last octet of the addresses of new control nodes
+    private static final int MAX_SEEDS = 3;
 
-    private final Site site;
+    private final Deployment deployment;
     private final List<String> program; // arguments of java that name the program
     private final Path folder;
     private final List<Machine> proxies;
@@ -39,18 +39,19 @@
     private final int toleratedLosses;
     private final Map<Machine, Process> running = new HashMap<>();
     private final Set<Machine> expectedToEnd = new HashSet<>();
-    private final Map<String, Set<String>> cuts = new HashMap<>(); // lines of the fault file, by machine
-    private final Thread atExit = new Thread(() -> running.values().forEach(Process::destroyForcibly), "end of soak");
-    private int successors;
+    private final Map<String, Set<String>> faultLines = new HashMap<>(); // lines of the fault file, by machine
+    private final Thread shutdownHook =
+            new Thread(() -> running.values().forEach(Process::destroyForcibly), "kill soak processes");
+    private int successorCount;
 
-    SoakCluster(Site site, List<String> program, Path folder) {
-        this.site = site;
+    SoakCluster(Deployment deployment, List<String> program, Path folder) {
+        this.deployment = deployment;
         this.program = program;
         this.folder = folder.toAbsolutePath();
-        proxies = site.proxies();
-        controlNodes = new CopyOnWriteArrayList<>(site.controlNodes());
+        proxies = deployment.proxies();
+        controlNodes = new CopyOnWriteArrayList<>(deployment.controlNodes());
         toleratedLosses = (controlNodes.size() - 1) / 2;
-        Runtime.getRuntime().addShutdownHook(atExit);
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
     }
 
     List<Machine> proxies() {
@@ -74,7 +75,7 @@
         }
     }
 
-    /** Starts it again, with the seeds of this moment, unless it runs. */
+    /** Restarts a machine with the current seeds, unless it is running. */
     void start(Machine machine) throws IOException {
         if (!isRunning(machine)) {
             start(machine, false);
@@ -82,31 +83,33 @@
     }
 
     private void start(Machine machine, boolean firstStart) throws IOException {
-        Path own = folder.resolve(machine.name());
-        Files.createDirectories(own.resolve("data"));
+        Path machineFolder = folder.resolve(machine.name());
+        Files.createDirectories(machineFolder.resolve("data"));
         Path settings = Files.writeString(
-                own.resolve("local.json"), settings(machine, firstStart, own).toPrettyString());
+                machineFolder.resolve("local.json"),
+                settings(machine, firstStart, machineFolder).toPrettyString());
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
-        command.addAll(FLAGS);
+        command.addAll(JVM_FLAGS);
         command.addAll(program);
         command.addAll(List.of(machine.role(), "--trace"));
         ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
-                .redirectOutput(
-                        ProcessBuilder.Redirect.appendTo(own.resolve("log").toFile()));
-        builder.environment().keySet().retainAll(PASSED_ON);
+                .redirectOutput(ProcessBuilder.Redirect.appendTo(
+                        machineFolder.resolve("log").toFile()));
+        builder.environment().keySet().retainAll(INHERITED_VARIABLES);
         builder.environment().put("SALTDALE_BOOT", settings.toString());
-        builder.environment().put("SALTDALE_LINK_FAULTS", faults(machine.name()).toString());
+        builder.environment()
+                .put("SALTDALE_LINK_FAULTS", faultFile(machine.name()).toString());
         running.put(machine, builder.start());
         expectedToEnd.remove(machine);
     }
 
-    private ObjectNode settings(Machine machine, boolean firstStart, Path own) {
-        String data = machine.isProxy() ? null : own.resolve("data").toString();
-        ObjectNode settings = site.settings(machine, firstStart, data);
+    private ObjectNode settings(Machine machine, boolean firstStart, Path machineFolder) {
+        String data = machine.isProxy() ? null : machineFolder.resolve("data").toString();
+        ObjectNode settings = deployment.settings(machine, firstStart, data);
         ArrayNode seeds = settings.putArray("seed_nodes");
-        controlNodes.stream().limit(SEEDS).forEach(each -> seeds.add(each.at(Machine.CONTROL)));
+        controlNodes.stream().limit(MAX_SEEDS).forEach(each -> seeds.add(each.at(Machine.CONTROL_PORT)));
         settings.putObject("tolerated_losses").put("machines", toleratedLosses);
         return settings;
     }
@@ -115,11 +118,11 @@
         Process process = running.remove(machine);
         if (process != null) {
             process.destroyForcibly();
-            join(process, 5000);
+            waitFor(process, 5000);
         }
     }
 
-    /** SIGTERM; returns at once. */
+    /** Sends SIGTERM without waiting for the end. */
     void terminate(Machine machine) {
         Process process = running.get(machine);
         if (process != null) {
@@ -128,21 +131,21 @@
         }
     }
 
-    /** Waits for the end of one that was told to; kills it after this time, and returns whether that was needed. */
+    /** Waits for the end of a terminated machine, and kills it after this time; returns whether that was needed. */
     boolean awaitEnd(Machine machine, long millis) {
         if (!expectedToEnd.contains(machine)) {
-            return false; // it was killed meanwhile, and may have begun anew
+            return false; // it was killed in the meantime, and may have been restarted
         }
         Process process = running.remove(machine);
-        if (process == null || join(process, millis)) {
+        if (process == null || waitFor(process, millis)) {
             return false;
         }
         process.destroyForcibly();
-        join(process, 5000);
+        waitFor(process, 5000);
         return true;
     }
 
-    private static boolean join(Process process, long millis) {
+    private static boolean waitFor(Process process, long millis) {
         try {
             return process.waitFor(millis, TimeUnit.MILLISECONDS);
         } catch (InterruptedException e) {
@@ -162,11 +165,11 @@
     private void signal(Machine machine, String name) throws IOException {
         Process process = running.get(machine);
         if (process != null && process.isAlive()) {
-            join(new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start(), 1000);
+            waitFor(new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start(), 1000);
         }
     }
 
-    /** Removes its disk; it must not be running. */
+    /** Deletes the disk of a machine that is not running. */
     void wipe(Machine machine) throws IOException {
         Path data = folder.resolve(machine.name()).resolve("data");
         if (Files.isDirectory(data)) {
@@ -178,65 +181,66 @@
         }
     }
 
-    /** A new control node at an address of its own, in the zone of this one, not yet started. */
+    /** Creates, without starting it, a new control node with an address of its own in the zone of the old one. */
     Machine successorOf(Machine old) {
-        int number = FIRST_SUCCESSOR + successors++;
+        int number = FIRST_SUCCESSOR_HOST_NUMBER + successorCount++;
         String ip = old.ip().substring(0, old.ip().lastIndexOf('.') + 1) + number;
         return new Machine("core-" + old.zone() + "-" + number, old.role(), old.zone(), ip);
     }
 
-    /** From now on this one is among the control nodes that seeds are taken from. */
+    /** Adds a control node to those that seeds are taken from. */
     void add(Machine machine) {
         controlNodes.add(machine);
     }
 
-    /** It is gone for good. */
+    /** Removes a control node for good. */
     void remove(Machine machine) {
         controlNodes.remove(machine);
     }
 
-    // Cuts.
+    // Network cuts.
 
-    /** Messages between them are lost, in one direction or both. */
+    /** Drops the messages from {@code a} to {@code b}, and those from {@code b} to {@code a} unless {@code oneWay}. */
     void cut(Machine a, Machine b, boolean oneWay) throws IOException {
-        fault(a, "to " + b.ip());
-        fault(b, "from " + a.ip());
+        addFaultLine(a, "to " + b.ip());
+        addFaultLine(b, "from " + a.ip());
         if (!oneWay) {
-            fault(b, "to " + a.ip());
-            fault(a, "from " + b.ip());
+            addFaultLine(b, "to " + a.ip());
+            addFaultLine(a, "from " + b.ip());
         }
     }
 
-    /** All cuts are over. */
-    void healAll() throws IOException {
-        for (Map.Entry<String, Set<String>> each : cuts.entrySet()) {
+    /** Removes all cuts. */
+    void removeAllCuts() throws IOException {
+        for (Map.Entry<String, Set<String>> each : faultLines.entrySet()) {
             each.getValue().clear();
-            write(each.getKey());
+            writeFaultFile(each.getKey());
         }
     }
 
-    private void fault(Machine at, String line) throws IOException {
-        if (cuts.computeIfAbsent(at.name(), name -> new HashSet<>()).add(line)) {
-            write(at.name());
+    private void addFaultLine(Machine at, String line) throws IOException {
+        if (faultLines.computeIfAbsent(at.name(), name -> new HashSet<>()).add(line)) {
+            writeFaultFile(at.name());
         }
     }
 
-    private void write(String machine) throws IOException {
-        Path written = Files.write(folder.resolve(machine + ".faults.new"), cuts.get(machine));
-        Files.move(written, faults(machine), StandardCopyOption.ATOMIC_MOVE);
+    private void writeFaultFile(String machine) throws IOException {
+        Path written = Files.write(folder.resolve(machine + ".faults.new"), faultLines.get(machine));
+        Files.move(written, faultFile(machine), StandardCopyOption.ATOMIC_MOVE);
     }
 
-    private Path faults(String machine) {
+    private Path faultFile(String machine) {
         return folder.resolve(machine + ".faults");
     }
 
-    // What the processes say.
+    // State of the processes.
 
-    /** Processes that ended though nobody told them to. */
+    /** The processes that ended without being told to, with their exit statuses. */
     List<String> endedByThemselves() {
         return running.entrySet().stream()
                 .filter(each -> !each.getValue().isAlive() && !expectedToEnd.contains(each.getKey()))
-                .map(each -> each.getKey().name() + " with " + each.getValue().exitValue())
+                .map(each ->
+                        each.getKey().name() + " with status " + each.getValue().exitValue())
                 .toList();
     }
 
@@ -248,13 +252,13 @@
     public void close() {
         for (Process process : running.values()) {
             process.destroyForcibly();
-            join(process, 5000);
+            waitFor(process, 5000);
         }
         running.clear();
         try {
-            Runtime.getRuntime().removeShutdownHook(atExit);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
-            // it is on its way
+            // the JVM is already shutting down
         }
     }
 }
--- a/rig/src/main/java/saltdale/rig/platform/live/SoakContact.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/SoakContact.java
@@ -7,31 +7,32 @@
 import java.util.Set;
 
 /**
- * Which machines of a soak are in touch, as the rules have it: neither they nor the core had any trouble for
- * {@code contact_ms}. Used by several threads.
+ * Tracks which machines of a soak are in contact, as the contracts define it: for {@code contact_ms}, neither the
+ * machine nor the core had a fault. Thread-safe.
  */
 final class SoakContact {
     private static final String CORE = "the core";
 
     private final long contactNanos;
-    private final Map<String, Integer> troubles = new HashMap<>(); // under way, by machine
+    private final Map<String, Integer> activeFaults = new HashMap<>(); // number in progress, by machine
     private final Map<String, Long> disturbedAt = new HashMap<>();
 
     SoakContact(Duration contact) {
         contactNanos = contact.toNanos();
     }
 
-    /** A trouble of this machine begins; those of control nodes are the core's. */
-    synchronized void begins(String machine, boolean ofCore) {
+    /** Begins a fault of a machine; a fault of a control node is one of the core too. */
+    synchronized void begin(String machine, boolean ofCore) {
         for (String each : names(machine, ofCore)) {
-            troubles.merge(each, 1, Integer::sum);
+            activeFaults.merge(each, 1, Integer::sum);
             disturbedAt.put(each, System.nanoTime());
         }
     }
 
-    synchronized void ends(String machine, boolean ofCore) {
+    /** Ends a fault of a machine. */
+    synchronized void end(String machine, boolean ofCore) {
         for (String each : names(machine, ofCore)) {
-            troubles.merge(each, -1, Integer::sum);
+            activeFaults.merge(each, -1, Integer::sum);
             disturbedAt.put(each, System.nanoTime());
         }
     }
@@ -44,24 +45,24 @@
         return names;
     }
 
-    /** Whether no trouble of a control node is under way, and none was for this long. */
-    synchronized boolean isCoreCalmFor(Duration span) {
-        return isCalm(CORE, System.nanoTime(), span.toNanos());
+    /** Whether the core has had no fault for this long. */
+    synchronized boolean isCoreUndisturbedFor(Duration span) {
+        return isUndisturbed(CORE, System.nanoTime(), span.toNanos());
     }
 
-    /** Whether no trouble of this machine is under way. */
+    /** Whether the machine has no fault in progress. */
     synchronized boolean isFree(String machine) {
-        return troubles.getOrDefault(machine, 0) == 0;
+        return activeFaults.getOrDefault(machine, 0) == 0;
     }
 
-    /** Whether this machine is in touch at this moment. */
-    synchronized boolean inTouch(String machine) {
+    /** Whether the machine is in contact now. */
+    synchronized boolean isInContact(String machine) {
         long now = System.nanoTime();
-        return isCalm(machine, now, contactNanos) && isCalm(CORE, now, contactNanos);
+        return isUndisturbed(machine, now, contactNanos) && isUndisturbed(CORE, now, contactNanos);
     }
 
-    private boolean isCalm(String machine, long now, long span) {
-        return troubles.getOrDefault(machine, 0) == 0
+    private boolean isUndisturbed(String machine, long now, long span) {
+        return activeFaults.getOrDefault(machine, 0) == 0
                 && (!disturbedAt.containsKey(machine) || now - disturbedAt.get(machine) >= span);
     }
 }
