--- a/nodes/src/main/java/saltdale/nodes/client/NodeClient.java
+++ b/nodes/src/main/java/saltdale/nodes/client/NodeClient.java
@@ -11,16 +11,16 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
+import saltdale.nodes.wire.ConnectHandshake;
+import saltdale.nodes.wire.ErrorCode;
 import saltdale.nodes.wire.Event;
-import saltdale.nodes.wire.Fault;
-import saltdale.nodes.wire.Frames;
-import saltdale.nodes.wire.Malformed;
+import saltdale.nodes.wire.FrameDecoder;
+import saltdale.nodes.wire.MalformedRecordException;
 import saltdale.nodes.wire.Op;
-import saltdale.nodes.wire.Opening;
 import saltdale.nodes.wire.RecordReader;
 import saltdale.nodes.wire.RecordWriter;
+import saltdale.nodes.wire.SetWatchesRequest;
 import saltdale.nodes.wire.Stat;
-import saltdale.nodes.wire.Watching;
 import saltdale.transport.Connection;
 import saltdale.transport.EventLoop;
 import saltdale.transport.SocketBudget;
@@ -42,50 +42,50 @@
     }
 
     /** Who is told of the session's state and of watches. */
-    public interface Owner {
-        void state(State state);
+    public interface Listener {
+        void stateChanged(State state);
 
         void event(Event event);
     }
 
-    /** Who waits for an answer; the value is null where the fault is not OK. */
-    public interface Back<T> {
-        void done(Fault fault, T value);
+    /** Who waits for an answer; the value is null where the error is not OK. */
+    public interface Callback<T> {
+        void done(ErrorCode error, T value);
     }
 
     /** A node's data with what the service tells of it. */
     public record Data(byte[] data, Stat stat) {}
 
     private interface Decoder<T> {
-        T read(RecordReader in) throws Malformed;
+        T read(RecordReader in) throws MalformedRecordException;
     }
 
-    private record Call<T>(int xid, Back<T> back, Decoder<T> decoder) {
-        void end(Fault fault, RecordReader in) throws Malformed {
-            back.done(fault, fault == Fault.OK ? decoder.read(in) : null);
+    private record Call<T>(int xid, Callback<T> callback, Decoder<T> decoder) {
+        void complete(ErrorCode error, RecordReader in) throws MalformedRecordException {
+            callback.done(error, error == ErrorCode.OK ? decoder.read(in) : null);
         }
 
-        void lost() {
-            back.done(Fault.CONNECTION_LOSS, null);
+        void connectionLost() {
+            callback.done(ErrorCode.CONNECTION_LOSS, null);
         }
     }
 
-    private static final int MOST_RECORD = 4 << 20;
-    private static final Duration LEAST_WAIT = Duration.ofMillis(20);
-    private static final int ALL_RIGHTS = 31;
+    private static final int MAX_RECORD_BYTES = 4 << 20;
+    private static final Duration MIN_RECONNECT_DELAY = Duration.ofMillis(20);
+    private static final int ALL_PERMISSIONS = 31;
 
     private final EventLoop loop;
     private final SocketBudget sockets;
     private final List<InetSocketAddress> servers;
-    private final SplittableRandom chance;
-    private final Owner owner;
-    private final Duration asked;
-    private final Deque<Call<?>> waiting = new ArrayDeque<>();
+    private final SplittableRandom random;
+    private final Listener listener;
+    private final Duration requestedTimeout;
+    private final Deque<Call<?>> pendingCalls = new ArrayDeque<>();
     private final Set<String> dataWatches = new TreeSet<>();
-    private final Set<String> existWatches = new TreeSet<>();
+    private final Set<String> existsWatches = new TreeSet<>();
     private final Set<String> childWatches = new TreeSet<>();
-    private final Set<String> persistent = new TreeSet<>();
-    private final Set<String> recursive = new TreeSet<>();
+    private final Set<String> persistentWatches = new TreeSet<>();
+    private final Set<String> recursiveWatches = new TreeSet<>();
     private State state = State.CONNECTING;
     private Link link;
     private int nextServer;
@@ -95,25 +95,25 @@
     private Duration timeout;
     private long lastZxid;
     private int nextXid = 1;
-    private Timer retry;
+    private Timer reconnectTimer;
 
-    /** {@code asked}: the time-out that is asked for; what is granted counts. */
+    /** {@code requestedTimeout}: the time-out that is requestedTimeout for; what is sessionEstablished counts. */
     public NodeClient(
             EventLoop loop,
             SocketBudget sockets,
             List<InetSocketAddress> servers,
-            Duration asked,
-            SplittableRandom chance,
-            Owner owner) {
+            Duration requestedTimeout,
+            SplittableRandom random,
+            Listener listener) {
         this.loop = loop;
         this.sockets = sockets;
-        this.asked = asked;
-        this.timeout = asked;
-        this.chance = chance;
-        this.owner = owner;
+        this.requestedTimeout = requestedTimeout;
+        this.timeout = requestedTimeout;
+        this.random = random;
+        this.listener = listener;
         this.servers = new ArrayList<>(servers);
         for (int i = this.servers.size() - 1; i > 0; i--) { // so that clients do not all go to the first
-            Collections.swap(this.servers, i, chance.nextInt(i + 1));
+            Collections.swap(this.servers, i, random.nextInt(i + 1));
         }
     }
 
@@ -129,19 +129,20 @@
         return timeout;
     }
 
-    /** Begins, or begins anew after the session has expired. */
-    public void begin() {
+    /** Begins, or begins anew whenClosed the session has expired. */
+    public void start() {
         if (state == State.EXPIRED) {
             session = 0;
             password = new byte[16];
-            forgetWatches();
+            clearWatches();
             state = State.CONNECTING;
         }
         connect();
     }
 
-    private void forgetWatches() {
-        for (Set<String> each : List.of(dataWatches, existWatches, childWatches, persistent, recursive)) {
+    private void clearWatches() {
+        for (Set<String> each :
+                List.of(dataWatches, existsWatches, childWatches, persistentWatches, recursiveWatches)) {
             each.clear();
         }
     }
@@ -155,71 +156,73 @@
         link.connection = Connection.connect(loop, sockets, to, timeout.dividedBy(3), link);
         if (link.connection == null) {
             link = null;
-            again();
+            scheduleReconnect();
             return;
         }
-        link.connection.send(new Opening.Asked(lastZxid, (int) asked.toMillis(), session, password, false)
-                .write()
-                .framed());
-        link.heard();
+        link.connection.send(
+                new ConnectHandshake.Request(lastZxid, (int) requestedTimeout.toMillis(), session, password, false)
+                        .write()
+                        .framed());
+        link.resetReadTimeout();
     }
 
     /**
-     * Waits grow with each round of all servers, and are drawn, so that clients do not come back at one
+     * Waits grow with each round of all servers, and are drawn, so that clients do not come callback at one
      * moment.
      */
-    private void again() {
+    private void scheduleReconnect() {
         failures++;
-        long most = LEAST_WAIT.toNanos() << Math.min(8, failures / servers.size());
-        long wait = Math.min(most, timeout.toNanos() / 3);
-        retry = loop.schedule(Duration.ofNanos((long) (wait * (0.5 + chance.nextDouble() / 2))), this::connect);
+        long maxDelay = MIN_RECONNECT_DELAY.toNanos() << Math.min(8, failures / servers.size());
+        long delay = Math.min(maxDelay, timeout.toNanos() / 3);
+        reconnectTimer =
+                loop.schedule(Duration.ofNanos((long) (delay * (0.5 + random.nextDouble() / 2))), this::connect);
     }
 
-    private void become(State next) {
+    private void changeState(State next) {
         if (state != next) {
             state = next;
-            owner.state(next);
+            listener.stateChanged(next);
         }
     }
 
-    /** The connection is of no use any more: what was asked on it may have happened. */
-    private void broken(Link which) {
-        if (link != which) {
+    /** The connection is of no use any more: what was requestedTimeout on it may have happened. */
+    private void connectionLost(Link failed) {
+        if (link != failed) {
             return;
         }
         link = null;
-        which.end();
-        List<Call<?>> lost = List.copyOf(waiting);
-        waiting.clear();
+        failed.end();
+        List<Call<?>> lost = List.copyOf(pendingCalls);
+        pendingCalls.clear();
         if (state == State.CONNECTED) {
-            become(State.SUSPENDED);
+            changeState(State.SUSPENDED);
         }
-        lost.forEach(Call::lost);
+        lost.forEach(Call::connectionLost);
         if (state != State.CLOSED && state != State.EXPIRED) {
-            again();
+            scheduleReconnect();
         }
     }
 
     /**
-     * Ends the session, and its nodes with it; {@code after} is called once the service has said so, or
+     * Ends the session, and its nodes with it; {@code whenClosed} is called once the service has said so, or
      * can't.
      */
-    public void close(Runnable after) {
+    public void close(Runnable whenClosed) {
         if (state != State.CONNECTED) {
-            shut();
-            after.run();
+            releaseConnection();
+            whenClosed.run();
             return;
         }
-        send(Op.CLOSE, new RecordWriter(), in -> null, (fault, nothing) -> {
-            shut();
-            after.run();
+        send(Op.CLOSE, new RecordWriter(), in -> null, (error, nothing) -> {
+            releaseConnection();
+            whenClosed.run();
         });
     }
 
-    private void shut() {
-        become(State.CLOSED);
-        if (retry != null) {
-            retry.cancel();
+    private void releaseConnection() {
+        changeState(State.CLOSED);
+        if (reconnectTimer != null) {
+            reconnectTimer.cancel();
         }
         if (link != null) {
             link.end();
@@ -229,83 +232,88 @@
 
     // ---- Requests.
 
-    public void create(String path, byte[] data, boolean ephemeral, boolean sequential, Back<String> back) {
+    public void create(String path, byte[] data, boolean ephemeral, boolean sequential, Callback<String> callback) {
         RecordWriter body = new RecordWriter()
-                .text(path)
-                .buffer(data)
-                .number(1)
-                .number(ALL_RIGHTS)
-                .text("world")
-                .text("anyone")
-                .number((ephemeral ? 1 : 0) | (sequential ? 2 : 0));
-        send(Op.CREATE, body, RecordReader::text, back);
+                .writeString(path)
+                .writeBuffer(data)
+                .writeInt(1)
+                .writeInt(ALL_PERMISSIONS)
+                .writeString("world")
+                .writeString("anyone")
+                .writeInt((ephemeral ? 1 : 0) | (sequential ? 2 : 0));
+        send(Op.CREATE, body, RecordReader::readString, callback);
     }
 
-    public void delete(String path, int version, Back<Void> back) {
-        send(Op.DELETE, new RecordWriter().text(path).number(version), in -> null, back);
+    public void delete(String path, int version, Callback<Void> callback) {
+        send(Op.DELETE, new RecordWriter().writeString(path).writeInt(version), in -> null, callback);
     }
 
-    public void set(String path, byte[] data, int version, Back<Stat> back) {
-        send(Op.SET_DATA, new RecordWriter().text(path).buffer(data).number(version), Stat::read, back);
+    public void set(String path, byte[] data, int version, Callback<Stat> callback) {
+        send(
+                Op.SET_DATA,
+                new RecordWriter().writeString(path).writeBuffer(data).writeInt(version),
+                Stat::read,
+                callback);
     }
 
     /** With a watch, its coming, change or going is told once. */
-    public void exists(String path, boolean watch, Back<Stat> back) {
-        send(Op.EXISTS, new RecordWriter().text(path).flag(watch), Stat::read, (fault, stat) -> {
-            if (watch && (fault == Fault.OK || fault == Fault.NO_NODE)) {
-                (fault == Fault.OK ? dataWatches : existWatches).add(path);
+    public void exists(String path, boolean watch, Callback<Stat> callback) {
+        send(Op.EXISTS, new RecordWriter().writeString(path).writeBoolean(watch), Stat::read, (error, stat) -> {
+            if (watch && (error == ErrorCode.OK || error == ErrorCode.NO_NODE)) {
+                (error == ErrorCode.OK ? dataWatches : existsWatches).add(path);
             }
-            back.done(fault, stat);
+            callback.done(error, stat);
         });
     }
 
-    public void data(String path, boolean watch, Back<Data> back) {
+    public void data(String path, boolean watch, Callback<Data> callback) {
         send(
                 Op.GET_DATA,
-                new RecordWriter().text(path).flag(watch),
-                in -> new Data(in.buffer(), Stat.read(in)),
-                watched(watch ? dataWatches : null, path, back));
+                new RecordWriter().writeString(path).writeBoolean(watch),
+                in -> new Data(in.readBuffer(), Stat.read(in)),
+                registeringWatch(watch ? dataWatches : null, path, callback));
     }
 
-    public void children(String path, boolean watch, Back<List<String>> back) {
+    public void children(String path, boolean watch, Callback<List<String>> callback) {
         send(
                 Op.GET_CHILDREN,
-                new RecordWriter().text(path).flag(watch),
-                RecordReader::texts,
-                watched(watch ? childWatches : null, path, back));
+                new RecordWriter().writeString(path).writeBoolean(watch),
+                RecordReader::readStrings,
+                registeringWatch(watch ? childWatches : null, path, callback));
     }
 
-    private static <T> Back<T> watched(Set<String> to, String path, Back<T> back) {
-        return (fault, value) -> {
-            if (to != null && fault == Fault.OK) {
+    private static <T> Callback<T> registeringWatch(Set<String> to, String path, Callback<T> callback) {
+        return (error, value) -> {
+            if (to != null && error == ErrorCode.OK) {
                 to.add(path);
             }
-            back.done(fault, value);
+            callback.done(error, value);
         };
     }
 
-    /** A watch that stays; a recursive one hears of all below. */
-    public void watch(String path, boolean all, Back<Void> back) {
+    /** A watch that stays; a recursiveWatches one hears of all below. */
+    public void watch(String path, boolean recursive, Callback<Void> callback) {
         send(
                 Op.ADD_WATCH,
-                new RecordWriter().text(path).number(all ? 1 : 0),
+                new RecordWriter().writeString(path).writeInt(recursive ? 1 : 0),
                 in -> null,
-                watched(all ? recursive : persistent, path, back));
+                registeringWatch(recursive ? recursiveWatches : persistentWatches, path, callback));
     }
 
-    /** All that was done before this is seen by reads after it. */
-    public void sync(String path, Back<String> back) {
-        send(Op.SYNC, new RecordWriter().text(path), RecordReader::text, back);
+    /** All that was done before this is seen by reads whenClosed it. */
+    public void sync(String path, Callback<String> callback) {
+        send(Op.SYNC, new RecordWriter().writeString(path), RecordReader::readString, callback);
     }
 
-    private <T> void send(Op op, RecordWriter body, Decoder<T> decoder, Back<T> back) {
+    private <T> void send(Op op, RecordWriter body, Decoder<T> decoder, Callback<T> callback) {
         if (state != State.CONNECTED) {
-            loop.defer(() -> back.done(state == State.EXPIRED ? Fault.SESSION_EXPIRED : Fault.CONNECTION_LOSS, null));
+            loop.defer(() -> callback.done(
+                    state == State.EXPIRED ? ErrorCode.SESSION_EXPIRED : ErrorCode.CONNECTION_LOSS, null));
             return;
         }
         int xid = nextXid++;
         nextXid = nextXid < 0 ? 1 : nextXid;
-        waiting.add(new Call<>(xid, back, decoder));
+        pendingCalls.add(new Call<>(xid, callback, decoder));
         link.send(xid, op, body);
     }
 
@@ -313,18 +321,18 @@
 
     private final class Link implements Connection.Handler {
         private Connection connection;
-        private final Frames frames = new Frames(MOST_RECORD, this::record);
-        private boolean granted;
+        private final FrameDecoder frames = new FrameDecoder(MAX_RECORD_BYTES, this::record);
+        private boolean sessionEstablished;
         private Timer ping;
-        private Timer silence;
+        private Timer readTimeout;
 
         void send(int xid, Op op, RecordWriter body) {
-            byte[] rest = body.record();
-            ByteBuffer all = ByteBuffer.allocate(12 + rest.length);
-            connection.send(all.putInt(8 + rest.length)
+            byte[] payload = body.record();
+            ByteBuffer all = ByteBuffer.allocate(12 + payload.length);
+            connection.send(all.putInt(8 + payload.length)
                     .putInt(xid)
                     .putInt(op.code)
-                    .put(rest)
+                    .put(payload)
                     .flip());
         }
 
@@ -332,22 +340,22 @@
          * A service that says nothing for two thirds of the time-out is left for the next, while the session
          * lives.
          */
-        void heard() {
-            if (silence != null) {
-                silence.cancel();
+        void resetReadTimeout() {
+            if (readTimeout != null) {
+                readTimeout.cancel();
             }
-            silence = loop.schedule(timeout.multipliedBy(2).dividedBy(3), () -> broken(this));
+            readTimeout = loop.schedule(timeout.multipliedBy(2).dividedBy(3), () -> connectionLost(this));
         }
 
-        private void ping() {
+        private void schedulePing() {
             ping = loop.schedule(timeout.dividedBy(3), () -> {
                 send(Op.XID_PING, Op.PING, new RecordWriter());
-                ping();
+                schedulePing();
             });
         }
 
         void end() {
-            for (Timer each : new Timer[] {ping, silence}) {
+            for (Timer each : new Timer[] {ping, readTimeout}) {
                 if (each != null) {
                     each.cancel();
                 }
@@ -359,16 +367,16 @@
 
         @Override
         public void received(ByteBuffer bytes) {
-            heard();
-            frames.take(bytes);
-            if (frames.fault() != null) {
-                broken(this);
+            resetReadTimeout();
+            frames.decode(bytes);
+            if (frames.error() != null) {
+                connectionLost(this);
             }
         }
 
         @Override
         public void disconnected(String cause) {
-            broken(this);
+            connectionLost(this);
         }
 
         private void record(byte[] record) {
@@ -376,76 +384,76 @@
                 return;
             }
             try {
-                if (granted) {
+                if (sessionEstablished) {
                     reply(new RecordReader(record));
                 } else {
-                    opened(Opening.Granted.read(record));
+                    connectResponse(ConnectHandshake.Response.read(record));
                 }
-            } catch (Malformed e) {
-                broken(this);
+            } catch (MalformedRecordException e) {
+                connectionLost(this);
             }
         }
 
-        private void opened(Opening.Granted answer) {
+        private void connectResponse(ConnectHandshake.Response answer) {
             if (answer.timeoutMillis() <= 0) {
                 link = null;
                 end();
-                waiting.clear();
-                become(State.EXPIRED);
+                pendingCalls.clear();
+                changeState(State.EXPIRED);
                 return;
             }
-            granted = true;
+            sessionEstablished = true;
             failures = 0;
             session = answer.session();
             password = answer.password();
             timeout = Duration.ofMillis(answer.timeoutMillis());
-            heard();
-            ping();
-            watchAgain();
-            become(State.CONNECTED);
+            resetReadTimeout();
+            schedulePing();
+            restoreWatches();
+            changeState(State.CONNECTED);
         }
 
-        private void watchAgain() {
+        private void restoreWatches() {
             if (dataWatches.isEmpty()
-                    && existWatches.isEmpty()
+                    && existsWatches.isEmpty()
                     && childWatches.isEmpty()
-                    && persistent.isEmpty()
-                    && recursive.isEmpty()) {
+                    && persistentWatches.isEmpty()
+                    && recursiveWatches.isEmpty()) {
                 return;
             }
             RecordWriter body = new RecordWriter();
-            new Watching(
+            new SetWatchesRequest(
                             lastZxid,
                             List.copyOf(dataWatches),
-                            List.copyOf(existWatches),
+                            List.copyOf(existsWatches),
                             List.copyOf(childWatches),
-                            List.copyOf(persistent),
-                            List.copyOf(recursive))
+                            List.copyOf(persistentWatches),
+                            List.copyOf(recursiveWatches))
                     .write(body);
             send(Op.XID_SET_WATCHES, Op.SET_WATCHES2, body);
         }
 
-        private void reply(RecordReader in) throws Malformed {
-            int xid = in.number();
-            long zxid = in.longNumber();
-            Fault fault = Fault.of(in.number());
+        private void reply(RecordReader in) throws MalformedRecordException {
+            int xid = in.readInt();
+            long zxid = in.readLong();
+            ErrorCode error = ErrorCode.of(in.readInt());
             if (xid == Op.XID_EVENT) {
                 event(Event.read(in));
                 return;
             }
             if (zxid > 0 && zxid < lastZxid) {
-                throw new Malformed("an older tree than was seen");
+                throw new MalformedRecordException("an older tree than was seen");
             }
             lastZxid = Math.max(lastZxid, zxid);
             if (xid == Op.XID_PING || xid == Op.XID_SET_WATCHES || xid == Op.XID_AUTH) {
                 return;
             }
-            Call<?> call = waiting.peek();
+            Call<?> call = pendingCalls.peek();
             if (call == null || call.xid != xid) {
-                throw new Malformed("an answer out of order");
+                throw new MalformedRecordException("an answer out of order");
             }
-            waiting.poll();
-            call.end(fault, in);
+            pendingCalls.poll();
+            call.complete(error, in);
         }
 
         private void event(Event event) {
@@ -454,12 +462,12 @@
                 childWatches.remove(event.path());
             } else {
                 dataWatches.remove(event.path());
-                existWatches.remove(event.path());
+                existsWatches.remove(event.path());
                 if (event.kind() == Event.Kind.DELETED) {
                     childWatches.remove(event.path());
                 }
             }
-            owner.event(event);
+            listener.event(event);
         }
     }
 }
--- a/nodes/src/main/java/saltdale/nodes/list/NodeList.java
+++ b/nodes/src/main/java/saltdale/nodes/list/NodeList.java
@@ -11,8 +11,8 @@
 import saltdale.nodes.client.NodeClient;
 import saltdale.nodes.membership.Membership;
 import saltdale.nodes.membership.ReadPlan;
+import saltdale.nodes.wire.ErrorCode;
 import saltdale.nodes.wire.Event;
-import saltdale.nodes.wire.Fault;
 import saltdale.nodes.wire.Paths;
 import saltdale.transport.EventLoop;
 import saltdale.transport.SocketBudget;
@@ -21,46 +21,46 @@
  * Reads the boxes' nodes below one path and follows them: what Membership decides of it is handed on as it
  * comes.
  */
-public final class NodeList implements NodeClient.Owner {
+public final class NodeList implements NodeClient.Listener {
     private static final Logger LOG = Logger.getLogger(NodeList.class.getName());
     private static final int READS_IN_FLIGHT = 32;
-    private static final Duration TICK = Duration.ofMillis(100);
+    private static final Duration TICK_INTERVAL = Duration.ofMillis(100);
 
     private final EventLoop loop;
     private final NodeClient client;
     private final Membership membership;
     private final String path;
-    private final SplittableRandom chance;
-    private final Duration spread;
-    private final Consumer<List<Membership.Change>> taker;
-    private ReadPlan plan;
-    private Map<String, byte[]> pass;
+    private final SplittableRandom random;
+    private final Duration reconnectSpread;
+    private final Consumer<List<Membership.Change>> changeListener;
+    private ReadPlan readPlan;
+    private Map<String, byte[]> readPass;
     /** Counts the passes: what an earlier one still gets is not of this one. */
     private int passNumber;
 
     private long reads;
 
-    /** {@code spread}: over which dispatchers begin to read again after a reconnect. */
+    /** {@code reconnectSpread}: over which dispatchers begin to read again after a reconnect. */
     public NodeList(
             EventLoop loop,
             SocketBudget sockets,
             List<InetSocketAddress> servers,
             Duration timeout,
-            Duration spread,
+            Duration reconnectSpread,
             String path,
-            SplittableRandom chance,
-            Consumer<List<Membership.Change>> taker) {
+            SplittableRandom random,
+            Consumer<List<Membership.Change>> changeListener) {
         this.loop = loop;
         this.path = path;
-        this.chance = chance;
-        this.spread = spread;
-        this.taker = taker;
+        this.random = random;
+        this.reconnectSpread = reconnectSpread;
+        this.changeListener = changeListener;
         membership = new Membership(Membership.Rules.of(timeout));
-        client = new NodeClient(loop, sockets, servers, timeout, chance.split(), this);
+        client = new NodeClient(loop, sockets, servers, timeout, random.split(), this);
     }
 
-    public void begin() {
-        client.begin();
+    public void start() {
+        client.start();
         tick();
     }
 
@@ -78,97 +78,98 @@
     }
 
     private void tick() {
-        loop.schedule(TICK, () -> {
+        loop.schedule(TICK_INTERVAL, () -> {
             membership.tick(loop.now());
-            hand();
+            publishChanges();
             if (client.state() != NodeClient.State.CLOSED) {
                 tick();
             }
         });
     }
 
-    private void hand() {
+    private void publishChanges() {
         List<Membership.Change> changes = membership.changes();
         if (!changes.isEmpty()) {
-            taker.accept(changes);
+            changeListener.accept(changes);
         }
     }
 
     @Override
-    public void state(NodeClient.State state) {
+    public void stateChanged(NodeClient.State state) {
         switch (state) {
             case CONNECTED -> {
-                membership.link(loop.now(), Membership.Link.CONNECTED);
-                follow();
+                membership.linkChanged(loop.now(), Membership.Link.CONNECTED);
+                watchAndRead();
             }
             case SUSPENDED -> {
-                membership.link(loop.now(), Membership.Link.SUSPENDED);
-                plan = null;
+                membership.linkChanged(loop.now(), Membership.Link.SUSPENDED);
+                readPlan = null;
             }
             case EXPIRED -> {
-                membership.link(loop.now(), Membership.Link.EXPIRED);
-                plan = null;
-                client.begin();
+                membership.linkChanged(loop.now(), Membership.Link.EXPIRED);
+                readPlan = null;
+                client.start();
             }
             default -> {}
         }
     }
 
-    /** The watch first, so that nothing falls between the reading and it; then one pass over all nodes. */
-    private void follow() {
-        int mine = ++passNumber;
+    /** The watch first, so that nothing falls between the reading and it; then one readPass over all nodes. */
+    private void watchAndRead() {
+        int number = ++passNumber;
         // The first time there is nothing to go by, and nothing that all have lost at one moment.
-        Duration wait = reads == 0 ? Duration.ZERO : Duration.ofNanos((long) (spread.toNanos() * chance.nextDouble()));
+        Duration delay =
+                reads == 0 ? Duration.ZERO : Duration.ofNanos((long) (reconnectSpread.toNanos() * random.nextDouble()));
         client.watch(path, true, (watched, nothing) -> {
-            if (watched == Fault.OK) {
-                loop.schedule(wait, () -> list(mine));
+            if (watched == ErrorCode.OK) {
+                loop.schedule(delay, () -> listChildren(number));
             }
         });
     }
 
-    private void list(int mine) {
-        if (mine != passNumber || client.state() != NodeClient.State.CONNECTED) {
+    private void listChildren(int number) {
+        if (number != passNumber || client.state() != NodeClient.State.CONNECTED) {
             return;
         }
         reads++;
-        client.children(path, false, (fault, names) -> {
-            if (mine != passNumber) {
+        client.children(path, false, (error, names) -> {
+            if (number != passNumber) {
                 return;
             }
-            if (fault == Fault.NO_NODE) {
-                loop.schedule(TICK.multipliedBy(5), () -> list(mine)); // nobody has made it yet
-            } else if (fault == Fault.OK) {
-                pass = new HashMap<>();
-                plan = new ReadPlan(READS_IN_FLIGHT);
-                plan.add(names);
-                read(mine);
+            if (error == ErrorCode.NO_NODE) {
+                loop.schedule(TICK_INTERVAL.multipliedBy(5), () -> listChildren(number)); // nobody has made it yet
+            } else if (error == ErrorCode.OK) {
+                readPass = new HashMap<>();
+                readPlan = new ReadPlan(READS_IN_FLIGHT);
+                readPlan.add(names);
+                readPending(number);
             }
         });
     }
 
-    private void read(int mine) {
-        if (mine != passNumber || plan == null) {
+    private void readPending(int number) {
+        if (number != passNumber || readPlan == null) {
             return;
         }
-        for (String name = plan.next(); name != null; name = plan.next()) {
+        for (String name = readPlan.next(); name != null; name = readPlan.next()) {
             String node = name;
             reads++;
-            client.data(Paths.child(path, node), false, (fault, data) -> {
-                if (mine != passNumber || plan == null) {
+            client.data(Paths.child(path, node), false, (error, data) -> {
+                if (number != passNumber || readPlan == null) {
                     return;
                 }
-                plan.read(node);
-                if (fault == Fault.OK) {
-                    pass.put(node, data.data());
+                readPlan.completed(node);
+                if (error == ErrorCode.OK) {
+                    readPass.put(node, data.data());
                 }
-                read(mine);
+                readPending(number);
             });
         }
-        if (plan != null && plan.isOver()) {
-            plan = null;
-            membership.whole(loop.now(), pass);
-            pass = null;
-            hand();
+        if (readPlan != null && readPlan.isOver()) {
+            readPlan = null;
+            membership.replaceAll(loop.now(), readPass);
+            readPass = null;
+            publishChanges();
         }
     }
 
@@ -179,22 +180,23 @@
         }
         String name = Paths.name(event.path());
         if (event.kind() == Event.Kind.DELETED) {
-            if (pass != null) {
-                pass.remove(name);
+            if (readPass != null) {
+                readPass.remove(name);
             }
-            membership.vanished(loop.now(), name);
-            hand();
+            membership.nodeDeleted(loop.now(), name);
+            publishChanges();
         } else if (event.kind() == Event.Kind.CREATED || event.kind() == Event.Kind.DATA_CHANGED) {
             reads++;
-            client.data(event.path(), false, (fault, data) -> {
-                if (fault == Fault.OK) {
-                    if (pass != null) {
-                        pass.put(name, data.data());
+            client.data(event.path(), false, (error, data) -> {
+                if (error == ErrorCode.OK) {
+                    if (readPass != null) {
+                        readPass.put(name, data.data());
                     }
-                    if (!membership.seen(loop.now(), name, data.data()) && membership.worthLogging(name, data.data())) {
+                    if (!membership.nodeRead(loop.now(), name, data.data())
+                            && membership.isNewBadData(name, data.data())) {
                         LOG.warning(() -> "node " + event.path() + " holds no box; what was known of it stands");
                     }
-                    hand();
+                    publishChanges();
                 }
             });
         }
--- a/nodes/src/main/java/saltdale/nodes/list/Registration.java
+++ b/nodes/src/main/java/saltdale/nodes/list/Registration.java
@@ -6,46 +6,46 @@
 import java.util.SplittableRandom;
 import saltdale.nodes.client.NodeClient;
 import saltdale.nodes.client.NodeClient.State;
-import saltdale.nodes.membership.Box;
+import saltdale.nodes.membership.RunnerInfo;
+import saltdale.nodes.wire.ErrorCode;
 import saltdale.nodes.wire.Event;
-import saltdale.nodes.wire.Fault;
 import saltdale.nodes.wire.Paths;
 import saltdale.transport.EventLoop;
 import saltdale.transport.SocketBudget;
 
 /**
- * Holds a box's ephemeral node for as long as it runs: made again after each expiry, and never beside one
+ * Holds a info's ephemeral node for as long as it runs: made again after each expiry, and never beside one
  * that is there already, whose session must be over first.
  */
-public final class Registration implements NodeClient.Owner {
-    private static final Duration AGAIN = Duration.ofMillis(200);
+public final class Registration implements NodeClient.Listener {
+    private static final Duration RETRY_DELAY = Duration.ofMillis(200);
 
     private final EventLoop loop;
     private final NodeClient client;
     private final String path;
-    private Box box;
+    private RunnerInfo info;
     private boolean held;
-    private boolean working;
+    private boolean creating;
     private boolean closed;
-    private long made;
-    private String trouble;
+    private long creations;
+    private String failureReason;
 
     public Registration(
             EventLoop loop,
             SocketBudget sockets,
             List<InetSocketAddress> servers,
             Duration timeout,
-            SplittableRandom chance,
+            SplittableRandom random,
             String path,
-            Box box) {
+            RunnerInfo info) {
         this.loop = loop;
         this.path = path;
-        this.box = box;
-        client = new NodeClient(loop, sockets, servers, timeout, chance, this);
+        this.info = info;
+        client = new NodeClient(loop, sockets, servers, timeout, random, this);
     }
 
-    public void begin() {
-        client.begin();
+    public void start() {
+        client.start();
     }
 
     /** Whether its node is there, by all that is known. */
@@ -54,13 +54,13 @@
     }
 
     /** How often it has made its node. */
-    public long made() {
-        return made;
+    public long creations() {
+        return creations;
     }
 
     /** What keeps it from holding its node; null while nothing does. */
-    public String trouble() {
-        return trouble;
+    public String failureReason() {
+        return failureReason;
     }
 
     public State state() {
@@ -71,11 +71,11 @@
         return client.session();
     }
 
-    /** What the box says of itself from now on, such as that it drains. */
-    public void says(Box next) {
-        box = next;
+    /** What the info says of itself from now on, such as that it drains. */
+    public void update(RunnerInfo updated) {
+        info = updated;
         if (held) {
-            write();
+            writeData();
         }
     }
 
@@ -87,12 +87,12 @@
     }
 
     @Override
-    public void state(State state) {
+    public void stateChanged(State state) {
         if (state == State.CONNECTED) {
-            ensure();
+            createNode();
         } else if (state == State.EXPIRED && !closed) {
             held = false; // it went with its session
-            client.begin();
+            client.start();
         }
     }
 
@@ -100,26 +100,26 @@
     public void event(Event event) {
         if (event.path().equals(path) && event.kind() == Event.Kind.DELETED && !closed) {
             held = false;
-            ensure();
+            createNode();
         }
     }
 
-    private void ensure() {
-        if (working || closed || client.state() != State.CONNECTED) {
+    private void createNode() {
+        if (creating || closed || client.state() != State.CONNECTED) {
             return;
         }
-        working = true;
-        client.create(path, box.data(), true, false, (fault, name) -> {
-            working = false;
-            switch (fault) {
+        creating = true;
+        client.create(path, info.data(), true, false, (error, name) -> {
+            creating = false;
+            switch (error) {
                 case OK -> {
-                    made++;
-                    holds();
+                    creations++;
+                    nodeHeld();
                 }
-                case NODE_EXISTS -> look();
-                case NO_NODE -> parent(Paths.parent(path));
-                case CONNECTION_LOSS, SESSION_EXPIRED -> {} // the next state will bring it here again
-                default -> fails("its node can't be made: " + fault);
+                case NODE_EXISTS -> inspectExisting();
+                case NO_NODE -> createParent(Paths.parent(path));
+                case CONNECTION_LOSS, SESSION_EXPIRED -> {} // the updated state will bring it here again
+                default -> retryAfter("its node can't be made: " + error);
             }
         });
     }
@@ -128,53 +128,53 @@
      * A node is there: ours, if a create was answered into a broken connection; else its session must end
      * first.
      */
-    private void look() {
-        client.exists(path, true, (fault, stat) -> {
-            if (fault == Fault.OK && stat.owner() == client.session()) {
-                holds();
-                write();
-            } else if (fault == Fault.OK) {
-                trouble = "another session holds its node"; // its going will be told
-            } else if (fault == Fault.NO_NODE) {
-                ensure();
+    private void inspectExisting() {
+        client.exists(path, true, (error, stat) -> {
+            if (error == ErrorCode.OK && stat.owner() == client.session()) {
+                nodeHeld();
+                writeData();
+            } else if (error == ErrorCode.OK) {
+                failureReason = "another session holds its node"; // its going will be told
+            } else if (error == ErrorCode.NO_NODE) {
+                createNode();
             }
         });
     }
 
-    private void holds() {
+    private void nodeHeld() {
         held = true;
-        trouble = null;
-        client.exists(path, true, (fault, stat) -> {
-            if (fault == Fault.NO_NODE && !closed) {
+        failureReason = null;
+        client.exists(path, true, (error, stat) -> {
+            if (error == ErrorCode.NO_NODE && !closed) {
                 held = false;
-                ensure();
+                createNode();
             }
         });
     }
 
-    private void write() {
-        client.set(path, box.data(), -1, (fault, stat) -> {
-            if (fault == Fault.NO_NODE && !closed) {
+    private void writeData() {
+        client.set(path, info.data(), -1, (error, stat) -> {
+            if (error == ErrorCode.NO_NODE && !closed) {
                 held = false;
-                ensure();
+                createNode();
             }
         });
     }
 
-    private void parent(String parent) {
-        client.create(parent, new byte[0], false, false, (fault, name) -> {
-            if (fault == Fault.OK || fault == Fault.NODE_EXISTS) {
-                ensure();
-            } else if (fault == Fault.NO_NODE && !parent.equals("/")) {
-                parent(Paths.parent(parent));
-            } else if (fault != Fault.CONNECTION_LOSS && fault != Fault.SESSION_EXPIRED) {
-                fails(parent + " can't be made: " + fault);
+    private void createParent(String parent) {
+        client.create(parent, new byte[0], false, false, (error, name) -> {
+            if (error == ErrorCode.OK || error == ErrorCode.NODE_EXISTS) {
+                createNode();
+            } else if (error == ErrorCode.NO_NODE && !parent.equals("/")) {
+                createParent(Paths.parent(parent));
+            } else if (error != ErrorCode.CONNECTION_LOSS && error != ErrorCode.SESSION_EXPIRED) {
+                retryAfter(parent + " can't be made: " + error);
             }
         });
     }
 
-    private void fails(String why) {
-        trouble = why;
-        loop.schedule(AGAIN, this::ensure);
+    private void retryAfter(String why) {
+        failureReason = why;
+        loop.schedule(RETRY_DELAY, this::createNode);
     }
 }
--- a/nodes/src/main/java/saltdale/nodes/membership/ReadPlan.java
+++ b/nodes/src/main/java/saltdale/nodes/membership/ReadPlan.java
@@ -5,16 +5,16 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** One pass of reading all nodes again, as after a reconnect: each once, at most so many in flight. */
+/** One pass of reading all nodes again, as after a reconnect: each once, at maxInFlight so many in flight. */
 public final class ReadPlan {
-    private final int most;
+    private final int maxInFlight;
     private final Set<String> waiting = new LinkedHashSet<>(); // 10,000 nodes are looked up in it
     private final Set<String> inFlight = new HashSet<>();
     private long reads;
 
-    /** {@code most}: reads in flight. */
-    public ReadPlan(int most) {
-        this.most = most;
+    /** {@code maxInFlight}: reads in flight. */
+    public ReadPlan(int maxInFlight) {
+        this.maxInFlight = maxInFlight;
     }
 
     /** These are to be read; what waits or is in flight already is not read twice for it. */
@@ -28,7 +28,7 @@
 
     /** The next to be read; null where none may be begun by now. */
     public String next() {
-        if (inFlight.size() >= most || waiting.isEmpty()) {
+        if (inFlight.size() >= maxInFlight || waiting.isEmpty()) {
             return null;
         }
         String name = waiting.iterator().next();
@@ -38,7 +38,7 @@
         return name;
     }
 
-    public void read(String name) {
+    public void completed(String name) {
         inFlight.remove(name);
     }
 
--- a/nodes/src/main/java/saltdale/nodes/membership/Box.java
+++ b/nodes/src/main/java/saltdale/nodes/membership/RunnerInfo.java
@@ -11,16 +11,17 @@
  * What a box says of itself in its node.
  *
  * @param dial numeric address and port
- * @param kind of machine ({@code class} in the node)
+ * @param machineClass of machine ({@code class} in the node)
  * @param bornMillis when its process started, Unix time; 0 for long ago
  */
-public record Box(String dial, String site, String kind, int block, double share, long bornMillis, boolean draining) {
+public record RunnerInfo(
+        String dial, String site, String machineClass, int block, double share, long bornMillis, boolean draining) {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int MOST = 4096; // bytes
+    private static final int MAX_DATA_BYTES = 4096; // bytes
 
     /** Reads a node's data; null where it is none. A field that is not there has its least meaning. */
-    public static Box read(byte[] data) {
-        if (data == null || data.length == 0 || data.length > MOST) {
+    public static RunnerInfo read(byte[] data) {
+        if (data == null || data.length == 0 || data.length > MAX_DATA_BYTES) {
             return null;
         }
         JsonNode node;
@@ -33,12 +34,12 @@
                 || !node.isObject()
                 || !node.path("dial").isTextual()
                 || !node.path("dial").textValue().matches("[0-9a-fA-F.:\\[\\]]+:\\d{1,5}")
-                || !isOr(node, "site", JsonNode::isTextual)
-                || !isOr(node, "class", JsonNode::isTextual)
-                || !isOr(node, "block", JsonNode::canConvertToInt)
-                || !isOr(node, "share", JsonNode::isNumber)
-                || !isOr(node, "born_ms", JsonNode::canConvertToLong)
-                || !isOr(node, "draining", JsonNode::isBoolean)) {
+                || !isAbsentOr(node, "site", JsonNode::isTextual)
+                || !isAbsentOr(node, "class", JsonNode::isTextual)
+                || !isAbsentOr(node, "block", JsonNode::canConvertToInt)
+                || !isAbsentOr(node, "share", JsonNode::isNumber)
+                || !isAbsentOr(node, "born_ms", JsonNode::canConvertToLong)
+                || !isAbsentOr(node, "draining", JsonNode::isBoolean)) {
             return null;
         }
         double share = node.path("share").asDouble(1);
@@ -46,7 +47,7 @@
         if (!(share > 0) || Double.isInfinite(share) || born < 0) {
             return null;
         }
-        return new Box(
+        return new RunnerInfo(
                 node.path("dial").textValue(),
                 node.path("site").asText(""),
                 node.path("class").asText(""),
@@ -56,7 +57,7 @@
                 node.path("draining").asBoolean(false));
     }
 
-    private static boolean isOr(JsonNode node, String name, Predicate<JsonNode> wanted) {
+    private static boolean isAbsentOr(JsonNode node, String name, Predicate<JsonNode> wanted) {
         return !node.has(name) || wanted.test(node.get(name));
     }
 
@@ -65,7 +66,7 @@
         ObjectNode node = JSON.createObjectNode();
         node.put("dial", dial)
                 .put("site", site)
-                .put("class", kind)
+                .put("class", machineClass)
                 .put("block", block)
                 .put("share", share)
                 .put("born_ms", bornMillis)
--- a/nodes/src/main/java/saltdale/nodes/standin/Journal.java
+++ b/nodes/src/main/java/saltdale/nodes/standin/Journal.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.zip.CRC32C;
 import saltdale.nodes.tree.Tree.Change;
-import saltdale.nodes.wire.Malformed;
+import saltdale.nodes.wire.MalformedRecordException;
 import saltdale.nodes.wire.RecordReader;
 import saltdale.nodes.wire.RecordWriter;
 
@@ -45,49 +45,54 @@
 
         private byte[] record() {
             RecordWriter out = new RecordWriter()
-                    .number(kind.ordinal())
-                    .longNumber(session)
-                    .buffer(password)
-                    .number(timeoutMillis)
-                    .number(changes.size());
+                    .writeInt(kind.ordinal())
+                    .writeLong(session)
+                    .writeBuffer(password)
+                    .writeInt(timeoutMillis)
+                    .writeInt(changes.size());
             for (Change c : changes) {
-                out.longNumber(c.zxid())
-                        .number(c.kind().ordinal())
-                        .text(c.path())
-                        .buffer(c.data())
-                        .longNumber(c.owner())
-                        .longNumber(c.atMillis());
+                out.writeLong(c.zxid())
+                        .writeInt(c.kind().ordinal())
+                        .writeString(c.path())
+                        .writeBuffer(c.data())
+                        .writeLong(c.owner())
+                        .writeLong(c.atMillis());
             }
             return out.record();
         }
 
-        private static Entry read(byte[] record) throws Malformed {
+        private static Entry read(byte[] record) throws MalformedRecordException {
             RecordReader in = new RecordReader(record);
-            int kind = in.number();
+            int kind = in.readInt();
             if (kind < 0 || kind >= Kind.values().length) {
-                throw new Malformed("an entry of kind " + kind);
+                throw new MalformedRecordException("an entry of kind " + kind);
             }
-            long session = in.longNumber();
-            byte[] password = in.buffer();
-            int timeout = in.number();
-            int count = in.count(36);
+            long session = in.readLong();
+            byte[] password = in.readBuffer();
+            int timeout = in.readInt();
+            int count = in.readCount(36);
             List<Change> changes = new ArrayList<>();
             for (int i = 0; i < count; i++) {
-                long zxid = in.longNumber();
-                int what = in.number();
-                if (what < 0 || what >= Change.Kind.values().length) {
-                    throw new Malformed("a change of kind " + what);
+                long zxid = in.readLong();
+                int changeKind = in.readInt();
+                if (changeKind < 0 || changeKind >= Change.Kind.values().length) {
+                    throw new MalformedRecordException("a change of kind " + changeKind);
                 }
                 changes.add(new Change(
-                        zxid, Change.Kind.values()[what], in.path(), in.buffer(), in.longNumber(), in.longNumber()));
+                        zxid,
+                        Change.Kind.values()[changeKind],
+                        in.readPath(),
+                        in.readBuffer(),
+                        in.readLong(),
+                        in.readLong()));
             }
-            in.end();
+            in.expectEnd();
             return new Entry(Kind.values()[kind], changes, session, password, timeout);
         }
     }
 
-    private static final int HEAD = 8;
-    private static final int MOST = 16 << 20; // bytes of a record
+    private static final int HEADER_BYTES = 8;
+    private static final int MAX_RECORD_BYTES = 16 << 20; // bytes of a record
 
     private final Path file;
     private FileChannel channel;
@@ -104,39 +109,39 @@
      */
     public static Journal open(Path file, List<Entry> entries) throws IOException {
         byte[] all = Files.exists(file) ? Files.readAllBytes(file) : new byte[0];
-        int good = read(all, entries);
+        int validBytes = read(all, entries);
         FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-        channel.truncate(good);
-        channel.position(good);
+        channel.truncate(validBytes);
+        channel.position(validBytes);
         channel.force(true);
-        return new Journal(file, channel, good);
+        return new Journal(file, channel, validBytes);
     }
 
     /** Reads all whole records; how many bytes they take. */
     public static int read(byte[] all, List<Entry> entries) {
         ByteBuffer in = ByteBuffer.wrap(all);
-        while (in.remaining() >= HEAD) {
+        while (in.remaining() >= HEADER_BYTES) {
             int start = in.position();
             int size = in.getInt();
-            int sum = in.getInt();
-            if (size < 0 || size > MOST || size > in.remaining()) {
+            int expectedChecksum = in.getInt();
+            if (size < 0 || size > MAX_RECORD_BYTES || size > in.remaining()) {
                 return start;
             }
             byte[] record = new byte[size];
             in.get(record);
             try {
-                if (sum(record) != sum) {
+                if (checksum(record) != expectedChecksum) {
                     return start;
                 }
                 entries.add(Entry.read(record));
-            } catch (Malformed e) {
+            } catch (MalformedRecordException e) {
                 return start;
             }
         }
         return in.position();
     }
 
-    private static int sum(byte[] record) {
+    private static int checksum(byte[] record) {
         CRC32C crc = new CRC32C();
         crc.update(record);
         return (int) crc.getValue();
@@ -144,15 +149,15 @@
 
     private static ByteBuffer framed(Entry entry) {
         byte[] record = entry.record();
-        return ByteBuffer.allocate(HEAD + record.length)
+        return ByteBuffer.allocate(HEADER_BYTES + record.length)
                 .putInt(record.length)
-                .putInt(sum(record))
+                .putInt(checksum(record))
                 .put(record)
                 .flip();
     }
 
     /** Once this has returned, the entry outlives a kill. */
-    public void add(Entry entry) throws IOException {
+    public void append(Entry entry) throws IOException {
         ByteBuffer bytes = framed(entry);
         length += bytes.remaining();
         while (bytes.hasRemaining()) {
--- a/nodes/src/main/java/saltdale/nodes/standin/NodeServer.java
+++ b/nodes/src/main/java/saltdale/nodes/standin/NodeServer.java
@@ -16,18 +16,18 @@
 import java.util.TreeMap;
 import java.util.function.LongSupplier;
 import saltdale.nodes.tree.Tree;
-import saltdale.nodes.tree.Tree.Step;
+import saltdale.nodes.tree.Tree.Operation;
 import saltdale.nodes.tree.Watches;
+import saltdale.nodes.wire.ConnectHandshake;
+import saltdale.nodes.wire.ErrorCode;
 import saltdale.nodes.wire.Event;
-import saltdale.nodes.wire.Fault;
-import saltdale.nodes.wire.Frames;
-import saltdale.nodes.wire.Malformed;
+import saltdale.nodes.wire.FrameDecoder;
+import saltdale.nodes.wire.MalformedRecordException;
 import saltdale.nodes.wire.Op;
-import saltdale.nodes.wire.Opening;
 import saltdale.nodes.wire.RecordReader;
 import saltdale.nodes.wire.RecordWriter;
+import saltdale.nodes.wire.SetWatchesRequest;
 import saltdale.nodes.wire.Stat;
-import saltdale.nodes.wire.Watching;
 import saltdale.transport.Connection;
 import saltdale.transport.EventLoop;
 import saltdale.transport.Listener;
@@ -39,36 +39,37 @@
  * it keeps in one log.
  */
 public final class NodeServer {
-    private static final int MOST_RECORD = 1 << 20;
-    private static final int MOST_DATA = 1 << 19;
-    private static final long SNAPSHOT_AT = 8 << 20; // bytes of log
+    private static final int MAX_RECORD_BYTES = 1 << 20;
+    private static final int MAX_NODE_DATA_BYTES = 1 << 19;
+    private static final long SNAPSHOT_LOG_BYTES = 8 << 20; // bytes of log
 
     private final EventLoop loop;
     private final SocketBudget sockets;
-    private final Tree tree = new Tree(MOST_DATA);
+    private final Tree tree = new Tree(MAX_NODE_DATA_BYTES);
     private final Sessions sessions;
-    private final Watches<Peer> watches = new Watches<>();
-    private final Map<Long, Peer> peers = new TreeMap<>();
-    private final Set<Peer> open = new HashSet<>();
+    private final Watches<ClientConnection> watches = new Watches<>();
+    private final Map<Long, ClientConnection> connectionsBySession = new TreeMap<>();
+    private final Set<ClientConnection> open = new HashSet<>();
     private final Map<InetSocketAddress, Listener> listeners = new HashMap<>();
     private final Journal journal;
-    private final LongSupplier unixMillis;
+    private final LongSupplier unixClockMillis;
     private final Duration tick;
     private boolean paused;
     private long reads;
 
     /** {@code log} null: nothing outlives the process. */
-    public NodeServer(EventLoop loop, SocketBudget sockets, Duration tick, Path log, LongSupplier unixMillis, long seed)
+    public NodeServer(
+            EventLoop loop, SocketBudget sockets, Duration tick, Path log, LongSupplier unixClockMillis, long seed)
             throws IOException {
         this.loop = loop;
         this.sockets = sockets;
         this.tick = tick;
-        this.unixMillis = unixMillis;
+        this.unixClockMillis = unixClockMillis;
         sessions = new Sessions(tick, 1, new SplittableRandom(seed));
         List<Journal.Entry> entries = new ArrayList<>();
         journal = log == null ? null : Journal.open(log, entries);
         for (Journal.Entry each : entries) {
-            each.changes().forEach(tree::again);
+            each.changes().forEach(tree::replay);
             switch (each.kind()) {
                 case SESSION_OPENED ->
                     sessions.restored(
@@ -81,30 +82,30 @@
     }
 
     public void listen(InetSocketAddress at) throws IOException {
-        listeners.put(at, new Listener(loop, sockets, at, (connection, full) -> new Peer(connection, at)));
+        listeners.put(at, new Listener(loop, sockets, at, (connection, full) -> new ClientConnection(connection, at)));
     }
 
     // ---- What can be done to it.
 
     /** One address is cut off: its connections end and nobody new comes in; what it knows it still knows. */
-    public void cut(InetSocketAddress at) throws IOException {
+    public void disconnect(InetSocketAddress at) throws IOException {
         Listener listener = listeners.remove(at);
         if (listener != null) {
             listener.close();
         }
-        List.copyOf(open).stream().filter(peer -> peer.at.equals(at)).forEach(Peer::drop);
+        List.copyOf(open).stream().filter(client -> client.at.equals(at)).forEach(ClientConnection::drop);
     }
 
     /** It says nothing and hears nothing until told to go on; sessions run on meanwhile. */
-    public void pause(boolean wanted) {
-        paused = wanted;
-        open.forEach(peer -> peer.connection.setReadEnabled(!wanted));
+    public void pause(boolean pause) {
+        paused = pause;
+        open.forEach(client -> client.connection.setReadEnabled(!pause));
     }
 
     /** Ends a session at once, as if its client had been silent. */
     public void expire(long session) {
         sessions.close(session);
-        ended(session);
+        sessionEnded(session);
     }
 
     public Tree tree() {
@@ -115,7 +116,7 @@
         return sessions.size();
     }
 
-    /** Reads that were asked for. */
+    /** Reads that were request for. */
     public long reads() {
         return reads;
     }
@@ -126,7 +127,7 @@
 
     public void close() throws IOException {
         for (InetSocketAddress at : List.copyOf(listeners.keySet())) {
-            cut(at);
+            disconnect(at);
         }
         if (journal != null) {
             journal.close();
@@ -135,45 +136,45 @@
 
     private void tick() {
         loop.schedule(tick, () -> {
-            sessions.expired(loop.now()).forEach(this::ended);
+            sessions.expired(loop.now()).forEach(this::sessionEnded);
             tick();
         });
     }
 
-    private void ended(long session) {
-        Tree.Taken taken = tree.end(session, unixMillis.getAsLong());
-        keep(Journal.Entry.closed(session, taken.changes()));
-        Peer peer = peers.remove(session);
-        if (peer != null) {
-            peer.drop();
+    private void sessionEnded(long session) {
+        Tree.TransactionResult transaction = tree.closeSession(session, unixClockMillis.getAsLong());
+        log(Journal.Entry.closed(session, transaction.changes()));
+        ClientConnection client = connectionsBySession.remove(session);
+        if (client != null) {
+            client.drop();
         }
-        tell(taken.events());
+        notifyWatchers(transaction.events());
     }
 
-    private void keep(Journal.Entry entry) {
+    private void log(Journal.Entry entry) {
         if (journal == null) {
             return;
         }
         try {
-            journal.add(entry);
+            journal.append(entry);
         } catch (IOException e) {
             throw new UncheckedIOException("the log can't be written: " + e.getMessage(), e);
         }
     }
 
-    private void tell(List<Event> events) {
-        watches.told(events).forEach((peer, its) -> its.forEach(peer::event));
+    private void notifyWatchers(List<Event> events) {
+        watches.trigger(events).forEach((client, its) -> its.forEach(client::event));
     }
 
     // ---- A client's connection.
 
-    private final class Peer implements Connection.Handler {
+    private final class ClientConnection implements Connection.Handler {
         private final Connection connection;
         private final InetSocketAddress at;
-        private final Frames frames = new Frames(MOST_RECORD, this::record);
+        private final FrameDecoder frames = new FrameDecoder(MAX_RECORD_BYTES, this::record);
         private Sessions.Session session;
 
-        Peer(Connection connection, InetSocketAddress at) {
+        ClientConnection(Connection connection, InetSocketAddress at) {
             this.connection = connection;
             this.at = at;
             connection.setHandler(this);
@@ -183,27 +184,27 @@
 
         @Override
         public void received(ByteBuffer bytes) {
-            frames.take(bytes);
-            if (frames.fault() != null) {
+            frames.decode(bytes);
+            if (frames.error() != null) {
                 drop();
             }
         }
 
         @Override
         public void disconnected(String cause) {
-            forget();
+            unregister();
         }
 
         void drop() {
             connection.close();
-            forget();
+            unregister();
         }
 
-        private void forget() {
+        private void unregister() {
             open.remove(this);
-            watches.forget(this);
+            watches.removeWatcher(this);
             if (session != null) {
-                peers.remove(session.id, this);
+                connectionsBySession.remove(session.id, this);
             }
         }
 
@@ -214,13 +215,13 @@
         }
 
         void event(Event event) {
-            RecordWriter out = reply(Op.XID_EVENT, -1, Fault.OK);
+            RecordWriter out = reply(Op.XID_EVENT, -1, ErrorCode.OK);
             event.write(out);
             send(out);
         }
 
-        private RecordWriter reply(int xid, long zxid, Fault fault) {
-            return new RecordWriter().number(xid).longNumber(zxid).number(fault.code);
+        private RecordWriter reply(int xid, long zxid, ErrorCode error) {
+            return new RecordWriter().writeInt(xid).writeLong(zxid).writeInt(error.code);
         }
 
         private void record(byte[] record) {
@@ -229,58 +230,58 @@
             }
             try {
                 if (session == null) {
-                    opening(Opening.Asked.read(record));
+                    connect(ConnectHandshake.Request.read(record));
                 } else {
-                    sessions.heard(loop.now(), session.id);
+                    sessions.touch(loop.now(), session.id);
                     request(new RecordReader(record));
                 }
-            } catch (Malformed e) {
+            } catch (MalformedRecordException e) {
                 drop(); // as the protocol has it: whoever sends what can't be read is cut off
             }
         }
 
-        private void opening(Opening.Asked asked) {
-            if (asked.lastZxid() > tree.zxid()) {
+        private void connect(ConnectHandshake.Request request) {
+            if (request.lastZxid() > tree.zxid()) {
                 drop(); // it has seen what we have not: it must go elsewhere
                 return;
             }
-            Duration timeout = Duration.ofMillis(Math.max(0, asked.timeoutMillis()));
-            Sessions.Session granted;
-            if (asked.session() == 0) {
-                granted = sessions.open(loop.now(), timeout);
-                keep(Journal.Entry.opened(granted.id, granted.password, (int) granted.timeout.toMillis()));
+            Duration timeout = Duration.ofMillis(Math.max(0, request.timeoutMillis()));
+            Sessions.Session opened;
+            if (request.session() == 0) {
+                opened = sessions.open(loop.now(), timeout);
+                log(Journal.Entry.opened(opened.id, opened.password, (int) opened.timeout.toMillis()));
             } else {
-                granted = sessions.resume(loop.now(), asked.session(), asked.password());
+                opened = sessions.resume(loop.now(), request.session(), request.password());
             }
-            if (granted == null) {
-                send(new Opening.Granted(0, 0, new byte[16]).write());
+            if (opened == null) {
+                send(new ConnectHandshake.Response(0, 0, new byte[16]).write());
                 connection.closeGracefully();
                 return;
             }
-            Peer before = peers.put(granted.id, this);
-            if (before != null) {
-                before.drop(); // it has moved
-                peers.put(granted.id, this);
+            ClientConnection previous = connectionsBySession.put(opened.id, this);
+            if (previous != null) {
+                previous.drop(); // it has moved
+                connectionsBySession.put(opened.id, this);
             }
-            session = granted;
-            send(new Opening.Granted((int) granted.timeout.toMillis(), granted.id, granted.password).write());
+            session = opened;
+            send(new ConnectHandshake.Response((int) opened.timeout.toMillis(), opened.id, opened.password).write());
         }
 
-        private void request(RecordReader in) throws Malformed {
-            int xid = in.number();
-            Op op = Op.of(in.number());
+        private void request(RecordReader in) throws MalformedRecordException {
+            int xid = in.readInt();
+            Op op = Op.of(in.readInt());
             if (op == null) {
-                send(reply(xid, tree.zxid(), Fault.UNIMPLEMENTED));
+                send(reply(xid, tree.zxid(), ErrorCode.UNIMPLEMENTED));
                 return;
             }
             switch (op) {
-                case PING -> send(reply(Op.XID_PING, tree.zxid(), Fault.OK));
+                case PING -> send(reply(Op.XID_PING, tree.zxid(), ErrorCode.OK));
                 case AUTH -> {
-                    in.number();
-                    String scheme = in.text();
-                    in.buffer();
+                    in.readInt();
+                    String scheme = in.readString();
+                    in.readBuffer();
                     boolean known = "digest".equals(scheme);
-                    send(reply(Op.XID_AUTH, tree.zxid(), known ? Fault.OK : Fault.AUTH_FAILED));
+                    send(reply(Op.XID_AUTH, tree.zxid(), known ? ErrorCode.OK : ErrorCode.AUTH_FAILED));
                     if (!known) {
                         connection.closeGracefully();
                     }
@@ -288,95 +289,96 @@
                 case CLOSE -> {
                     long id = session.id;
                     sessions.close(id);
-                    peers.remove(id);
-                    Tree.Taken taken = tree.end(id, unixMillis.getAsLong());
-                    keep(Journal.Entry.closed(id, taken.changes()));
-                    send(reply(xid, tree.zxid(), Fault.OK));
+                    connectionsBySession.remove(id);
+                    Tree.TransactionResult transaction = tree.closeSession(id, unixClockMillis.getAsLong());
+                    log(Journal.Entry.closed(id, transaction.changes()));
+                    send(reply(xid, tree.zxid(), ErrorCode.OK));
                     connection.closeGracefully();
-                    forget();
-                    tell(taken.events());
+                    unregister();
+                    notifyWatchers(transaction.events());
                 }
-                case CREATE, CREATE2, DELETE, SET_DATA, CHECK -> change(xid, op, List.of(step(op, in)));
+                case CREATE, CREATE2, DELETE, SET_DATA, CHECK -> applySingle(xid, op, List.of(operation(op, in)));
                 case MULTI -> multi(xid, in);
-                case EXISTS, GET_DATA, GET_CHILDREN, GET_CHILDREN2 -> read(xid, op, in.path(), in.flag());
-                case SYNC -> send(reply(xid, tree.zxid(), Fault.OK).text(in.path()));
-                case SET_WATCHES, SET_WATCHES2 -> again(xid, Watching.read(in, op == Op.SET_WATCHES2));
+                case EXISTS, GET_DATA, GET_CHILDREN, GET_CHILDREN2 -> read(xid, op, in.readPath(), in.readBoolean());
+                case SYNC -> send(reply(xid, tree.zxid(), ErrorCode.OK).writeString(in.readPath()));
+                case SET_WATCHES, SET_WATCHES2 ->
+                    restoreWatches(xid, SetWatchesRequest.read(in, op == Op.SET_WATCHES2));
                 case ADD_WATCH -> {
-                    String path = in.path();
-                    int mode = in.number();
+                    String path = in.readPath();
+                    int mode = in.readInt();
                     if (mode == 0 || mode == 1) {
                         watches.add(mode == 0 ? Watches.Kind.PERSISTENT : Watches.Kind.RECURSIVE, path, this);
                     }
-                    send(reply(xid, tree.zxid(), mode == 0 || mode == 1 ? Fault.OK : Fault.BAD_ARGUMENTS)
-                            .number(0));
+                    send(reply(xid, tree.zxid(), mode == 0 || mode == 1 ? ErrorCode.OK : ErrorCode.BAD_ARGUMENTS)
+                            .writeInt(0));
                 }
-                default -> send(reply(xid, tree.zxid(), Fault.UNIMPLEMENTED));
+                default -> send(reply(xid, tree.zxid(), ErrorCode.UNIMPLEMENTED));
             }
         }
 
-        private Step step(Op op, RecordReader in) throws Malformed {
-            String path = in.text();
+        private Operation operation(Op op, RecordReader in) throws MalformedRecordException {
+            String path = in.readString();
             if (path == null) {
-                throw new Malformed("a request without a path");
+                throw new MalformedRecordException("a request without a path");
             }
             switch (op) {
                 case CREATE, CREATE2 -> {
-                    byte[] data = in.buffer();
-                    int rights = in.count(12);
-                    for (int i = 0; i < rights; i++) {
-                        in.number();
-                        in.text();
-                        in.text();
+                    byte[] data = in.readBuffer();
+                    int aclEntries = in.readCount(12);
+                    for (int i = 0; i < aclEntries; i++) {
+                        in.readInt();
+                        in.readString();
+                        in.readString();
                     }
-                    int flags = in.number();
-                    return Step.create(path, data, (flags & 1) != 0, (flags & 2) != 0);
+                    int flags = in.readInt();
+                    return Operation.create(path, data, (flags & 1) != 0, (flags & 2) != 0);
                 }
                 case SET_DATA -> {
-                    return Step.set(path, in.buffer(), in.number());
+                    return Operation.set(path, in.readBuffer(), in.readInt());
                 }
                 default -> {
-                    return op == Op.DELETE ? Step.delete(path, in.number()) : Step.check(path, in.number());
+                    return op == Op.DELETE ? Operation.delete(path, in.readInt()) : Operation.check(path, in.readInt());
                 }
             }
         }
 
-        private Tree.Taken take(List<Step> steps) {
-            Tree.Taken taken = tree.take(steps, session.id, unixMillis.getAsLong());
-            if (!taken.changes().isEmpty()) {
-                keep(Journal.Entry.changes(taken.changes()));
+        private Tree.TransactionResult apply(List<Operation> operations) {
+            Tree.TransactionResult transaction = tree.apply(operations, session.id, unixClockMillis.getAsLong());
+            if (!transaction.changes().isEmpty()) {
+                log(Journal.Entry.changes(transaction.changes()));
                 compact();
             }
-            return taken;
+            return transaction;
         }
 
-        private void change(int xid, Op op, List<Step> steps) {
-            Tree.Taken taken = take(steps);
-            Tree.Result result = taken.results().get(0);
-            RecordWriter out = reply(xid, tree.zxid(), result.fault());
-            if (result.fault() == Fault.OK) {
-                body(out, op, result);
+        private void applySingle(int xid, Op op, List<Operation> operations) {
+            Tree.TransactionResult transaction = apply(operations);
+            Tree.OperationResult result = transaction.results().get(0);
+            RecordWriter out = reply(xid, tree.zxid(), result.error());
+            if (result.error() == ErrorCode.OK) {
+                writeResult(out, op, result);
             }
             // The events before the answer, as the protocol orders what one client sees.
-            tell(taken.events());
+            notifyWatchers(transaction.events());
             send(out);
         }
 
-        private void body(RecordWriter out, Op op, Tree.Result result) {
+        private void writeResult(RecordWriter out, Op op, Tree.OperationResult result) {
             if (op == Op.CREATE || op == Op.CREATE2) {
-                out.text(result.path());
+                out.writeString(result.path());
             }
             if (op == Op.CREATE2 || op == Op.SET_DATA) {
                 result.stat().write(out);
             }
         }
 
-        private void multi(int xid, RecordReader in) throws Malformed {
+        private void multi(int xid, RecordReader in) throws MalformedRecordException {
             List<Op> ops = new ArrayList<>();
-            List<Step> steps = new ArrayList<>();
+            List<Operation> operations = new ArrayList<>();
             while (true) {
-                Op op = Op.of(in.number());
-                boolean done = in.flag();
-                in.number();
+                Op op = Op.of(in.readInt());
+                boolean done = in.readBoolean();
+                in.readInt();
                 if (done) {
                     break;
                 } else if (op != Op.CREATE
@@ -384,26 +386,26 @@
                         && op != Op.DELETE
                         && op != Op.SET_DATA
                         && op != Op.CHECK) {
-                    throw new Malformed("a multi with " + op);
+                    throw new MalformedRecordException("a multi with " + op);
                 }
                 ops.add(op);
-                steps.add(step(op, in));
+                operations.add(operation(op, in));
             }
-            Tree.Taken taken = take(steps);
-            RecordWriter out = reply(xid, tree.zxid(), Fault.OK);
-            for (int i = 0; i < steps.size(); i++) {
-                Tree.Result result = taken.results().get(i);
-                out.number(taken.done() ? ops.get(i).code : Op.ERROR.code)
-                        .flag(false)
-                        .number(taken.done() ? 0 : result.fault().code);
-                if (taken.done()) {
-                    body(out, ops.get(i), result);
+            Tree.TransactionResult transaction = apply(operations);
+            RecordWriter out = reply(xid, tree.zxid(), ErrorCode.OK);
+            for (int i = 0; i < operations.size(); i++) {
+                Tree.OperationResult result = transaction.results().get(i);
+                out.writeInt(transaction.done() ? ops.get(i).code : Op.ERROR.code)
+                        .writeBoolean(false)
+                        .writeInt(transaction.done() ? 0 : result.error().code);
+                if (transaction.done()) {
+                    writeResult(out, ops.get(i), result);
                 } else {
-                    out.number(result.fault().code);
+                    out.writeInt(result.error().code);
                 }
             }
-            tell(taken.events());
-            send(out.number(-1).flag(true).number(-1));
+            notifyWatchers(transaction.events());
+            send(out.writeInt(-1).writeBoolean(true).writeInt(-1));
         }
 
         private void read(int xid, Op op, String path, boolean watch) {
@@ -414,13 +416,13 @@
                         op == Op.EXISTS || op == Op.GET_DATA ? Watches.Kind.DATA : Watches.Kind.CHILDREN, path, this);
             }
             if (stat == null) {
-                send(reply(xid, tree.zxid(), Fault.NO_NODE));
+                send(reply(xid, tree.zxid(), ErrorCode.NO_NODE));
                 return;
             }
-            RecordWriter out = reply(xid, tree.zxid(), Fault.OK);
+            RecordWriter out = reply(xid, tree.zxid(), ErrorCode.OK);
             switch (op) {
-                case GET_DATA -> out.buffer(tree.data(path));
-                case GET_CHILDREN, GET_CHILDREN2 -> out.texts(tree.children(path));
+                case GET_DATA -> out.writeBuffer(tree.data(path));
+                case GET_CHILDREN, GET_CHILDREN2 -> out.writeStrings(tree.children(path));
                 default -> {}
             }
             if (op != Op.GET_CHILDREN) {
@@ -430,43 +432,43 @@
         }
 
         /** Watches that a reconnected client had: what they would have told meanwhile is told now, once. */
-        private void again(int xid, Watching asked) {
-            send(reply(xid, tree.zxid(), Fault.OK));
-            for (String path : asked.data()) {
+        private void restoreWatches(int xid, SetWatchesRequest request) {
+            send(reply(xid, tree.zxid(), ErrorCode.OK));
+            for (String path : request.data()) {
                 Stat stat = tree.stat(path);
                 if (stat == null) {
                     event(new Event(Event.Kind.DELETED, path));
-                } else if (stat.modified() > asked.zxid()) {
+                } else if (stat.modified() > request.zxid()) {
                     event(new Event(Event.Kind.DATA_CHANGED, path));
                 } else {
                     watches.add(Watches.Kind.DATA, path, this);
                 }
             }
-            for (String path : asked.exist()) {
+            for (String path : request.exist()) {
                 if (tree.stat(path) != null) {
                     event(new Event(Event.Kind.CREATED, path));
                 } else {
                     watches.add(Watches.Kind.DATA, path, this);
                 }
             }
-            for (String path : asked.children()) {
+            for (String path : request.children()) {
                 Stat stat = tree.stat(path);
                 if (stat == null) {
                     event(new Event(Event.Kind.DELETED, path));
-                } else if (stat.childrenChanged() > asked.zxid()) {
+                } else if (stat.childrenChanged() > request.zxid()) {
                     event(new Event(Event.Kind.CHILDREN_CHANGED, path));
                 } else {
                     watches.add(Watches.Kind.CHILDREN, path, this);
                 }
             }
-            asked.persistent().forEach(path -> watches.add(Watches.Kind.PERSISTENT, path, this));
-            asked.recursive().forEach(path -> watches.add(Watches.Kind.RECURSIVE, path, this));
+            request.persistent().forEach(path -> watches.add(Watches.Kind.PERSISTENT, path, this));
+            request.recursive().forEach(path -> watches.add(Watches.Kind.RECURSIVE, path, this));
         }
     }
 
     /** A log that has grown long is begun anew with what the tree and the sessions are by now. */
     private void compact() {
-        if (journal == null || journal.length() < SNAPSHOT_AT) {
+        if (journal == null || journal.length() < SNAPSHOT_LOG_BYTES) {
             return;
         }
         try {
--- a/nodes/src/main/java/saltdale/nodes/standin/Sessions.java
+++ b/nodes/src/main/java/saltdale/nodes/standin/Sessions.java
@@ -12,45 +12,47 @@
  * The sessions of a stand-in: who has one, until when it lives unheard. Told the time; time-outs go by ticks.
  */
 public final class Sessions {
-    /** One session; {@code heardAt} is when its client last said anything. */
+    /** One session; {@code lastHeardAt} is when its client last said anything. */
     public static final class Session {
         public final long id;
         public final byte[] password;
         public final Duration timeout;
-        private Duration heardAt;
+        private Duration lastHeardAt;
 
-        private Session(long id, byte[] password, Duration timeout, Duration heardAt) {
+        private Session(long id, byte[] password, Duration timeout, Duration lastHeardAt) {
             this.id = id;
             this.password = password;
             this.timeout = timeout;
-            this.heardAt = heardAt;
+            this.lastHeardAt = lastHeardAt;
         }
     }
 
     private final Duration tick;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private final Map<Long, Session> live = new LinkedHashMap<>();
     private long next;
 
     /** Time-outs are granted from 2 to 20 ticks, as the protocol's servers do. */
-    public Sessions(Duration tick, long firstId, SplittableRandom chance) {
+    public Sessions(Duration tick, long firstId, SplittableRandom random) {
         this.tick = tick;
         this.next = firstId;
-        this.chance = chance;
+        this.random = random;
     }
 
-    public Duration granted(Duration asked) {
-        Duration least = tick.multipliedBy(2);
-        Duration most = tick.multipliedBy(20);
-        return asked.compareTo(least) < 0 ? least : asked.compareTo(most) > 0 ? most : asked;
+    public Duration negotiatedTimeout(Duration requested) {
+        Duration minTimeout = tick.multipliedBy(2);
+        Duration maxTimeout = tick.multipliedBy(20);
+        return requested.compareTo(minTimeout) < 0
+                ? minTimeout
+                : requested.compareTo(maxTimeout) > 0 ? maxTimeout : requested;
     }
 
-    public Session open(Duration now, Duration asked) {
+    public Session open(Duration now, Duration requested) {
         byte[] password = new byte[16];
         for (int i = 0; i < password.length; i++) {
-            password[i] = (byte) chance.nextInt(256);
+            password[i] = (byte) random.nextInt(256);
         }
-        return add(new Session(next++, password, granted(asked), now));
+        return add(new Session(next++, password, negotiatedTimeout(requested), now));
     }
 
     /** One that was open before a restart: it lives a whole time-out more. */
@@ -70,7 +72,7 @@
         if (session == null || password == null || !MessageDigest.isEqual(session.password, password)) {
             return null;
         }
-        session.heardAt = now;
+        session.lastHeardAt = now;
         return session;
     }
 
@@ -78,10 +80,10 @@
         return live.get(id);
     }
 
-    public void heard(Duration now, long id) {
+    public void touch(Duration now, long id) {
         Session session = live.get(id);
         if (session != null) {
-            session.heardAt = now;
+            session.lastHeardAt = now;
         }
     }
 
@@ -100,16 +102,16 @@
         return all;
     }
 
-    /** Those that have not been heard for their time-out, rounded up to whole ticks; they are over. */
+    /** Those that have not been heard for their time-out, rounded up to whole ticks; they are expiredIds. */
     public List<Long> expired(Duration now) {
-        List<Long> over = new ArrayList<>();
+        List<Long> expiredIds = new ArrayList<>();
         for (Session each : live.values()) {
-            long ticks = (each.heardAt.plus(each.timeout).toNanos() + tick.toNanos() - 1) / tick.toNanos();
+            long ticks = (each.lastHeardAt.plus(each.timeout).toNanos() + tick.toNanos() - 1) / tick.toNanos();
             if (now.compareTo(tick.multipliedBy(ticks)) >= 0) {
-                over.add(each.id);
+                expiredIds.add(each.id);
             }
         }
-        over.forEach(live::remove);
-        return over;
+        expiredIds.forEach(live::remove);
+        return expiredIds;
     }
 }
--- a/nodes/src/main/java/saltdale/nodes/tree/Tree.java
+++ b/nodes/src/main/java/saltdale/nodes/tree/Tree.java
@@ -9,8 +9,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import saltdale.nodes.wire.ErrorCode;
 import saltdale.nodes.wire.Event;
-import saltdale.nodes.wire.Fault;
 import saltdale.nodes.wire.Paths;
 import saltdale.nodes.wire.Stat;
 
@@ -30,9 +30,9 @@
         }
     }
 
-    /** One step of a request that changes something; several are taken together or not at all. */
-    public record Step(Kind kind, String path, byte[] data, int version, boolean ephemeral, boolean sequential) {
-        /** What the step does, or checks. */
+    /** One operation of a request that changes something; several are transaction together or not at all. */
+    public record Operation(Kind kind, String path, byte[] data, int version, boolean ephemeral, boolean sequential) {
+        /** What the operation does, or checks. */
         public enum Kind {
             CREATE,
             DELETE,
@@ -40,28 +40,29 @@
             CHECK
         }
 
-        public static Step create(String path, byte[] data, boolean ephemeral, boolean sequential) {
-            return new Step(Kind.CREATE, path, data, -1, ephemeral, sequential);
+        public static Operation create(String path, byte[] data, boolean ephemeral, boolean sequential) {
+            return new Operation(Kind.CREATE, path, data, -1, ephemeral, sequential);
         }
 
-        public static Step delete(String path, int version) {
-            return new Step(Kind.DELETE, path, null, version, false, false);
+        public static Operation delete(String path, int version) {
+            return new Operation(Kind.DELETE, path, null, version, false, false);
         }
 
-        public static Step set(String path, byte[] data, int version) {
-            return new Step(Kind.SET, path, data, version, false, false);
+        public static Operation set(String path, byte[] data, int version) {
+            return new Operation(Kind.SET, path, data, version, false, false);
         }
 
-        public static Step check(String path, int version) {
-            return new Step(Kind.CHECK, path, null, version, false, false);
+        public static Operation check(String path, int version) {
+            return new Operation(Kind.CHECK, path, null, version, false, false);
         }
     }
 
-    /** What became of a step: its fault, or the path that was created or the node as it is now. */
-    public record Result(Fault fault, String path, Stat stat) {}
+    /** What became of a operation: its error, or the path that was created or the node as it is now. */
+    public record OperationResult(ErrorCode error, String path, Stat stat) {}
 
     /** What became of all of them, and the events that follow. */
-    public record Taken(boolean done, List<Result> results, List<Change> changes, List<Event> events) {}
+    public record TransactionResult(
+            boolean done, List<OperationResult> results, List<Change> changes, List<Event> events) {}
 
     private static final class Node {
         byte[] data;
@@ -103,12 +104,12 @@
 
     private final Map<String, Node> nodes = new HashMap<>();
     private final Map<Long, Set<String>> ephemerals = new TreeMap<>();
-    private final int mostData;
+    private final int maxDataBytes;
     private long zxid;
 
-    /** {@code mostData}: bytes that a node may hold. */
-    public Tree(int mostData) {
-        this.mostData = mostData;
+    /** {@code maxDataBytes}: bytes that a node may hold. */
+    public Tree(int maxDataBytes) {
+        this.maxDataBytes = maxDataBytes;
         nodes.put("/", new Node(new byte[0], 0, 0, 0));
     }
 
@@ -143,114 +144,128 @@
 
     // ---- Changing.
 
-    /** Takes all these steps as one change with one zxid, or none of them. */
-    public Taken take(List<Step> steps, long session, long atMillis) {
-        List<Result> results = new ArrayList<>();
+    /** Takes all these operations as one change with one zxid, or none of them. */
+    public TransactionResult apply(List<Operation> operations, long session, long atMillis) {
+        List<OperationResult> results = new ArrayList<>();
         List<Change> done = new ArrayList<>();
         List<Event> events = new ArrayList<>();
         List<Runnable> undo = new ArrayList<>();
-        long next = zxid + 1;
-        for (Step step : steps) {
-            Result result = one(step, session, next, atMillis, done, events, undo);
-            if (result.fault() != Fault.OK) {
+        long nextZxid = zxid + 1;
+        for (Operation operation : operations) {
+            OperationResult result = applyOne(operation, session, nextZxid, atMillis, done, events, undo);
+            if (result.error() != ErrorCode.OK) {
                 for (int i = undo.size() - 1; i >= 0; i--) {
                     undo.get(i).run();
                 }
                 int failed = results.size();
                 results.clear();
                 // as the protocol tells it: those after it were not looked at
-                for (int i = 0; i < steps.size(); i++) {
+                for (int i = 0; i < operations.size(); i++) {
                     results.add(
                             i == failed
                                     ? result
-                                    : new Result(i < failed ? Fault.OK : Fault.RUNTIME_INCONSISTENCY, null, null));
+                                    : new OperationResult(
+                                            i < failed ? ErrorCode.OK : ErrorCode.RUNTIME_INCONSISTENCY, null, null));
                 }
-                return new Taken(false, results, List.of(), List.of());
+                return new TransactionResult(false, results, List.of(), List.of());
             }
             results.add(result);
         }
-        zxid = done.isEmpty() ? zxid : next;
-        return new Taken(true, results, done, events);
+        zxid = done.isEmpty() ? zxid : nextZxid;
+        return new TransactionResult(true, results, done, events);
     }
 
-    private Result one(
-            Step step,
+    private OperationResult applyOne(
+            Operation operation,
             long session,
-            long next,
+            long nextZxid,
             long atMillis,
             List<Change> done,
             List<Event> events,
             List<Runnable> undo) {
-        Fault fault = fault(step);
-        if (fault != Fault.OK) {
-            return new Result(fault, null, null);
+        ErrorCode error = validate(operation);
+        if (error != ErrorCode.OK) {
+            return new OperationResult(error, null, null);
         }
-        switch (step.kind()) {
+        switch (operation.kind()) {
             case CREATE -> {
-                Node parent = nodes.get(Paths.parent(step.path()));
-                String path =
-                        step.sequential() ? step.path() + String.format("%010d", parent.childVersion) : step.path();
+                Node parent = nodes.get(Paths.parent(operation.path()));
+                String path = operation.sequential()
+                        ? operation.path() + String.format("%010d", parent.childVersion)
+                        : operation.path();
                 if (nodes.containsKey(path)) {
-                    return new Result(Fault.NODE_EXISTS, null, null);
+                    return new OperationResult(ErrorCode.NODE_EXISTS, null, null);
                 }
                 Change change = new Change(
-                        next, Change.Kind.CREATE, path, step.data(), step.ephemeral() ? session : 0, atMillis);
+                        nextZxid,
+                        Change.Kind.CREATE,
+                        path,
+                        operation.data(),
+                        operation.ephemeral() ? session : 0,
+                        atMillis);
                 undo.add(create(change));
                 done.add(change);
                 events.add(new Event(Event.Kind.CREATED, path));
                 events.add(new Event(Event.Kind.CHILDREN_CHANGED, Paths.parent(path)));
-                return new Result(Fault.OK, path, nodes.get(path).stat());
+                return new OperationResult(ErrorCode.OK, path, nodes.get(path).stat());
             }
             case DELETE -> {
-                Change change = new Change(next, Change.Kind.DELETE, step.path(), null, 0, atMillis);
+                Change change = new Change(nextZxid, Change.Kind.DELETE, operation.path(), null, 0, atMillis);
                 undo.add(delete(change));
                 done.add(change);
-                events.add(new Event(Event.Kind.DELETED, step.path()));
-                events.add(new Event(Event.Kind.CHILDREN_CHANGED, Paths.parent(step.path())));
-                return new Result(Fault.OK, step.path(), null);
+                events.add(new Event(Event.Kind.DELETED, operation.path()));
+                events.add(new Event(Event.Kind.CHILDREN_CHANGED, Paths.parent(operation.path())));
+                return new OperationResult(ErrorCode.OK, operation.path(), null);
             }
             case SET -> {
-                Change change = new Change(next, Change.Kind.SET, step.path(), step.data(), 0, atMillis);
+                Change change = new Change(nextZxid, Change.Kind.SET, operation.path(), operation.data(), 0, atMillis);
                 undo.add(set(change));
                 done.add(change);
-                events.add(new Event(Event.Kind.DATA_CHANGED, step.path()));
-                return new Result(Fault.OK, step.path(), nodes.get(step.path()).stat());
+                events.add(new Event(Event.Kind.DATA_CHANGED, operation.path()));
+                return new OperationResult(
+                        ErrorCode.OK,
+                        operation.path(),
+                        nodes.get(operation.path()).stat());
             }
             default -> {
-                return new Result(Fault.OK, step.path(), null);
+                return new OperationResult(ErrorCode.OK, operation.path(), null);
             }
         }
     }
 
-    private Fault fault(Step step) {
-        if (Paths.fault(step.path()) != null && !step.sequential()
-                || step.data() != null && step.data().length > mostData) {
-            return Fault.BAD_ARGUMENTS;
+    private ErrorCode validate(Operation operation) {
+        if (Paths.validationError(operation.path()) != null && !operation.sequential()
+                || operation.data() != null && operation.data().length > maxDataBytes) {
+            return ErrorCode.BAD_ARGUMENTS;
         }
-        if (step.kind() == Step.Kind.CREATE) {
-            if (Paths.fault(step.path() + (step.sequential() ? "0" : "")) != null
-                    || step.path().equals("/")) {
-                return Fault.BAD_ARGUMENTS;
+        if (operation.kind() == Operation.Kind.CREATE) {
+            if (Paths.validationError(operation.path() + (operation.sequential() ? "0" : "")) != null
+                    || operation.path().equals("/")) {
+                return ErrorCode.BAD_ARGUMENTS;
             }
-            Node parent = nodes.get(Paths.parent(step.path()));
-            return parent == null ? Fault.NO_NODE : parent.owner != 0 ? Fault.NO_CHILDREN_FOR_EPHEMERALS : Fault.OK;
+            Node parent = nodes.get(Paths.parent(operation.path()));
+            return parent == null
+                    ? ErrorCode.NO_NODE
+                    : parent.owner != 0 ? ErrorCode.NO_CHILDREN_FOR_EPHEMERALS : ErrorCode.OK;
         }
-        Node node = nodes.get(step.path());
+        Node node = nodes.get(operation.path());
         if (node == null) {
-            return Fault.NO_NODE;
-        } else if (step.version() != -1 && step.version() != node.version) {
-            return Fault.BAD_VERSION;
-        } else if (step.kind() == Step.Kind.DELETE) {
-            return step.path().equals("/") ? Fault.BAD_ARGUMENTS : node.children.isEmpty() ? Fault.OK : Fault.NOT_EMPTY;
+            return ErrorCode.NO_NODE;
+        } else if (operation.version() != -1 && operation.version() != node.version) {
+            return ErrorCode.BAD_VERSION;
+        } else if (operation.kind() == Operation.Kind.DELETE) {
+            return operation.path().equals("/")
+                    ? ErrorCode.BAD_ARGUMENTS
+                    : node.children.isEmpty() ? ErrorCode.OK : ErrorCode.NOT_EMPTY;
         }
-        return Fault.OK;
+        return ErrorCode.OK;
     }
 
     /** A session is over: its nodes go with it, as one change. */
-    public Taken end(long session, long atMillis) {
-        List<Step> steps = new ArrayList<>();
-        ephemerals(session).forEach(path -> steps.add(Step.delete(path, -1)));
-        return take(steps, session, atMillis);
+    public TransactionResult closeSession(long session, long atMillis) {
+        List<Operation> operations = new ArrayList<>();
+        ephemerals(session).forEach(path -> operations.add(Operation.delete(path, -1)));
+        return apply(operations, session, atMillis);
     }
 
     /** Changes that make this tree's nodes and data, parents first; versions begin anew with them. */
@@ -268,7 +283,7 @@
     }
 
     /** Makes a change again, as a log has it. */
-    public void again(Change change) {
+    public void replay(Change change) {
         switch (change.kind()) {
             case CREATE -> create(change);
             case DELETE -> delete(change);
--- a/nodes/src/main/java/saltdale/nodes/tree/Watches.java
+++ b/nodes/src/main/java/saltdale/nodes/tree/Watches.java
@@ -32,7 +32,7 @@
         watchers.computeIfAbsent(new Key(kind, path), k -> new HashSet<>()).add(watcher);
     }
 
-    public void forget(W watcher) {
+    public void removeWatcher(W watcher) {
         watchers.values().removeIf(each -> each.remove(watcher) && each.isEmpty());
     }
 
@@ -41,43 +41,43 @@
     }
 
     /** Whom this event is to be told to; one-time watches that it meets are used up. Each is told once. */
-    public List<W> told(Event event) {
+    public List<W> trigger(Event event) {
         Set<W> all = new HashSet<>();
         String path = event.path();
         if (event.kind() == Event.Kind.CHILDREN_CHANGED) {
-            once(Kind.CHILDREN, path, all);
-            stays(Kind.PERSISTENT, path, all);
+            collectOneTime(Kind.CHILDREN, path, all);
+            collectPersistent(Kind.PERSISTENT, path, all);
             return new ArrayList<>(all);
         }
-        once(Kind.DATA, path, all);
+        collectOneTime(Kind.DATA, path, all);
         if (event.kind() == Event.Kind.DELETED) {
-            once(Kind.CHILDREN, path, all);
+            collectOneTime(Kind.CHILDREN, path, all);
         }
-        stays(Kind.PERSISTENT, path, all);
+        collectPersistent(Kind.PERSISTENT, path, all);
         for (String at = path; ; at = Paths.parent(at)) {
-            stays(Kind.RECURSIVE, at, all);
+            collectPersistent(Kind.RECURSIVE, at, all);
             if (at.equals("/")) {
                 return new ArrayList<>(all);
             }
         }
     }
 
-    private void once(Kind kind, String path, Set<W> to) {
+    private void collectOneTime(Kind kind, String path, Set<W> to) {
         Set<W> found = watchers.remove(new Key(kind, path));
         if (found != null) {
             to.addAll(found);
         }
     }
 
-    private void stays(Kind kind, String path, Set<W> to) {
+    private void collectPersistent(Kind kind, String path, Set<W> to) {
         to.addAll(watchers.getOrDefault(new Key(kind, path), Set.of()));
     }
 
     /** All events to all their watchers, in the order of the events. */
-    public Map<W, List<Event>> told(List<Event> events) {
+    public Map<W, List<Event>> trigger(List<Event> events) {
         Map<W, List<Event>> all = new LinkedHashMap<>();
         for (Event event : events) {
-            for (W watcher : told(event)) {
+            for (W watcher : trigger(event)) {
                 all.computeIfAbsent(watcher, k -> new ArrayList<>()).add(event);
             }
         }
--- a/nodes/src/main/java/saltdale/nodes/wire/Fault.java
+++ b/nodes/src/main/java/saltdale/nodes/wire/ErrorCode.java
@@ -1,7 +1,7 @@
 package saltdale.nodes.wire;
 
 /** The protocol's error codes, as values. */
-public enum Fault {
+public enum ErrorCode {
     OK(0),
     SYSTEM_ERROR(-1),
     CONNECTION_LOSS(-4),
@@ -24,12 +24,12 @@
 
     public final int code;
 
-    Fault(int code) {
+    ErrorCode(int code) {
         this.code = code;
     }
 
-    public static Fault of(int code) {
-        for (Fault each : values()) {
+    public static ErrorCode of(int code) {
+        for (ErrorCode each : values()) {
             if (each.code == code) {
                 return each;
             }
--- a/nodes/src/main/java/saltdale/nodes/wire/Event.java
+++ b/nodes/src/main/java/saltdale/nodes/wire/Event.java
@@ -20,18 +20,18 @@
     private static final int CONNECTED = 3; // the state that goes with each event of a live session
 
     public void write(RecordWriter to) {
-        to.number(kind.code).number(CONNECTED).text(path);
+        to.writeInt(kind.code).writeInt(CONNECTED).writeString(path);
     }
 
-    public static Event read(RecordReader from) throws Malformed {
-        int code = from.number();
-        from.number();
-        String path = from.text();
+    public static Event read(RecordReader from) throws MalformedRecordException {
+        int code = from.readInt();
+        from.readInt();
+        String path = from.readString();
         for (Kind each : Kind.values()) {
             if (each.code == code) {
                 return new Event(each, path);
             }
         }
-        throw new Malformed("an event of kind " + code);
+        throw new MalformedRecordException("an event of kind " + code);
     }
 }
--- a/nodes/src/main/java/saltdale/nodes/wire/Malformed.java
+++ b/nodes/src/main/java/saltdale/nodes/wire/MalformedRecordException.java
@@ -1,10 +1,10 @@
 package saltdale.nodes.wire;
 
 /** Bytes that are no record of the protocol, or that pass one of its bounds. */
-public final class Malformed extends Exception {
+public final class MalformedRecordException extends Exception {
     private static final long serialVersionUID = 1;
 
-    public Malformed(String message) {
+    public MalformedRecordException(String message) {
         super(message, null, false, false); // a value that says what is wrong; nobody reads its trace
     }
 }
--- a/nodes/src/main/java/saltdale/nodes/wire/Paths.java
+++ b/nodes/src/main/java/saltdale/nodes/wire/Paths.java
@@ -5,7 +5,7 @@
     private Paths() {}
 
     /** What is wrong with a path; null where it is one. */
-    public static String fault(String path) {
+    public static String validationError(String path) {
         if (path == null || path.isEmpty()) {
             return "is empty";
         } else if (path.charAt(0) != '/') {
--- a/nodes/src/main/java/saltdale/nodes/wire/RecordReader.java
+++ b/nodes/src/main/java/saltdale/nodes/wire/RecordReader.java
@@ -23,33 +23,34 @@
         return bytes.remaining();
     }
 
-    public int number() throws Malformed {
-        need(4);
+    public int readInt() throws MalformedRecordException {
+        requireBytes(4);
         return bytes.getInt();
     }
 
-    public long longNumber() throws Malformed {
-        need(8);
+    public long readLong() throws MalformedRecordException {
+        requireBytes(8);
         return bytes.getLong();
     }
 
-    public boolean flag() throws Malformed {
-        need(1);
+    public boolean readBoolean() throws MalformedRecordException {
+        requireBytes(1);
         byte value = bytes.get();
         if (value != 0 && value != 1) {
-            throw new Malformed("a flag that is neither 0 nor 1");
+            throw new MalformedRecordException("a flag that is neither 0 nor 1");
         }
         return value == 1;
     }
 
     /** A buffer; null where its length is -1. */
-    public byte[] buffer() throws Malformed {
-        int length = number();
+    public byte[] readBuffer() throws MalformedRecordException {
+        int length = readInt();
         if (length == -1) {
             return null;
         }
         if (length < 0 || length > bytes.remaining()) {
-            throw new Malformed("a length of " + length + " where " + bytes.remaining() + " bytes are left");
+            throw new MalformedRecordException(
+                    "a length of " + length + " where " + bytes.remaining() + " bytes are left");
         }
         byte[] value = new byte[length];
         bytes.get(value);
@@ -57,8 +58,8 @@
     }
 
     /** A text in UTF-8; null where its length is -1. */
-    public String text() throws Malformed {
-        byte[] value = buffer();
+    public String readString() throws MalformedRecordException {
+        byte[] value = readBuffer();
         if (value == null) {
             return null;
         }
@@ -70,50 +71,51 @@
                     .decode(ByteBuffer.wrap(value));
             return chars.toString();
         } catch (CharacterCodingException e) {
-            throw new Malformed("a text that is no UTF-8");
+            throw new MalformedRecordException("a text that is no UTF-8");
         }
     }
 
-    public String path() throws Malformed {
-        String path = text();
-        String fault = Paths.fault(path);
-        if (fault != null) {
-            throw new Malformed("a path that " + fault);
+    public String readPath() throws MalformedRecordException {
+        String path = readString();
+        String error = Paths.validationError(path);
+        if (error != null) {
+            throw new MalformedRecordException("a path that " + error);
         }
         return path;
     }
 
-    /** So many elements follow, of at least {@code least} bytes each; 0 for a vector of length -1. */
-    public int count(int least) throws Malformed {
-        int count = number();
+    /** So many elements follow, of at minElementBytes {@code minElementBytes} bytes each; 0 for a vector of length -1. */
+    public int readCount(int minElementBytes) throws MalformedRecordException {
+        int count = readInt();
         if (count == -1) {
             return 0;
         }
-        if (count < 0 || (long) count * least > bytes.remaining()) {
-            throw new Malformed("a vector of " + count + " where " + bytes.remaining() + " bytes are left");
+        if (count < 0 || (long) count * minElementBytes > bytes.remaining()) {
+            throw new MalformedRecordException(
+                    "a vector of " + count + " where " + bytes.remaining() + " bytes are left");
         }
         return count;
     }
 
-    public List<String> texts() throws Malformed {
-        int count = count(4);
+    public List<String> readStrings() throws MalformedRecordException {
+        int count = readCount(4);
         List<String> all = new ArrayList<>(Math.min(count, 1024));
         for (int i = 0; i < count; i++) {
-            all.add(text());
+            all.add(readString());
         }
         return all;
     }
 
     /** Nothing may be left. */
-    public void end() throws Malformed {
+    public void expectEnd() throws MalformedRecordException {
         if (bytes.hasRemaining()) {
-            throw new Malformed(bytes.remaining() + " bytes after the record's end");
+            throw new MalformedRecordException(bytes.remaining() + " bytes after the record's end");
         }
     }
 
-    private void need(int count) throws Malformed {
+    private void requireBytes(int count) throws MalformedRecordException {
         if (bytes.remaining() < count) {
-            throw new Malformed("the record ends within a field");
+            throw new MalformedRecordException("the record ends within a field");
         }
     }
 }
--- a/nodes/src/main/java/saltdale/nodes/wire/RecordWriter.java
+++ b/nodes/src/main/java/saltdale/nodes/wire/RecordWriter.java
@@ -9,7 +9,7 @@
 public final class RecordWriter {
     private final ByteArrayOutputStream out = new ByteArrayOutputStream(64);
 
-    public RecordWriter number(int value) {
+    public RecordWriter writeInt(int value) {
         out.write(value >>> 24);
         out.write(value >>> 16);
         out.write(value >>> 8);
@@ -17,31 +17,31 @@
         return this;
     }
 
-    public RecordWriter longNumber(long value) {
-        return number((int) (value >>> 32)).number((int) value);
+    public RecordWriter writeLong(long value) {
+        return writeInt((int) (value >>> 32)).writeInt((int) value);
     }
 
-    public RecordWriter flag(boolean value) {
+    public RecordWriter writeBoolean(boolean value) {
         out.write(value ? 1 : 0);
         return this;
     }
 
-    public RecordWriter buffer(byte[] value) {
+    public RecordWriter writeBuffer(byte[] value) {
         if (value == null) {
-            return number(-1);
+            return writeInt(-1);
         }
-        number(value.length);
+        writeInt(value.length);
         out.write(value, 0, value.length);
         return this;
     }
 
-    public RecordWriter text(String value) {
-        return buffer(value == null ? null : value.getBytes(StandardCharsets.UTF_8));
+    public RecordWriter writeString(String value) {
+        return writeBuffer(value == null ? null : value.getBytes(StandardCharsets.UTF_8));
     }
 
-    public RecordWriter texts(Collection<String> values) {
-        number(values.size());
-        values.forEach(this::text);
+    public RecordWriter writeStrings(Collection<String> values) {
+        writeInt(values.size());
+        values.forEach(this::writeString);
         return this;
     }
 
--- a/nodes/src/main/java/saltdale/nodes/wire/Stat.java
+++ b/nodes/src/main/java/saltdale/nodes/wire/Stat.java
@@ -17,31 +17,31 @@
         int children,
         long childrenChanged) {
     public void write(RecordWriter to) {
-        to.longNumber(created)
-                .longNumber(modified)
-                .longNumber(createdAt)
-                .longNumber(modifiedAt)
-                .number(version)
-                .number(childVersion)
-                .number(aclVersion)
-                .longNumber(owner)
-                .number(dataLength)
-                .number(children)
-                .longNumber(childrenChanged);
+        to.writeLong(created)
+                .writeLong(modified)
+                .writeLong(createdAt)
+                .writeLong(modifiedAt)
+                .writeInt(version)
+                .writeInt(childVersion)
+                .writeInt(aclVersion)
+                .writeLong(owner)
+                .writeInt(dataLength)
+                .writeInt(children)
+                .writeLong(childrenChanged);
     }
 
-    public static Stat read(RecordReader from) throws Malformed {
+    public static Stat read(RecordReader from) throws MalformedRecordException {
         return new Stat(
-                from.longNumber(),
-                from.longNumber(),
-                from.longNumber(),
-                from.longNumber(),
-                from.number(),
-                from.number(),
-                from.number(),
-                from.longNumber(),
-                from.number(),
-                from.number(),
-                from.longNumber());
+                from.readLong(),
+                from.readLong(),
+                from.readLong(),
+                from.readLong(),
+                from.readInt(),
+                from.readInt(),
+                from.readInt(),
+                from.readLong(),
+                from.readInt(),
+                from.readInt(),
+                from.readLong());
     }
 }
--- a/nodes/src/test/java/saltdale/nodes/JournalTest.java
+++ b/nodes/src/test/java/saltdale/nodes/JournalTest.java
@@ -20,7 +20,7 @@
 import saltdale.nodes.standin.Journal.Entry;
 import saltdale.nodes.standin.Sessions;
 import saltdale.nodes.tree.Tree;
-import saltdale.nodes.tree.Tree.Step;
+import saltdale.nodes.tree.Tree.Operation;
 
 class JournalTest {
     @TempDir
@@ -32,14 +32,16 @@
         List<String> after = new ArrayList<>(List.of(tree.toString()));
         try (Journal journal = Journal.open(file, new ArrayList<>())) {
             for (int i = 0; i < 30; i++) {
-                Tree.Taken taken = tree.take(
+                Tree.TransactionResult transaction = tree.apply(
                         i % 7 == 6
-                                ? List.of(Step.set("/n" + (i - 1), new byte[i], -1), Step.delete("/n" + (i - 2), -1))
-                                : List.of(Step.create("/n" + i, new byte[i], i % 2 == 0, false)),
+                                ? List.of(
+                                        Operation.set("/n" + (i - 1), new byte[i], -1),
+                                        Operation.delete("/n" + (i - 2), -1))
+                                : List.of(Operation.create("/n" + i, new byte[i], i % 2 == 0, false)),
                         5,
                         i);
-                assertTrue(taken.done());
-                journal.add(Entry.changes(taken.changes()));
+                assertTrue(transaction.done());
+                journal.append(Entry.changes(transaction.changes()));
                 after.add(tree.toString());
             }
         }
@@ -49,7 +51,7 @@
     private static String tree(byte[] bytes, List<Entry> entries) {
         Tree tree = new Tree(1000);
         Journal.read(bytes, entries);
-        entries.forEach(e -> e.changes().forEach(tree::again));
+        entries.forEach(e -> e.changes().forEach(tree::replay));
         return tree.toString();
     }
 
@@ -104,7 +106,7 @@
         List<Entry> entries = new ArrayList<>();
         try (Journal journal = Journal.open(file, entries)) {
             assertEquals(29, entries.size());
-            journal.add(Entry.closed(5, List.of()));
+            journal.append(Entry.closed(5, List.of()));
         }
         List<Entry> again = new ArrayList<>();
         Journal.open(file, again).close();
@@ -117,7 +119,7 @@
         written(file);
         try (Journal journal = Journal.open(file, new ArrayList<>())) {
             journal.replace(List.of(Entry.opened(9, new byte[16], 4000)));
-            journal.add(Entry.closed(9, List.of()));
+            journal.append(Entry.closed(9, List.of()));
             assertEquals(Files.size(file), journal.length());
         }
         List<Entry> entries = new ArrayList<>();
@@ -131,9 +133,9 @@
     void aSessionLivesByWhatIsHeardAndByItsPassword() {
         Sessions sessions = new Sessions(Duration.ofMillis(500), 1, new SplittableRandom(1));
         Sessions.Session one = sessions.open(Duration.ZERO, Duration.ofSeconds(3));
-        assertEquals(Duration.ofSeconds(1), sessions.granted(Duration.ofMillis(1)));
+        assertEquals(Duration.ofSeconds(1), sessions.negotiatedTimeout(Duration.ofMillis(1)));
         assertEquals(List.of(), sessions.expired(Duration.ofMillis(2999)));
-        sessions.heard(Duration.ofMillis(2999), one.id);
+        sessions.touch(Duration.ofMillis(2999), one.id);
         assertEquals(List.of(), sessions.expired(Duration.ofMillis(5998)));
         assertNull(sessions.resume(Duration.ofMillis(5998), one.id, new byte[16]));
         assertNotNull(sessions.resume(Duration.ofMillis(5998), one.id, one.password));
--- a/nodes/src/test/java/saltdale/nodes/WireTest.java
+++ b/nodes/src/test/java/saltdale/nodes/WireTest.java
@@ -16,8 +16,8 @@
 import net.jqwik.api.constraints.Size;
 import org.junit.jupiter.api.Test;
 import saltdale.nodes.wire.Event;
-import saltdale.nodes.wire.Frames;
-import saltdale.nodes.wire.Malformed;
+import saltdale.nodes.wire.FrameDecoder;
+import saltdale.nodes.wire.MalformedRecordException;
 import saltdale.nodes.wire.Paths;
 import saltdale.nodes.wire.RecordReader;
 import saltdale.nodes.wire.RecordWriter;
@@ -30,43 +30,47 @@
 
     @Test
     void aRequestIsWrittenAsTheProtocolHasIt() {
-        ByteBuffer framed =
-                new RecordWriter().number(5).number(4).text("/a/bc").flag(false).framed();
+        ByteBuffer framed = new RecordWriter()
+                .writeInt(5)
+                .writeInt(4)
+                .writeString("/a/bc")
+                .writeBoolean(false)
+                .framed();
         assertArrayEquals(GET_DATA, framed.array());
     }
 
     @Test
-    void itIsReadFromEachSplitOfItsBytes() throws Malformed {
+    void itIsReadFromEachSplitOfItsBytes() throws MalformedRecordException {
         for (int split = 0; split <= GET_DATA.length; split++) {
             List<byte[]> records = new ArrayList<>();
-            Frames frames = new Frames(1 << 20, records::add);
-            frames.take(ByteBuffer.wrap(GET_DATA, 0, split));
-            frames.take(ByteBuffer.wrap(GET_DATA, split, GET_DATA.length - split));
+            FrameDecoder frames = new FrameDecoder(1 << 20, records::add);
+            frames.decode(ByteBuffer.wrap(GET_DATA, 0, split));
+            frames.decode(ByteBuffer.wrap(GET_DATA, split, GET_DATA.length - split));
             assertEquals(1, records.size());
             RecordReader record = new RecordReader(records.get(0));
-            assertEquals(5, record.number());
-            assertEquals(4, record.number());
-            assertEquals("/a/bc", record.path());
-            assertEquals(false, record.flag());
-            record.end();
+            assertEquals(5, record.readInt());
+            assertEquals(4, record.readInt());
+            assertEquals("/a/bc", record.readPath());
+            assertEquals(false, record.readBoolean());
+            record.expectEnd();
         }
     }
 
     @Test
     void aLengthBeyondTheBoundIsAFaultAndAllocatesNothing() {
-        Frames frames = new Frames(1 << 20, r -> {});
-        frames.take(ByteBuffer.wrap(HexFormat.of().parseHex("7fffffff00")));
-        assertNotNull(frames.fault());
-        Frames negative = new Frames(1 << 20, r -> {});
-        negative.take(ByteBuffer.wrap(HexFormat.of().parseHex("ffffffff")));
-        assertNotNull(negative.fault());
+        FrameDecoder frames = new FrameDecoder(1 << 20, r -> {});
+        frames.decode(ByteBuffer.wrap(HexFormat.of().parseHex("7fffffff00")));
+        assertNotNull(frames.error());
+        FrameDecoder negative = new FrameDecoder(1 << 20, r -> {});
+        negative.decode(ByteBuffer.wrap(HexFormat.of().parseHex("ffffffff")));
+        assertNotNull(negative.error());
         byte[] vector = HexFormat.of().parseHex("7fffffff");
-        assertThrows(Malformed.class, () -> new RecordReader(vector).texts());
-        assertThrows(Malformed.class, () -> new RecordReader(vector).buffer());
+        assertThrows(MalformedRecordException.class, () -> new RecordReader(vector).readStrings());
+        assertThrows(MalformedRecordException.class, () -> new RecordReader(vector).readBuffer());
     }
 
     @Test
-    void aStatAndAnEventComeBackAsTheyWere() throws Malformed {
+    void aStatAndAnEventComeBackAsTheyWere() throws MalformedRecordException {
         Stat stat = new Stat(1, 2, 3, 4, 5, 6, 7, -8, 9, 10, 11);
         RecordWriter out = new RecordWriter();
         stat.write(out);
@@ -75,39 +79,39 @@
         RecordReader in = new RecordReader(out.record());
         assertEquals(stat, Stat.read(in));
         assertEquals(event, Event.read(in));
-        in.end();
+        in.expectEnd();
     }
 
     @Test
     void pathsAreCheckedAsTheProtocolHasThem() {
-        assertNull(Paths.fault("/"));
-        assertNull(Paths.fault("/a/b-0000000001"));
+        assertNull(Paths.validationError("/"));
+        assertNull(Paths.validationError("/a/b-0000000001"));
         for (String bad : List.of("", "a", "/a/", "//", "/a/../b", "/.", "/a\u0000", "/a//b")) {
-            assertNotNull(Paths.fault(bad), bad);
+            assertNotNull(Paths.validationError(bad), bad);
         }
         assertEquals("/", Paths.parent("/a"));
         assertEquals("/a", Paths.parent("/a/b"));
     }
 
     /**
-     * Whatever bytes come, in whatever pieces: nothing but a fault or a value, and no more held than came.
+     * Whatever bytes come, in whatever pieces: nothing but a error or a value, and no more held than came.
      */
     @Property(tries = 2000, seed = "5")
     void noBytesMakeItThrowOrHang(@ForAll @Size(max = 64) byte[] bytes, @ForAll int cut) {
         List<byte[]> records = new ArrayList<>();
-        Frames frames = new Frames(4096, records::add);
+        FrameDecoder frames = new FrameDecoder(4096, records::add);
         int at = bytes.length == 0 ? 0 : Math.floorMod(cut, bytes.length);
-        frames.take(ByteBuffer.wrap(bytes, 0, at));
-        frames.take(ByteBuffer.wrap(bytes, at, bytes.length - at));
+        frames.decode(ByteBuffer.wrap(bytes, 0, at));
+        frames.decode(ByteBuffer.wrap(bytes, at, bytes.length - at));
         int held = records.stream().mapToInt(r -> r.length + 4).sum();
         assertTrue(held <= bytes.length);
         try {
             RecordReader reader = new RecordReader(bytes);
-            reader.texts();
+            reader.readStrings();
             Stat.read(reader);
             Event.read(reader);
-            reader.path();
-        } catch (Malformed e) {
+            reader.readPath();
+        } catch (MalformedRecordException e) {
             assertNotNull(e.getMessage());
         }
     }
--- a/tools/src/main/java/saltdale/tools/MeasureNodes.java
+++ b/tools/src/main/java/saltdale/tools/MeasureNodes.java
@@ -16,11 +16,11 @@
 import picocli.CommandLine.Option;
 import saltdale.nodes.client.NodeClient;
 import saltdale.nodes.list.NodeList;
-import saltdale.nodes.membership.Box;
 import saltdale.nodes.membership.Membership.Health;
+import saltdale.nodes.membership.RunnerInfo;
 import saltdale.nodes.standin.NodeServer;
+import saltdale.nodes.wire.ErrorCode;
 import saltdale.nodes.wire.Event;
-import saltdale.nodes.wire.Fault;
 import saltdale.transport.EventLoop;
 import saltdale.transport.SocketBudget;
 
@@ -80,7 +80,7 @@
                     new SplittableRandom(i),
                     changes -> changes.forEach(c -> told(list, c.name(), c.health())));
             all.add(each);
-            each.begin();
+            each.start();
         }
         until(() -> up.stream().allMatch(n -> n == nodes));
         System.out.printf(
@@ -92,7 +92,7 @@
                 (heap() - heap) / (double) nodes / lists);
 
         long readsBefore = server.reads();
-        server.cut(at);
+        server.disconnect(at);
         until(() -> all.stream().noneMatch(l -> l.membership().trust(loop.now()) == 1));
         turn();
         turn();
@@ -161,9 +161,9 @@
 
     private NodeClient client(InetSocketAddress at) throws IOException {
         NodeClient client =
-                new NodeClient(loop, sockets, List.of(at), SESSION, new SplittableRandom(5), new NodeClient.Owner() {
+                new NodeClient(loop, sockets, List.of(at), SESSION, new SplittableRandom(5), new NodeClient.Listener() {
                     @Override
-                    public void state(NodeClient.State state) {
+                    public void stateChanged(NodeClient.State state) {
                         // asked for below
                     }
 
@@ -172,7 +172,7 @@
                         // it watches nothing
                     }
                 });
-        client.begin();
+        client.start();
         until(() -> client.state() == NodeClient.State.CONNECTED);
         return client;
     }
@@ -180,7 +180,7 @@
     private void make(NodeClient client, String path, byte[] data, boolean ephemeral) {
         pending++;
         client.create(path, data, ephemeral, false, (fault, name) -> {
-            if (fault != Fault.OK) {
+            if (fault != ErrorCode.OK) {
                 throw new IllegalStateException(path + ": " + fault);
             }
             pending--;
@@ -188,7 +188,7 @@
     }
 
     private static byte[] data(int number) {
-        return new Box("127.0.0.1:" + (1024 + number % 60_000), "a", "m", number % 8, 1, 1000, false).data();
+        return new RunnerInfo("127.0.0.1:" + (1024 + number % 60_000), "a", "m", number % 8, 1, 1000, false).data();
     }
 
     private void turn() throws IOException {
--- a/tools/src/main/java/saltdale/tools/Register.java
+++ b/tools/src/main/java/saltdale/tools/Register.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import saltdale.nodes.list.Registration;
-import saltdale.nodes.membership.Box;
+import saltdale.nodes.membership.RunnerInfo;
 import saltdale.nodes.wire.Paths;
 import saltdale.rig.plan.Misread;
 import saltdale.transport.Address;
@@ -60,13 +60,13 @@
     public Integer call() throws Exception {
         if (Address.parse(dial) == null) {
             throw new Misread("--dial: " + dial + " is no numeric address with a port");
-        } else if (Paths.fault(node) != null) {
-            throw new Misread("--node: a path that " + Paths.fault(node));
+        } else if (Paths.validationError(node) != null) {
+            throw new Misread("--node: a path that " + Paths.validationError(node));
         }
         List<InetSocketAddress> servers = new ArrayList<>();
         to.forEach(each -> servers.add(StandInNodes.loopback("--to", each)));
         EventLoop loop = new EventLoop();
-        Box box = new Box(dial, site, kind, block, 1, born, false);
+        RunnerInfo box = new RunnerInfo(dial, site, kind, block, 1, born, false);
         Registration registration = new Registration(
                 loop,
                 new SocketBudget(loop, 64),
@@ -75,10 +75,10 @@
                 new SplittableRandom(System.nanoTime()),
                 node,
                 box);
-        registration.begin();
+        registration.start();
         Signal.handle(
                 new Signal("USR2"),
-                s -> loop.execute(() -> registration.says(new Box(dial, site, kind, block, 1, born, true))));
+                s -> loop.execute(() -> registration.update(new RunnerInfo(dial, site, kind, block, 1, born, true))));
         for (String signal : List.of("TERM", "INT")) {
             Signal.handle(new Signal(signal), s -> loop.execute(() -> registration.close(loop::stop)));
         }
@@ -91,10 +91,10 @@
     private static void say(EventLoop loop, Registration registration, String last) {
         String now = registration.isHeld()
                 ? "its node is there"
-                : registration.trouble() == null
+                : registration.failureReason() == null
                         ? "no node; the service is "
                                 + registration.state().name().toLowerCase()
-                        : registration.trouble();
+                        : registration.failureReason();
         if (!now.equals(last)) {
             LOG.info("{}", now);
         }
