--- a/nodes/src/main/java/saltdale/nodes/client/NodeClient.java
+++ b/nodes/src/main/java/saltdale/nodes/client/NodeClient.java
@@ -27,12 +27,12 @@
 import saltdale.transport.Timer;
 
 /**
- * A session with a coordination service, on the project's loop: no thread of its own and no call that waits.
- * Answers come strictly in the order of the requests. A request whose connection broke ends with a lost
- * connection: it may have happened.
+ * A client session with a ZooKeeper service, on the project's event loop: it has no thread of its own, and no
+ * method blocks. Replies arrive strictly in the order of the requests. A request whose connection is lost
+ * completes with CONNECTION_LOSS; it may have been applied or not.
  */
 public final class NodeClient {
-    /** How the service stands to us; SUSPENDED: not heard, and the session may yet live. */
+    /** State of the session; SUSPENDED: disconnected, while the session may still be alive. */
     public enum State {
         CONNECTING,
         CONNECTED,
@@ -41,19 +41,19 @@
         CLOSED
     }
 
-    /** Who is told of the session's state and of watches. */
+    /** Receives changes of the session's state, and watch events. */
     public interface Listener {
         void stateChanged(State state);
 
         void event(Event event);
     }
 
-    /** Who waits for an answer; the value is null where the error is not OK. */
+    /** Receives the result of a request; the value is null if the error is not OK. */
     public interface Callback<T> {
         void done(ErrorCode error, T value);
     }
 
-    /** A node's data with what the service tells of it. */
+    /** The data of a node and its stat. */
     public record Data(byte[] data, Stat stat) {}
 
     private interface Decoder<T> {
@@ -97,7 +97,9 @@
     private int nextXid = 1;
     private Timer reconnectTimer;
 
-    /** {@code requestedTimeout}: the time-out that is requestedTimeout for; what is sessionEstablished counts. */
+    /**
+     * {@code requestedTimeout}: the session time-out to request; the one that the server grants takes effect.
+     */
     public NodeClient(
             EventLoop loop,
             SocketBudget sockets,
@@ -112,24 +114,29 @@
         this.random = random;
         this.listener = listener;
         this.servers = new ArrayList<>(servers);
-        for (int i = this.servers.size() - 1; i > 0; i--) { // so that clients do not all go to the first
+        for (int i = this.servers.size() - 1;
+                i > 0;
+                i--) { // shuffled, so that not all clients connect to the first server
             Collections.swap(this.servers, i, random.nextInt(i + 1));
         }
     }
 
+    /** State of the session. */
     public State state() {
         return state;
     }
 
+    /** Id of the session; 0 before the first one is established. */
     public long session() {
         return session;
     }
 
+    /** The session time-out as granted, or as requested until then. */
     public Duration timeout() {
         return timeout;
     }
 
-    /** Begins, or begins anew whenClosed the session has expired. */
+    /** Connects to the service; after the session has expired, starts a new one. */
     public void start() {
         if (state == State.EXPIRED) {
             session = 0;
@@ -167,8 +174,8 @@
     }
 
     /**
-     * Waits grow with each round of all servers, and are drawn, so that clients do not come callback at one
-     * moment.
+     * The delay grows with each round over all servers, and is randomized, so that clients do not reconnect
+     * all at once.
      */
     private void scheduleReconnect() {
         failures++;
@@ -185,7 +192,7 @@
         }
     }
 
-    /** The connection is of no use any more: what was requestedTimeout on it may have happened. */
+    /** Abandons a failed connection; requests that were sent on it may have been applied. */
     private void connectionLost(Link failed) {
         if (link != failed) {
             return;
@@ -204,8 +211,8 @@
     }
 
     /**
-     * Ends the session, and its nodes with it; {@code whenClosed} is called once the service has said so, or
-     * can't.
+     * Ends the session, which deletes its ephemeral nodes. {@code whenClosed} is called once the service has
+     * confirmed it, or cannot be reached.
      */
     public void close(Runnable whenClosed) {
         if (state != State.CONNECTED) {
@@ -232,6 +239,7 @@
 
     // ---- Requests.
 
+    /** Creates a node, readable and writable by everyone; the result is its path. */
     public void create(String path, byte[] data, boolean ephemeral, boolean sequential, Callback<String> callback) {
         RecordWriter body = new RecordWriter()
                 .writeString(path)
@@ -244,10 +252,12 @@
         send(Op.CREATE, body, RecordReader::readString, callback);
     }
 
+    /** Deletes a node if it has this version; -1 matches any version. */
     public void delete(String path, int version, Callback<Void> callback) {
         send(Op.DELETE, new RecordWriter().writeString(path).writeInt(version), in -> null, callback);
     }
 
+    /** Sets the data of a node if it has this version; -1 matches any version. */
     public void set(String path, byte[] data, int version, Callback<Stat> callback) {
         send(
                 Op.SET_DATA,
@@ -256,7 +266,7 @@
                 callback);
     }
 
-    /** With a watch, its coming, change or going is told once. */
+    /** Reads the stat of a node; a watch fires once on its creation, data change or deletion. */
     public void exists(String path, boolean watch, Callback<Stat> callback) {
         send(Op.EXISTS, new RecordWriter().writeString(path).writeBoolean(watch), Stat::read, (error, stat) -> {
             if (watch && (error == ErrorCode.OK || error == ErrorCode.NO_NODE)) {
@@ -266,6 +276,7 @@
         });
     }
 
+    /** Reads the data of a node; a watch fires once on its data change or deletion. */
     public void data(String path, boolean watch, Callback<Data> callback) {
         send(
                 Op.GET_DATA,
@@ -274,6 +285,7 @@
                 registeringWatch(watch ? dataWatches : null, path, callback));
     }
 
+    /** Reads the names of the children; a watch fires once on a change of the list or deletion. */
     public void children(String path, boolean watch, Callback<List<String>> callback) {
         send(
                 Op.GET_CHILDREN,
@@ -291,7 +303,7 @@
         };
     }
 
-    /** A watch that stays; a recursiveWatches one hears of all below. */
+    /** Sets a persistent watch; a recursive one covers all descendants too. */
     public void watch(String path, boolean recursive, Callback<Void> callback) {
         send(
                 Op.ADD_WATCH,
@@ -300,7 +312,7 @@
                 registeringWatch(recursive ? recursiveWatches : persistentWatches, path, callback));
     }
 
-    /** All that was done before this is seen by reads whenClosed it. */
+    /** Reads after this see all writes that were completed before it. */
     public void sync(String path, Callback<String> callback) {
         send(Op.SYNC, new RecordWriter().writeString(path), RecordReader::readString, callback);
     }
@@ -328,8 +340,8 @@
 
         void send(int xid, Op op, RecordWriter body) {
             byte[] payload = body.record();
-            ByteBuffer all = ByteBuffer.allocate(12 + payload.length);
-            connection.send(all.putInt(8 + payload.length)
+            ByteBuffer frame = ByteBuffer.allocate(12 + payload.length);
+            connection.send(frame.putInt(8 + payload.length)
                     .putInt(xid)
                     .putInt(op.code)
                     .put(payload)
@@ -337,8 +349,8 @@
         }
 
         /**
-         * A service that says nothing for two thirds of the time-out is left for the next, while the session
-         * lives.
+         * A server that sends nothing for two thirds of the session time-out is abandoned for the next one,
+         * while the session is still alive.
          */
         void resetReadTimeout() {
             if (readTimeout != null) {
@@ -394,8 +406,8 @@
             }
         }
 
-        private void connectResponse(ConnectHandshake.Response answer) {
-            if (answer.timeoutMillis() <= 0) {
+        private void connectResponse(ConnectHandshake.Response response) {
+            if (response.timeoutMillis() <= 0) {
                 link = null;
                 end();
                 pendingCalls.clear();
@@ -404,9 +416,9 @@
             }
             sessionEstablished = true;
             failures = 0;
-            session = answer.session();
-            password = answer.password();
-            timeout = Duration.ofMillis(answer.timeoutMillis());
+            session = response.session();
+            password = response.password();
+            timeout = Duration.ofMillis(response.timeoutMillis());
             resetReadTimeout();
             schedulePing();
             restoreWatches();
@@ -442,7 +454,7 @@
                 return;
             }
             if (zxid > 0 && zxid < lastZxid) {
-                throw new MalformedRecordException("an older tree than was seen");
+                throw new MalformedRecordException("the server's zxid is older than one already seen");
             }
             lastZxid = Math.max(lastZxid, zxid);
             if (xid == Op.XID_PING || xid == Op.XID_SET_WATCHES || xid == Op.XID_AUTH) {
@@ -450,14 +462,14 @@
             }
             Call<?> call = pendingCalls.peek();
             if (call == null || call.xid != xid) {
-                throw new MalformedRecordException("an answer out of order");
+                throw new MalformedRecordException("a reply out of order");
             }
             pendingCalls.poll();
             call.complete(error, in);
         }
 
         private void event(Event event) {
-            // One-time watches are used up by what they tell.
+            // One-time watches are removed when they fire.
             if (event.kind() == Event.Kind.CHILDREN_CHANGED) {
                 childWatches.remove(event.path());
             } else {
--- a/nodes/src/main/java/saltdale/nodes/list/NodeList.java
+++ b/nodes/src/main/java/saltdale/nodes/list/NodeList.java
@@ -18,8 +18,8 @@
 import saltdale.transport.SocketBudget;
 
 /**
- * Reads the boxes' nodes below one path and follows them: what Membership decides of it is handed on as it
- * comes.
+ * Maintains a {@link Membership} from the runners' nodes below one path, and passes each change of it to a
+ * listener as soon as it happens.
  */
 public final class NodeList implements NodeClient.Listener {
     private static final Logger LOG = Logger.getLogger(NodeList.class.getName());
@@ -35,12 +35,15 @@
     private final Consumer<List<Membership.Change>> changeListener;
     private ReadPlan readPlan;
     private Map<String, byte[]> readPass;
-    /** Counts the passes: what an earlier one still gets is not of this one. */
+    /** Number of the current read pass; replies that belong to an earlier pass are ignored. */
     private int passNumber;
 
     private long reads;
 
-    /** {@code reconnectSpread}: over which dispatchers begin to read again after a reconnect. */
+    /**
+     * {@code reconnectSpread}: interval over which dispatchers spread the start of their read pass after a
+     * reconnect.
+     */
     public NodeList(
             EventLoop loop,
             SocketBudget sockets,
@@ -59,20 +62,23 @@
         client = new NodeClient(loop, sockets, servers, timeout, random.split(), this);
     }
 
+    /** Connects to the service and starts the periodic tick of the membership. */
     public void start() {
         client.start();
         tick();
     }
 
+    /** Closes the session and then calls {@code after}. */
     public void close(Runnable after) {
         client.close(after);
     }
 
+    /** The membership as derived from the nodes read so far. */
     public Membership membership() {
         return membership;
     }
 
-    /** Reads that were sent to the service. */
+    /** Number of read requests sent to the service. */
     public long reads() {
         return reads;
     }
@@ -114,10 +120,14 @@
         }
     }
 
-    /** The watch first, so that nothing falls between the reading and it; then one readPass over all nodes. */
+    /**
+     * Sets the watch before reading, so that no change is missed in between; then reads all nodes in one
+     * pass.
+     */
     private void watchAndRead() {
         int number = ++passNumber;
-        // The first time there is nothing to go by, and nothing that all have lost at one moment.
+        // The first pass starts at once: there is no list to work with yet, and no simultaneous reconnect
+        // to spread.
         Duration delay =
                 reads == 0 ? Duration.ZERO : Duration.ofNanos((long) (reconnectSpread.toNanos() * random.nextDouble()));
         client.watch(path, true, (watched, nothing) -> {
@@ -137,7 +147,9 @@
                 return;
             }
             if (error == ErrorCode.NO_NODE) {
-                loop.schedule(TICK_INTERVAL.multipliedBy(5), () -> listChildren(number)); // nobody has made it yet
+                loop.schedule(
+                        TICK_INTERVAL.multipliedBy(5),
+                        () -> listChildren(number)); // the parent node has not been created yet
             } else if (error == ErrorCode.OK) {
                 readPass = new HashMap<>();
                 readPlan = new ReadPlan(READS_IN_FLIGHT);
@@ -194,7 +206,8 @@
                     }
                     if (!membership.nodeRead(loop.now(), name, data.data())
                             && membership.isNewBadData(name, data.data())) {
-                        LOG.warning(() -> "node " + event.path() + " holds no box; what was known of it stands");
+                        LOG.warning(() -> "node " + event.path()
+                                + " does not contain valid runner data; the last valid data remains in effect");
                     }
                     publishChanges();
                 }
--- a/nodes/src/main/java/saltdale/nodes/list/Registration.java
+++ b/nodes/src/main/java/saltdale/nodes/list/Registration.java
@@ -14,8 +14,8 @@
 import saltdale.transport.SocketBudget;
 
 /**
- * Holds a info's ephemeral node for as long as it runs: made again after each expiry, and never beside one
- * that is there already, whose session must be over first.
+ * Keeps a runner's ephemeral node in existence while the runner runs. The node is created again after each
+ * session expiry, but never while another session's node exists at the path: that session must end first.
  */
 public final class Registration implements NodeClient.Listener {
     private static final Duration RETRY_DELAY = Duration.ofMillis(200);
@@ -30,6 +30,7 @@
     private long creations;
     private String failureReason;
 
+    /** Creates a registration of {@code info} at {@code path}; {@link #start} connects it. */
     public Registration(
             EventLoop loop,
             SocketBudget sockets,
@@ -44,34 +45,37 @@
         client = new NodeClient(loop, sockets, servers, timeout, random, this);
     }
 
+    /** Connects to the service; the node is created once the session is established. */
     public void start() {
         client.start();
     }
 
-    /** Whether its node is there, by all that is known. */
+    /** Whether the node exists, as far as is known. */
     public boolean isHeld() {
         return held;
     }
 
-    /** How often it has made its node. */
+    /** How many times the node has been created. */
     public long creations() {
         return creations;
     }
 
-    /** What keeps it from holding its node; null while nothing does. */
+    /** Why the node is not held; null if nothing prevents it. */
     public String failureReason() {
         return failureReason;
     }
 
+    /** State of the session. */
     public State state() {
         return client.state();
     }
 
+    /** Id of the session that owns the node; 0 before the first one. */
     public long session() {
         return client.session();
     }
 
-    /** What the info says of itself from now on, such as that it drains. */
+    /** Replaces the data that is published in the node, for example to mark the runner as draining. */
     public void update(RunnerInfo updated) {
         info = updated;
         if (held) {
@@ -79,7 +83,7 @@
         }
     }
 
-    /** Takes the node away and ends the session. */
+    /** Deletes the node and ends the session. */
     public void close(Runnable after) {
         closed = true;
         held = false;
@@ -91,7 +95,7 @@
         if (state == State.CONNECTED) {
             createNode();
         } else if (state == State.EXPIRED && !closed) {
-            held = false; // it went with its session
+            held = false; // the ephemeral node was deleted with its session
             client.start();
         }
     }
@@ -118,15 +122,15 @@
                 }
                 case NODE_EXISTS -> inspectExisting();
                 case NO_NODE -> createParent(Paths.parent(path));
-                case CONNECTION_LOSS, SESSION_EXPIRED -> {} // the updated state will bring it here again
-                default -> retryAfter("its node can't be made: " + error);
+                case CONNECTION_LOSS, SESSION_EXPIRED -> {} // retried on the next change of state
+                default -> retryAfter("cannot create the node: " + error);
             }
         });
     }
 
     /**
-     * A node is there: ours, if a create was answered into a broken connection; else its session must end
-     * first.
+     * Handles an existing node: it is our own if the reply to a create was lost with its connection;
+     * otherwise the session that owns it must end first.
      */
     private void inspectExisting() {
         client.exists(path, true, (error, stat) -> {
@@ -134,7 +138,7 @@
                 nodeHeld();
                 writeData();
             } else if (error == ErrorCode.OK) {
-                failureReason = "another session holds its node"; // its going will be told
+                failureReason = "the node is owned by another session"; // the watch reports its deletion
             } else if (error == ErrorCode.NO_NODE) {
                 createNode();
             }
@@ -168,13 +172,13 @@
             } else if (error == ErrorCode.NO_NODE && !parent.equals("/")) {
                 createParent(Paths.parent(parent));
             } else if (error != ErrorCode.CONNECTION_LOSS && error != ErrorCode.SESSION_EXPIRED) {
-                retryAfter(parent + " can't be made: " + error);
+                retryAfter(parent + ": cannot create this parent node: " + error);
             }
         });
     }
 
-    private void retryAfter(String why) {
-        failureReason = why;
+    private void retryAfter(String reason) {
+        failureReason = reason;
         loop.schedule(RETRY_DELAY, this::createNode);
     }
 }
--- a/nodes/src/main/java/saltdale/nodes/membership/Membership.java
+++ b/nodes/src/main/java/saltdale/nodes/membership/Membership.java
@@ -13,42 +13,43 @@
 import java.util.Set;
 
 /**
- * Turns what is seen of nodes into what a dispatcher is told of runners. No I/O, no clock, no sockets: it is
- * told each thing with its time, and hands out the changes that follow.
+ * Derives the changes of runners that a dispatcher needs from the changes of nodes. It does no I/O and has
+ * neither clock nor sockets: each method that reports an observation receives the time, and {@link
+ * #changes} returns the resulting changes.
  *
- * <p>A vanished node is a runner gone, at once. One exception: where more than {@link Rules#massShare} of the
- * nodes vanish within one session time-out, that is transaction for the service's own trouble: what vanishes then
- * is held, while probes say that it answers, for at most {@link Rules#hold}. A drain mark always counts at
- * once.
+ * <p>A deleted node means that its runner is gone, at once. There is one exception: if more than {@link
+ * Rules#massShare} of the nodes are deleted within one session time-out, the cause is assumed to be the
+ * service itself. Runners whose nodes are deleted then are held, as long as they answer probes, for at
+ * most {@link Rules#hold}. A drain mark always takes effect at once.
  */
 public final class Membership {
-    /** What a dispatcher is to be told of a runner. */
+    /** Health of a runner as reported to a dispatcher. */
     public enum Health {
         UP,
         DRAINING,
         GONE
     }
 
-    /** How the service can be heard. */
+    /** State of the connection to the service. */
     public enum Link {
         CONNECTED,
         SUSPENDED,
         EXPIRED
     }
 
-    /** One change, to be told once. */
+    /** One change of a runner; each is returned once. */
     public record Change(String name, RunnerInfo runner, Health health) {}
 
     /**
      * @param sessionTimeout as negotiated with the service
-     * @param massShare of the nodes, over which their vanishing is the service's trouble; 1 switches the hold
-     *     off
-     * @param massMinimum so few nodes are never a mass
-     * @param hold how long a held runner is kept without its node, at the most
-     * @param fade how long the list stands unheard until nothing of its trust is left
+     * @param massShare share of the nodes above which deletions count as a mass disappearance, caused by
+     *     the service; 1 disables holding
+     * @param massMinimum fewer deletions than this never count as a mass disappearance
+     * @param hold longest time that a runner is held without its node
+     * @param fade time without contact to the service until the trust in the list has fallen to 0
      */
     public record Rules(Duration sessionTimeout, double massShare, int massMinimum, Duration hold, Duration fade) {
-        /** Ratios to the session's time-out. */
+        /** Rules with all times in proportion to the session time-out. */
         public static Rules of(Duration sessionTimeout) {
             return new Rules(sessionTimeout, 0.3, 3, sessionTimeout.multipliedBy(3), sessionTimeout.multipliedBy(20));
         }
@@ -56,11 +57,11 @@
 
     private static final class Entry {
         RunnerInfo runner;
-        /** Its node is there, as far as is known. */
+        /** Whether the node exists, as far as is known. */
         boolean present = true;
-        /** Null while it is not held. */
+        /** Null if the runner is not held. */
         Duration heldSince;
-        /** What was told of it last; null before the first time. */
+        /** The health reported last; null before the first report. */
         Health reportedHealth;
 
         RunnerInfo reportedRunner;
@@ -69,7 +70,10 @@
     private final Rules rules;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
     private final Deque<Duration> recentDeletions = new ArrayDeque<>();
-    /** Bad data that was logged already, by node; once is enough. */
+    /**
+     * Hash of the unreadable data that was logged last, by node, so that the same data is logged only
+     * once.
+     */
     private final Map<String, Integer> badDataHashes = new HashMap<>();
 
     private final List<Change> changes = new ArrayList<>();
@@ -84,27 +88,28 @@
         this.rules = rules;
     }
 
-    // ---- What is seen.
+    // ---- Observations.
 
+    /** Records a change of the connection to the service. */
     public void linkChanged(Duration now, Link next) {
-        // Silence says nothing about any runner: neither a suspended link nor an expired session changes an
-        // entry.
+        // A lost connection says nothing about any runner: neither a suspended connection nor an expired
+        // session changes an entry.
         if (link == Link.CONNECTED && next != Link.CONNECTED) {
             lastHeardAt = now;
         }
         link = next;
     }
 
-    /** All nodes as one pass of reading found them: what is not among them has vanished. */
+    /** Takes the result of a complete read pass: known nodes that are missing from it have been deleted. */
     public void replaceAll(Duration now, Map<String, byte[]> nodes) {
         Set<String> missing = new HashSet<>(entries.keySet());
         missing.removeAll(nodes.keySet());
         nodes.forEach((name, data) -> nodeRead(now, name, data));
-        // In the order of the entries, so that the same nodes give the same changes.
+        // In the order of the entries, so that equal input gives equal changes.
         List.copyOf(entries.keySet()).stream().filter(missing::contains).forEach(name -> nodeDeleted(now, name));
     }
 
-    /** A node is there, with this data; true where its data could be read. */
+    /** Records a node that exists with this data; returns whether the data could be parsed. */
     public boolean nodeRead(Duration now, String name, byte[] data) {
         lastHeardAt = now;
         RunnerInfo runner = RunnerInfo.read(data);
@@ -112,7 +117,7 @@
         if (runner == null) {
             unreadableNodes++;
             if (entry != null && entry.runner != null) {
-                entry.present = true; // the node before it stands
+                entry.present = true; // the last readable data remains in effect
                 release(name, entry);
             }
             return false;
@@ -121,7 +126,7 @@
             entry = new Entry();
             entries.put(name, entry);
         }
-        // Guards against an old tree: an earlier life of the same runner is no news.
+        // Guards against reading an outdated tree: data of an earlier start of the same runner is ignored.
         boolean older = entry.runner != null && runner.bornMillis() < entry.runner.bornMillis();
         if (!older) {
             entry.runner = runner;
@@ -131,14 +136,14 @@
         return true;
     }
 
-    /** Whether this bad data is worth a line in the log: once for each data of a node. */
+    /** Whether this unreadable data should be logged: true once for each new data of a node. */
     public boolean isNewBadData(String name, byte[] data) {
         int hash = Arrays.hashCode(data);
         Integer before = badDataHashes.put(name, hash);
         return before == null || before != hash;
     }
 
-    /** A node is there no more. */
+    /** Records that a node was deleted. */
     public void nodeDeleted(Duration now, String name) {
         lastHeardAt = now;
         Entry entry = entries.get(name);
@@ -151,7 +156,8 @@
         if (!massDisappearance && exceedsMassShare()) {
             massDisappearance = true;
             massDisappearances++;
-            // Those of the same wave that were told gone are held with the rest, unless they were draining.
+            // Runners of the same wave that were already reported as gone are held too, unless they were
+            // draining.
             entries.forEach((each, e) -> {
                 if (e != entry
                         && !e.present
@@ -169,13 +175,13 @@
         }
     }
 
-    /** A probe of a held runner has come to this. */
+    /** Records the result of a probe of a held runner. */
     public void probeCompleted(Duration now, String name, boolean answered) {
         Entry entry = entries.get(name);
         if (entry == null || entry.heldSince == null) {
             return;
         }
-        if (!answered) { // probes agree with the service: it is gone
+        if (!answered) { // the probe confirms the deletion: the runner is gone
             entry.heldSince = null;
             report(name, entry, Health.GONE);
         } else {
@@ -183,7 +189,7 @@
         }
     }
 
-    /** Time has passed. */
+    /** Ends holds that have expired, and forgets runners that are gone. */
     public void tick(Duration now) {
         discardOldDeletions(now);
         entries.forEach((name, entry) -> {
@@ -201,7 +207,7 @@
                         e -> !e.present && e.heldSince == null && e.reportedHealth == Health.GONE && changes.isEmpty());
     }
 
-    // ---- What follows.
+    // ---- Resulting changes.
 
     private boolean exceedsMassShare() {
         long known = entries.values().stream()
@@ -217,7 +223,10 @@
         }
     }
 
-    /** Nothing goes to a held runner until a probe was answered: it is told as draining up to then. */
+    /**
+     * Holds a runner; it is reported as draining, so that it receives no requests until a probe was
+     * answered.
+     */
     private void hold(Duration now, String name, Entry entry) {
         entry.heldSince = now;
         held++;
@@ -238,17 +247,14 @@
         changes.add(new Change(name, entry.runner, health));
     }
 
-    /** The changes since this was last asked. */
+    /** The changes since the previous call. */
     public List<Change> changes() {
         List<Change> all = List.copyOf(changes);
         changes.clear();
         return all;
     }
 
-    /**
-     * The held runners that are to be probed, since no answer of theirs is known yet or it is to be asked
-     * again.
-     */
+    /** The held runners. All of them are to be probed, whether or not they have answered a probe before. */
     public List<String> toProbe() {
         List<String> all = new ArrayList<>();
         entries.forEach((name, entry) -> {
@@ -259,7 +265,10 @@
         return all;
     }
 
-    /** How much of the list is to be believed: 1 while it is heard, falling evenly to 0 over the fade. */
+    /**
+     * How far the list can be trusted: 1 while connected, then falling linearly to 0 over {@link
+     * Rules#fade}.
+     */
     public double trust(Duration now) {
         if (link == Link.CONNECTED) {
             return 1;
@@ -270,19 +279,22 @@
         return Math.max(0, 1 - age);
     }
 
+    /** Whether a mass disappearance is in progress. */
     public boolean isMassVanishing() {
         return massDisappearance;
     }
 
-    /** Counters: bad data, mass vanishings, runners held. */
+    /** Number of reads whose data could not be parsed. */
     public long unreadableNodes() {
         return unreadableNodes;
     }
 
+    /** Number of mass disappearances so far. */
     public long massDisappearances() {
         return massDisappearances;
     }
 
+    /** Number of times that a runner was held. */
     public long held() {
         return held;
     }
--- a/nodes/src/main/java/saltdale/nodes/membership/ReadPlan.java
+++ b/nodes/src/main/java/saltdale/nodes/membership/ReadPlan.java
@@ -5,19 +5,23 @@
 import java.util.LinkedHashSet;
 import java.util.Set;
 
-/** One pass of reading all nodes again, as after a reconnect: each once, at maxInFlight so many in flight. */
+/**
+ * One pass over all nodes, for example after a reconnect: reads each node once, with a bounded number of
+ * reads in flight.
+ */
 public final class ReadPlan {
     private final int maxInFlight;
-    private final Set<String> waiting = new LinkedHashSet<>(); // 10,000 nodes are looked up in it
+    private final Set<String> waiting =
+            new LinkedHashSet<>(); // a linked set, since lookups must stay fast with 10,000 nodes
     private final Set<String> inFlight = new HashSet<>();
     private long reads;
 
-    /** {@code maxInFlight}: reads in flight. */
+    /** {@code maxInFlight}: upper bound of concurrent reads. */
     public ReadPlan(int maxInFlight) {
         this.maxInFlight = maxInFlight;
     }
 
-    /** These are to be read; what waits or is in flight already is not read twice for it. */
+    /** Queues nodes to be read; a node that is already queued or in flight is not queued again. */
     public void add(Collection<String> names) {
         for (String name : names) {
             if (!inFlight.contains(name)) {
@@ -26,7 +30,7 @@
         }
     }
 
-    /** The next to be read; null where none may be begun by now. */
+    /** The next node to read; null if none is queued or the bound of reads in flight is reached. */
     public String next() {
         if (inFlight.size() >= maxInFlight || waiting.isEmpty()) {
             return null;
@@ -38,14 +42,17 @@
         return name;
     }
 
+    /** Records that the read of this node has completed. */
     public void completed(String name) {
         inFlight.remove(name);
     }
 
+    /** Whether no read is queued or in flight. */
     public boolean isOver() {
         return waiting.isEmpty() && inFlight.isEmpty();
     }
 
+    /** Number of reads started. */
     public long reads() {
         return reads;
     }
--- a/nodes/src/main/java/saltdale/nodes/membership/RunnerInfo.java
+++ b/nodes/src/main/java/saltdale/nodes/membership/RunnerInfo.java
@@ -8,18 +8,18 @@
 import java.util.function.Predicate;
 
 /**
- * What a box says of itself in its node.
+ * The data that a runner publishes about itself in its node.
  *
  * @param dial numeric address and port
- * @param machineClass of machine ({@code class} in the node)
- * @param bornMillis when its process started, Unix time; 0 for long ago
+ * @param machineClass class of machine ({@code class} in the node)
+ * @param bornMillis start time of its process, Unix time in ms; 0 if it started long ago
  */
 public record RunnerInfo(
         String dial, String site, String machineClass, int block, double share, long bornMillis, boolean draining) {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int MAX_DATA_BYTES = 4096; // bytes
+    private static final int MAX_DATA_BYTES = 4096;
 
-    /** Reads a node's data; null where it is none. A field that is not there has its least meaning. */
+    /** Parses a node's data; null if it is invalid. Missing fields take their defaults. */
     public static RunnerInfo read(byte[] data) {
         if (data == null || data.length == 0 || data.length > MAX_DATA_BYTES) {
             return null;
@@ -57,11 +57,11 @@
                 node.path("draining").asBoolean(false));
     }
 
-    private static boolean isAbsentOr(JsonNode node, String name, Predicate<JsonNode> wanted) {
-        return !node.has(name) || wanted.test(node.get(name));
+    private static boolean isAbsentOr(JsonNode node, String name, Predicate<JsonNode> isValid) {
+        return !node.has(name) || isValid.test(node.get(name));
     }
 
-    /** The data of its node. */
+    /** The data to store in the runner's node. */
     public byte[] data() {
         ObjectNode node = JSON.createObjectNode();
         node.put("dial", dial)
@@ -74,7 +74,7 @@
         try {
             return JSON.writeValueAsBytes(node);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException(e); // plain fields can always be written
+            throw new IllegalStateException(e); // cannot happen: plain fields are always serializable
         }
     }
 }
--- a/nodes/src/main/java/saltdale/nodes/standin/Journal.java
+++ b/nodes/src/main/java/saltdale/nodes/standin/Journal.java
@@ -16,29 +16,31 @@
 import saltdale.nodes.wire.RecordWriter;
 
 /**
- * What a stand-in must still know after it was killed: each record with its length and CRC32C before it,
- * synced before anything is acknowledged. Reading stops at the first record that is not whole: what comes
- * after it was never told.
+ * The log from which a stand-in recovers its state after it was killed. Each record is preceded by its
+ * length and CRC32C, and is synced before the change is acknowledged. Reading stops at the first
+ * incomplete record: nothing after it was acknowledged.
  */
 public final class Journal implements AutoCloseable {
-    /** One acknowledged thing: changes that belong together, or a session's opening or end. */
+    /** One acknowledged entry: changes that were applied together, or the opening or closing of a session. */
     public record Entry(Kind kind, List<Change> changes, long session, byte[] password, int timeoutMillis) {
-        /** What was acknowledged. */
+        /** What the entry records; written to disk by position. */
         public enum Kind {
             CHANGES,
             SESSION_OPENED,
             SESSION_CLOSED
         }
 
+        /** An entry for changes that are applied together. */
         public static Entry changes(List<Change> changes) {
             return new Entry(Kind.CHANGES, changes, 0, null, 0);
         }
 
+        /** The opening of a session. */
         public static Entry opened(long session, byte[] password, int timeoutMillis) {
             return new Entry(Kind.SESSION_OPENED, List.of(), session, password, timeoutMillis);
         }
 
-        /** The end of a session, and of its nodes with it. */
+        /** The end of a session, together with the deletion of its ephemeral nodes. */
         public static Entry closed(long session, List<Change> changes) {
             return new Entry(Kind.SESSION_CLOSED, changes, session, null, 0);
         }
@@ -92,7 +94,7 @@
     }
 
     private static final int HEADER_BYTES = 8;
-    private static final int MAX_RECORD_BYTES = 16 << 20; // bytes of a record
+    private static final int MAX_RECORD_BYTES = 16 << 20;
 
     private final Path file;
     private FileChannel channel;
@@ -105,7 +107,8 @@
     }
 
     /**
-     * Opens it, or begins one; what was acknowledged is added to {@code entries}, what was not is cut off.
+     * Opens or creates the log. Acknowledged entries are added to {@code entries}; an incomplete tail is
+     * truncated.
      */
     public static Journal open(Path file, List<Entry> entries) throws IOException {
         byte[] all = Files.exists(file) ? Files.readAllBytes(file) : new byte[0];
@@ -117,7 +120,7 @@
         return new Journal(file, channel, validBytes);
     }
 
-    /** Reads all whole records; how many bytes they take. */
+    /** Reads all complete records and returns the number of bytes that they occupy. */
     public static int read(byte[] all, List<Entry> entries) {
         ByteBuffer in = ByteBuffer.wrap(all);
         while (in.remaining() >= HEADER_BYTES) {
@@ -156,7 +159,7 @@
                 .flip();
     }
 
-    /** Once this has returned, the entry outlives a kill. */
+    /** Appends an entry; once this method has returned, the entry survives a kill of the process. */
     public void append(Entry entry) throws IOException {
         ByteBuffer bytes = framed(entry);
         length += bytes.remaining();
@@ -166,13 +169,14 @@
         channel.force(false);
     }
 
+    /** Length of the log in bytes. */
     public long length() {
         return length;
     }
 
     /**
-     * Begins it anew with these entries alone, as a snapshot; killed at any moment, one of the two files is
-     * whole.
+     * Replaces the log by a snapshot of these entries. If the process is killed at any moment, one of the
+     * two files is complete.
      */
     public void replace(List<Entry> entries) throws IOException {
         Path next = file.resolveSibling(file.getFileName() + ".next");
--- a/nodes/src/main/java/saltdale/nodes/standin/NodeServer.java
+++ b/nodes/src/main/java/saltdale/nodes/standin/NodeServer.java
@@ -34,14 +34,14 @@
 import saltdale.transport.SocketBudget;
 
 /**
- * A stand-in for a coordination service, on the project's loop: one tree behind one or several addresses, so
- * that a client can move between them. There is no consensus: it is one process, and what it says it keeps,
- * it keeps in one log.
+ * A stand-in for a ZooKeeper server that runs on the project's event loop. It serves one tree at one or
+ * several addresses, so that a client can move between them. There is no consensus: it is a single process
+ * that persists its state in one log.
  */
 public final class NodeServer {
     private static final int MAX_RECORD_BYTES = 1 << 20;
     private static final int MAX_NODE_DATA_BYTES = 1 << 19;
-    private static final long SNAPSHOT_LOG_BYTES = 8 << 20; // bytes of log
+    private static final long SNAPSHOT_LOG_BYTES = 8 << 20;
 
     private final EventLoop loop;
     private final SocketBudget sockets;
@@ -57,7 +57,7 @@
     private boolean paused;
     private long reads;
 
-    /** {@code log} null: nothing outlives the process. */
+    /** {@code log}: file of the log; if null, nothing survives the process. */
     public NodeServer(
             EventLoop loop, SocketBudget sockets, Duration tick, Path log, LongSupplier unixClockMillis, long seed)
             throws IOException {
@@ -81,13 +81,16 @@
         tick();
     }
 
+    /** Accepts clients at an address. */
     public void listen(InetSocketAddress at) throws IOException {
         listeners.put(at, new Listener(loop, sockets, at, (connection, full) -> new ClientConnection(connection, at)));
     }
 
-    // ---- What can be done to it.
+    // ---- Control by tests and tools.
 
-    /** One address is cut off: its connections end and nobody new comes in; what it knows it still knows. */
+    /**
+     * Closes one address: its connections are closed and new ones refused, but sessions and tree are kept.
+     */
     public void disconnect(InetSocketAddress at) throws IOException {
         Listener listener = listeners.remove(at);
         if (listener != null) {
@@ -96,35 +99,39 @@
         List.copyOf(open).stream().filter(client -> client.at.equals(at)).forEach(ClientConnection::drop);
     }
 
-    /** It says nothing and hears nothing until told to go on; sessions run on meanwhile. */
+    /** While paused, neither reads requests nor sends replies; sessions continue to time out meanwhile. */
     public void pause(boolean pause) {
         paused = pause;
         open.forEach(client -> client.connection.setReadEnabled(!pause));
     }
 
-    /** Ends a session at once, as if its client had been silent. */
+    /** Expires a session at once, as if its client had timed out. */
     public void expire(long session) {
         sessions.close(session);
         sessionEnded(session);
     }
 
+    /** The tree that is served. */
     public Tree tree() {
         return tree;
     }
 
+    /** Number of open sessions. */
     public int sessions() {
         return sessions.size();
     }
 
-    /** Reads that were request for. */
+    /** Number of read requests received. */
     public long reads() {
         return reads;
     }
 
+    /** Number of watches that are set. */
     public int watches() {
         return watches.size();
     }
 
+    /** Closes all addresses and the log. */
     public void close() throws IOException {
         for (InetSocketAddress at : List.copyOf(listeners.keySet())) {
             disconnect(at);
@@ -158,7 +165,7 @@
         try {
             journal.append(entry);
         } catch (IOException e) {
-            throw new UncheckedIOException("the log can't be written: " + e.getMessage(), e);
+            throw new UncheckedIOException("cannot write the log: " + e.getMessage(), e);
         }
     }
 
@@ -166,7 +173,7 @@
         watches.trigger(events).forEach((client, its) -> its.forEach(client::event));
     }
 
-    // ---- A client's connection.
+    // ---- Connection of a client.
 
     private final class ClientConnection implements Connection.Handler {
         private final Connection connection;
@@ -236,13 +243,13 @@
                     request(new RecordReader(record));
                 }
             } catch (MalformedRecordException e) {
-                drop(); // as the protocol has it: whoever sends what can't be read is cut off
+                drop(); // like ZooKeeper, closes the connection of a client that sends a malformed record
             }
         }
 
         private void connect(ConnectHandshake.Request request) {
             if (request.lastZxid() > tree.zxid()) {
-                drop(); // it has seen what we have not: it must go elsewhere
+                drop(); // the client has seen a newer zxid than this server has: it must connect elsewhere
                 return;
             }
             Duration timeout = Duration.ofMillis(Math.max(0, request.timeoutMillis()));
@@ -260,7 +267,7 @@
             }
             ClientConnection previous = connectionsBySession.put(opened.id, this);
             if (previous != null) {
-                previous.drop(); // it has moved
+                previous.drop(); // the client has moved to this connection
                 connectionsBySession.put(opened.id, this);
             }
             session = opened;
@@ -358,7 +365,7 @@
             if (result.error() == ErrorCode.OK) {
                 writeResult(out, op, result);
             }
-            // The events before the answer, as the protocol orders what one client sees.
+            // The watch events go before the reply, as ZooKeeper orders the messages to a client.
             notifyWatchers(transaction.events());
             send(out);
         }
@@ -386,7 +393,7 @@
                         && op != Op.DELETE
                         && op != Op.SET_DATA
                         && op != Op.CHECK) {
-                    throw new MalformedRecordException("a multi with " + op);
+                    throw new MalformedRecordException("a multi that contains " + op);
                 }
                 ops.add(op);
                 operations.add(operation(op, in));
@@ -431,7 +438,10 @@
             send(out);
         }
 
-        /** Watches that a reconnected client had: what they would have told meanwhile is told now, once. */
+        /**
+         * Restores the watches of a reconnected client; those that would have fired meanwhile fire now,
+         * once.
+         */
         private void restoreWatches(int xid, SetWatchesRequest request) {
             send(reply(xid, tree.zxid(), ErrorCode.OK));
             for (String path : request.data()) {
@@ -466,7 +476,7 @@
         }
     }
 
-    /** A log that has grown long is begun anew with what the tree and the sessions are by now. */
+    /** Replaces a log that has grown too long by a snapshot of the current tree and sessions. */
     private void compact() {
         if (journal == null || journal.length() < SNAPSHOT_LOG_BYTES) {
             return;
@@ -476,7 +486,7 @@
             all.add(Journal.Entry.changes(tree.changes()));
             journal.replace(all);
         } catch (IOException e) {
-            throw new UncheckedIOException("the log can't be written: " + e.getMessage(), e);
+            throw new UncheckedIOException("cannot write the log: " + e.getMessage(), e);
         }
     }
 }
--- a/nodes/src/main/java/saltdale/nodes/standin/Sessions.java
+++ b/nodes/src/main/java/saltdale/nodes/standin/Sessions.java
@@ -9,10 +9,11 @@
 import java.util.SplittableRandom;
 
 /**
- * The sessions of a stand-in: who has one, until when it lives unheard. Told the time; time-outs go by ticks.
+ * The sessions of a stand-in, with the time at which each of them expires. The time is passed in by the
+ * caller; expiry is rounded up to whole ticks.
  */
 public final class Sessions {
-    /** One session; {@code lastHeardAt} is when its client last said anything. */
+    /** One session; {@code lastHeardAt} is the time of its client's last request. */
     public static final class Session {
         public final long id;
         public final byte[] password;
@@ -32,13 +33,14 @@
     private final Map<Long, Session> live = new LinkedHashMap<>();
     private long next;
 
-    /** Time-outs are granted from 2 to 20 ticks, as the protocol's servers do. */
+    /** Session time-outs are limited to 2 to 20 ticks, as ZooKeeper servers do. */
     public Sessions(Duration tick, long firstId, SplittableRandom random) {
         this.tick = tick;
         this.next = firstId;
         this.random = random;
     }
 
+    /** The time-out granted to a client that requests this one. */
     public Duration negotiatedTimeout(Duration requested) {
         Duration minTimeout = tick.multipliedBy(2);
         Duration maxTimeout = tick.multipliedBy(20);
@@ -47,6 +49,7 @@
                 : requested.compareTo(maxTimeout) > 0 ? maxTimeout : requested;
     }
 
+    /** Opens a new session. */
     public Session open(Duration now, Duration requested) {
         byte[] password = new byte[16];
         for (int i = 0; i < password.length; i++) {
@@ -55,7 +58,7 @@
         return add(new Session(next++, password, negotiatedTimeout(requested), now));
     }
 
-    /** One that was open before a restart: it lives a whole time-out more. */
+    /** Restores a session that was open before a restart; its time-out starts again. */
     public Session restored(Duration now, long id, byte[] password, Duration timeout) {
         next = Math.max(next, id + 1);
         return add(new Session(id, password, timeout, now));
@@ -66,7 +69,7 @@
         return session;
     }
 
-    /** The session that a client resumes; null where it is over, or where the password is not its own. */
+    /** Resumes a session; null if it has expired or if the password does not match. */
     public Session resume(Duration now, long id, byte[] password) {
         Session session = live.get(id);
         if (session == null || password == null || !MessageDigest.isEqual(session.password, password)) {
@@ -76,10 +79,12 @@
         return session;
     }
 
+    /** The open session of this id; null if there is none. */
     public Session find(long id) {
         return live.get(id);
     }
 
+    /** Records that the client of a session was heard. */
     public void touch(Duration now, long id) {
         Session session = live.get(id);
         if (session != null) {
@@ -87,22 +92,27 @@
         }
     }
 
+    /** Removes a session. */
     public void close(long id) {
         live.remove(id);
     }
 
+    /** Number of open sessions. */
     public int size() {
         return live.size();
     }
 
-    /** All of them, as a snapshot keeps them. */
+    /** The entries that record all open sessions in a snapshot. */
     List<Journal.Entry> entries() {
         List<Journal.Entry> all = new ArrayList<>();
         live.values().forEach(s -> all.add(Journal.Entry.opened(s.id, s.password, (int) s.timeout.toMillis())));
         return all;
     }
 
-    /** Those that have not been heard for their time-out, rounded up to whole ticks; they are expiredIds. */
+    /**
+     * Removes and returns the sessions from which nothing was heard for their time-out, rounded up to
+     * whole ticks.
+     */
     public List<Long> expired(Duration now) {
         List<Long> expiredIds = new ArrayList<>();
         for (Session each : live.values()) {
--- a/nodes/src/main/java/saltdale/nodes/tree/Tree.java
+++ b/nodes/src/main/java/saltdale/nodes/tree/Tree.java
@@ -15,14 +15,14 @@
 import saltdale.nodes.wire.Stat;
 
 /**
- * The nodes of a coordination service, without I/O or a clock. Each change has its number, the zxid, and
- * either happens whole or not at all; what it is that happens is told as plain {@link Change}s, by which the
- * same tree can be made again.
+ * The tree of nodes of a ZooKeeper server, without I/O or a clock. Each transaction has a number, the
+ * zxid, and is applied completely or not at all. Its effects are returned as plain {@link Change}s, from
+ * which the same tree can be rebuilt.
  */
 public final class Tree {
-    /** One node's change, as a log keeps it. */
+    /** A change of one node, as recorded in the log. */
     public record Change(long zxid, Kind kind, String path, byte[] data, long owner, long atMillis) {
-        /** What happened to the node. */
+        /** The kind of change; written to disk by position. */
         public enum Kind {
             CREATE,
             DELETE,
@@ -30,9 +30,9 @@
         }
     }
 
-    /** One operation of a request that changes something; several are transaction together or not at all. */
+    /** One operation of a write request; the operations of a multi are applied together or not at all. */
     public record Operation(Kind kind, String path, byte[] data, int version, boolean ephemeral, boolean sequential) {
-        /** What the operation does, or checks. */
+        /** The kind of operation; CHECK only compares the version. */
         public enum Kind {
             CREATE,
             DELETE,
@@ -57,10 +57,10 @@
         }
     }
 
-    /** What became of a operation: its error, or the path that was created or the node as it is now. */
+    /** Result of one operation: its error, or the created path, or the stat of the changed node. */
     public record OperationResult(ErrorCode error, String path, Stat stat) {}
 
-    /** What became of all of them, and the events that follow. */
+    /** Results of all operations of a transaction, the changes made, and the watch events caused by it. */
     public record TransactionResult(
             boolean done, List<OperationResult> results, List<Change> changes, List<Event> events) {}
 
@@ -107,44 +107,48 @@
     private final int maxDataBytes;
     private long zxid;
 
-    /** {@code maxDataBytes}: bytes that a node may hold. */
+    /** {@code maxDataBytes}: upper bound of the data of a node. */
     public Tree(int maxDataBytes) {
         this.maxDataBytes = maxDataBytes;
         nodes.put("/", new Node(new byte[0], 0, 0, 0));
     }
 
+    /** The zxid of the last transaction. */
     public long zxid() {
         return zxid;
     }
 
+    /** Number of nodes, including the root. */
     public int size() {
         return nodes.size();
     }
 
-    // ---- Reading.
+    // ---- Reads.
 
-    /** Null where there is no such node. */
+    /** The stat of a node; null if it does not exist. */
     public Stat stat(String path) {
         Node node = nodes.get(path);
         return node == null ? null : node.stat();
     }
 
+    /** The data of an existing node. */
     public byte[] data(String path) {
         return nodes.get(path).data;
     }
 
+    /** Names of the children of an existing node. */
     public List<String> children(String path) {
         return List.copyOf(nodes.get(path).children);
     }
 
-    /** The nodes that go with this session. */
+    /** The ephemeral nodes owned by this session. */
     public List<String> ephemerals(long session) {
         return List.copyOf(ephemerals.getOrDefault(session, Set.of()));
     }
 
-    // ---- Changing.
+    // ---- Writes.
 
-    /** Takes all these operations as one change with one zxid, or none of them. */
+    /** Applies all operations as one transaction with one zxid, or none of them. */
     public TransactionResult apply(List<Operation> operations, long session, long atMillis) {
         List<OperationResult> results = new ArrayList<>();
         List<Change> done = new ArrayList<>();
@@ -159,7 +163,8 @@
                 }
                 int failed = results.size();
                 results.clear();
-                // as the protocol tells it: those after it were not looked at
+                // As in ZooKeeper's reply to a failed multi: the operations after the failed one were not
+                // examined.
                 for (int i = 0; i < operations.size(); i++) {
                     results.add(
                             i == failed
@@ -261,14 +266,14 @@
         return ErrorCode.OK;
     }
 
-    /** A session is over: its nodes go with it, as one change. */
+    /** Ends a session: its ephemeral nodes are deleted in one transaction. */
     public TransactionResult closeSession(long session, long atMillis) {
         List<Operation> operations = new ArrayList<>();
         ephemerals(session).forEach(path -> operations.add(Operation.delete(path, -1)));
         return apply(operations, session, atMillis);
     }
 
-    /** Changes that make this tree's nodes and data, parents first; versions begin anew with them. */
+    /** The changes that rebuild the nodes and data of this tree, parents first. Versions start again at 0. */
     public List<Change> changes() {
         List<Change> all = new ArrayList<>();
         new TreeMap<>(nodes).forEach((path, node) -> {
@@ -276,13 +281,13 @@
                 all.add(new Change(node.created, Change.Kind.CREATE, path, node.data, node.owner, node.createdAt));
             }
         });
-        if (zxid > 0) { // so that no number comes twice
+        if (zxid > 0) { // so that no zxid is used twice
             all.add(new Change(zxid, Change.Kind.SET, "/", nodes.get("/").data, 0, 0));
         }
         return all;
     }
 
-    /** Makes a change again, as a log has it. */
+    /** Applies a change again, as recorded in the log. */
     public void replay(Change change) {
         switch (change.kind()) {
             case CREATE -> create(change);
@@ -356,7 +361,7 @@
         };
     }
 
-    /** All that can be read of it, for comparing two trees. */
+    /** The whole readable state, for comparing two trees. */
     @Override
     public String toString() {
         StringBuilder all = new StringBuilder();
--- a/nodes/src/main/java/saltdale/nodes/tree/Watches.java
+++ b/nodes/src/main/java/saltdale/nodes/tree/Watches.java
@@ -11,12 +11,13 @@
 import saltdale.nodes.wire.Paths;
 
 /**
- * Who is to be told of what. A watch on a node's data or its being there is told of its creation, change and
- * end; one on its children of theirs and of its end. One-time watches are told once; persistent ones stay,
- * recursive ones hear of all below, but not of children's changing as such.
+ * The watches that are set, and whom to notify of an event. A watch on the data or the existence of a node
+ * fires on its creation, data change and deletion; a watch on its children fires on a change of the list
+ * of children and on deletion of the node. One-time watches are removed when they fire. Persistent ones
+ * stay; recursive ones also cover all descendants, but do not fire on changes of a list of children.
  */
 public final class Watches<W> {
-    /** What a watch is on. */
+    /** The kind of a watch. */
     public enum Kind {
         DATA,
         CHILDREN,
@@ -28,19 +29,22 @@
 
     private final Map<Key, Set<W>> watchers = new HashMap<>();
 
+    /** Sets a watch. */
     public void add(Kind kind, String path, W watcher) {
         watchers.computeIfAbsent(new Key(kind, path), k -> new HashSet<>()).add(watcher);
     }
 
+    /** Removes all watches of a watcher. */
     public void removeWatcher(W watcher) {
         watchers.values().removeIf(each -> each.remove(watcher) && each.isEmpty());
     }
 
+    /** Number of watches that are set. */
     public int size() {
         return watchers.values().stream().mapToInt(Set::size).sum();
     }
 
-    /** Whom this event is to be told to; one-time watches that it meets are used up. Each is told once. */
+    /** The watchers to notify of this event, each once; one-time watches that fire are removed. */
     public List<W> trigger(Event event) {
         Set<W> all = new HashSet<>();
         String path = event.path();
@@ -73,7 +77,7 @@
         to.addAll(watchers.getOrDefault(new Key(kind, path), Set.of()));
     }
 
-    /** All events to all their watchers, in the order of the events. */
+    /** All events for each watcher, in the order of the events. */
     public Map<W, List<Event>> trigger(List<Event> events) {
         Map<W, List<Event>> all = new LinkedHashMap<>();
         for (Event event : events) {
--- a/nodes/src/main/java/saltdale/nodes/wire/ConnectHandshake.java
+++ b/nodes/src/main/java/saltdale/nodes/wire/ConnectHandshake.java
@@ -1,9 +1,13 @@
 package saltdale.nodes.wire;
 
-/** The first record of each side: asking for a session, new or to be resumed, and what was response. */
+/**
+ * The connect request and connect response: the first record of each side, which opens a session or
+ * resumes one.
+ */
 public final class ConnectHandshake {
     /**
-     * {@code session} 0 asks for a new one; {@code lastZxid} is the newest change that the client has seen.
+     * The connect request. A {@code session} of 0 requests a new session; {@code lastZxid} is the newest
+     * zxid that the client has seen.
      */
     public record Request(long lastZxid, int timeoutMillis, long session, byte[] password, boolean readOnly) {
         public RecordWriter write() {
@@ -24,13 +28,13 @@
                     in.readInt(),
                     in.readLong(),
                     in.readBuffer(),
-                    in.remaining() > 0 && in.readBoolean()); // the oldest clients end before this flag
+                    in.remaining() > 0 && in.readBoolean()); // the oldest clients omit this flag
             in.expectEnd();
             return request;
         }
     }
 
-    /** A time-out of 0: the session that was request for is over. */
+    /** The connect response. A {@code timeoutMillis} of 0 means that the requested session has expired. */
     public record Response(int timeoutMillis, long session, byte[] password) {
         public RecordWriter write() {
             return new RecordWriter()
--- a/nodes/src/main/java/saltdale/nodes/wire/ErrorCode.java
+++ b/nodes/src/main/java/saltdale/nodes/wire/ErrorCode.java
@@ -1,6 +1,6 @@
 package saltdale.nodes.wire;
 
-/** The protocol's error codes, as values. */
+/** The error codes of the protocol. */
 public enum ErrorCode {
     OK(0),
     SYSTEM_ERROR(-1),
@@ -28,6 +28,7 @@
         this.code = code;
     }
 
+    /** The error of this code; UNKNOWN if the code is not listed here. */
     public static ErrorCode of(int code) {
         for (ErrorCode each : values()) {
             if (each.code == code) {
--- a/nodes/src/main/java/saltdale/nodes/wire/Event.java
+++ b/nodes/src/main/java/saltdale/nodes/wire/Event.java
@@ -1,8 +1,8 @@
 package saltdale.nodes.wire;
 
-/** What a watch tells. */
+/** A watch event. */
 public record Event(Kind kind, String path) {
-    /** The kinds, by the protocol's numbers. */
+    /** The event types, with their codes in the protocol. */
     public enum Kind {
         NONE(-1),
         CREATED(1),
@@ -17,7 +17,7 @@
         }
     }
 
-    private static final int CONNECTED = 3; // the state that goes with each event of a live session
+    private static final int CONNECTED = 3; // KeeperState SyncConnected, which goes with each event of a live session
 
     public void write(RecordWriter to) {
         to.writeInt(kind.code).writeInt(CONNECTED).writeString(path);
--- a/nodes/src/main/java/saltdale/nodes/wire/FrameDecoder.java
+++ b/nodes/src/main/java/saltdale/nodes/wire/FrameDecoder.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import java.util.function.Consumer;
 
-/** Takes length-framed records out of bytes that come in any pieces. */
+/** Extracts length-prefixed records from a byte stream that arrives in arbitrary chunks. */
 public final class FrameDecoder {
     private final int maxRecordBytes;
     private final Consumer<byte[]> consumer;
@@ -15,17 +15,18 @@
     private int recordLength;
     private String error;
 
-    /** {@code maxRecordBytes}: bytes of a record; a longer one is a error, before anything is allocated for it. */
+    /** {@code maxRecordBytes}: a longer record is an error, detected before anything is allocated for it. */
     public FrameDecoder(int maxRecordBytes, Consumer<byte[]> consumer) {
         this.maxRecordBytes = maxRecordBytes;
         this.consumer = consumer;
     }
 
-    /** What is wrong, after which nothing more is transaction; null while all is well. */
+    /** The error after which no more input is decoded; null if there is none. */
     public String error() {
         return error;
     }
 
+    /** Decodes the next chunk and passes each completed record to the consumer. */
     public void decode(ByteBuffer bytes) {
         while (error == null && bytes.hasRemaining()) {
             if (record == null) {
@@ -34,7 +35,8 @@
                     beginRecord(ByteBuffer.wrap(length).getInt());
                 }
             } else {
-                // Grows with what comes: guards against a length that is declaredLength and never sent.
+                // The buffer grows with the bytes received, to guard against a declared length whose bytes
+                // are never sent.
                 int chunk = Math.min(bytes.remaining(), record.length - bytesRead);
                 bytes.get(record, bytesRead, chunk);
                 bytesRead += chunk;
@@ -53,7 +55,7 @@
 
     private void beginRecord(int declaredLength) {
         if (declaredLength < 0 || declaredLength > maxRecordBytes) {
-            error = "a record of " + declaredLength + " bytes; at maxRecordBytes " + maxRecordBytes;
+            error = "a record of " + declaredLength + " bytes; at most " + maxRecordBytes;
             return;
         }
         recordLength = declaredLength;
--- a/nodes/src/main/java/saltdale/nodes/wire/MalformedRecordException.java
+++ b/nodes/src/main/java/saltdale/nodes/wire/MalformedRecordException.java
@@ -1,10 +1,10 @@
 package saltdale.nodes.wire;
 
-/** Bytes that are no record of the protocol, or that pass one of its bounds. */
+/** A record that does not follow the protocol or exceeds one of its limits. */
 public final class MalformedRecordException extends Exception {
     private static final long serialVersionUID = 1;
 
     public MalformedRecordException(String message) {
-        super(message, null, false, false); // a value that says what is wrong; nobody reads its trace
+        super(message, null, false, false); // used as a value with a message: the stack trace is never read
     }
 }
--- a/nodes/src/main/java/saltdale/nodes/wire/Op.java
+++ b/nodes/src/main/java/saltdale/nodes/wire/Op.java
@@ -1,6 +1,9 @@
 package saltdale.nodes.wire;
 
-/** The kinds of requests, by the protocol's numbers, and the xids that are not a request's own. */
+/**
+ * The request types with their codes in the protocol, and the reserved xids of records that answer no
+ * ordinary request.
+ */
 public enum Op {
     CREATE(1),
     DELETE(2),
@@ -32,7 +35,7 @@
         this.code = code;
     }
 
-    /** Null where no such kind is known here. */
+    /** The type of this code; null if it is unknown. */
     public static Op of(int code) {
         for (Op each : values()) {
             if (each.code == code) {
--- a/nodes/src/main/java/saltdale/nodes/wire/Paths.java
+++ b/nodes/src/main/java/saltdale/nodes/wire/Paths.java
@@ -1,10 +1,10 @@
 package saltdale.nodes.wire;
 
-/** Paths of nodes: absolute, with no empty, "." or ".." part, no end in a slash, no control characters. */
+/** Node paths: absolute, without empty, "." or ".." components, a trailing slash or control characters. */
 public final class Paths {
     private Paths() {}
 
-    /** What is wrong with a path; null where it is one. */
+    /** Why a path is invalid, phrased to follow "a path that"; null if it is valid. */
     public static String validationError(String path) {
         if (path == null || path.isEmpty()) {
             return "is empty";
@@ -17,27 +17,30 @@
         }
         for (String part : path.substring(1).split("/", -1)) {
             if (part.isEmpty() || part.equals(".") || part.equals("..")) {
-                return "has the part \"" + part + "\"";
+                return "has the component \"" + part + "\"";
             }
         }
         for (int i = 0; i < path.length(); i++) {
             char c = path.charAt(i);
             if (c < 0x20 || c >= 0x7f && c <= 0x9f || c >= 0xd800 && c <= 0xf8ff || c >= 0xfff0) {
-                return "holds a character that no path may hold";
+                return "contains a character that is not allowed in paths";
             }
         }
         return null;
     }
 
+    /** The path of the parent node; the root is its own parent. */
     public static String parent(String path) {
         int slash = path.lastIndexOf('/');
         return slash <= 0 ? "/" : path.substring(0, slash);
     }
 
+    /** The last component of a path. */
     public static String name(String path) {
         return path.substring(path.lastIndexOf('/') + 1);
     }
 
+    /** The path of a child node. */
     public static String child(String parent, String name) {
         return parent.equals("/") ? "/" + name : parent + "/" + name;
     }
--- a/nodes/src/main/java/saltdale/nodes/wire/RecordReader.java
+++ b/nodes/src/main/java/saltdale/nodes/wire/RecordReader.java
@@ -9,8 +9,8 @@
 import java.util.List;
 
 /**
- * Reads the fields of one record: big-endian numbers, and texts, buffers and vectors with their length before
- * them. Nothing is allocated by a length that the record cannot hold.
+ * Reads the fields of one record: big-endian numbers, and length-prefixed strings, buffers and vectors. A
+ * length that exceeds the record is rejected before anything is allocated for it.
  */
 public final class RecordReader {
     private final ByteBuffer bytes;
@@ -19,6 +19,7 @@
         bytes = ByteBuffer.wrap(record);
     }
 
+    /** Number of bytes not yet read. */
     public int remaining() {
         return bytes.remaining();
     }
@@ -37,12 +38,12 @@
         requireBytes(1);
         byte value = bytes.get();
         if (value != 0 && value != 1) {
-            throw new MalformedRecordException("a flag that is neither 0 nor 1");
+            throw new MalformedRecordException("a boolean that is neither 0 nor 1");
         }
         return value == 1;
     }
 
-    /** A buffer; null where its length is -1. */
+    /** Reads a buffer; null if its length is -1. */
     public byte[] readBuffer() throws MalformedRecordException {
         int length = readInt();
         if (length == -1) {
@@ -57,7 +58,7 @@
         return value;
     }
 
-    /** A text in UTF-8; null where its length is -1. */
+    /** Reads a UTF-8 string; null if its length is -1. */
     public String readString() throws MalformedRecordException {
         byte[] value = readBuffer();
         if (value == null) {
@@ -71,10 +72,11 @@
                     .decode(ByteBuffer.wrap(value));
             return chars.toString();
         } catch (CharacterCodingException e) {
-            throw new MalformedRecordException("a text that is no UTF-8");
+            throw new MalformedRecordException("a string that is not valid UTF-8");
         }
     }
 
+    /** Reads a string and checks that it is a valid node path. */
     public String readPath() throws MalformedRecordException {
         String path = readString();
         String error = Paths.validationError(path);
@@ -84,7 +86,10 @@
         return path;
     }
 
-    /** So many elements follow, of at minElementBytes {@code minElementBytes} bytes each; 0 for a vector of length -1. */
+    /**
+     * Reads the length of a vector whose elements take at least {@code minElementBytes} bytes each; 0 if
+     * it is -1.
+     */
     public int readCount(int minElementBytes) throws MalformedRecordException {
         int count = readInt();
         if (count == -1) {
@@ -92,7 +97,7 @@
         }
         if (count < 0 || (long) count * minElementBytes > bytes.remaining()) {
             throw new MalformedRecordException(
-                    "a vector of " + count + " where " + bytes.remaining() + " bytes are left");
+                    "a vector of " + count + " elements where " + bytes.remaining() + " bytes are left");
         }
         return count;
     }
@@ -106,10 +111,10 @@
         return all;
     }
 
-    /** Nothing may be left. */
+    /** Checks that the whole record has been read. */
     public void expectEnd() throws MalformedRecordException {
         if (bytes.hasRemaining()) {
-            throw new MalformedRecordException(bytes.remaining() + " bytes after the record's end");
+            throw new MalformedRecordException(bytes.remaining() + " unread bytes at the end of the record");
         }
     }
 
--- a/nodes/src/main/java/saltdale/nodes/wire/RecordWriter.java
+++ b/nodes/src/main/java/saltdale/nodes/wire/RecordWriter.java
@@ -5,7 +5,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Collection;
 
-/** Writes the fields of one record, and frames it with its length. */
+/** Writes the fields of one record, and optionally prefixes it with its length. */
 public final class RecordWriter {
     private final ByteArrayOutputStream out = new ByteArrayOutputStream(64);
 
@@ -45,11 +45,12 @@
         return this;
     }
 
+    /** The record without a length prefix. */
     public byte[] record() {
         return out.toByteArray();
     }
 
-    /** The record with its length before it. */
+    /** The record prefixed with its length. */
     public ByteBuffer framed() {
         ByteBuffer all = ByteBuffer.allocate(4 + out.size());
         return all.putInt(out.size()).put(out.toByteArray()).flip();
--- a/nodes/src/main/java/saltdale/nodes/wire/SetWatchesRequest.java
+++ b/nodes/src/main/java/saltdale/nodes/wire/SetWatchesRequest.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * The watches that a client asks for again after a reconnect: what has changed since {@code zxid} is told at
- * once.
+ * The watches that a client sets again after a reconnect. Those on nodes that have changed since {@code
+ * zxid} fire at once.
  */
 public record SetWatchesRequest(
         long zxid,
@@ -22,7 +22,10 @@
                 .writeStrings(recursive);
     }
 
-    /** {@code all}: with the persistent ones, as the newer kind of request has them. */
+    /**
+     * {@code withPersistent}: whether the record has the persistent and recursive watches, as SET_WATCHES2
+     * does.
+     */
     public static SetWatchesRequest read(RecordReader in, boolean withPersistent) throws MalformedRecordException {
         return new SetWatchesRequest(
                 in.readLong(),
--- a/nodes/src/main/java/saltdale/nodes/wire/Stat.java
+++ b/nodes/src/main/java/saltdale/nodes/wire/Stat.java
@@ -1,8 +1,8 @@
 package saltdale.nodes.wire;
 
 /**
- * What a service tells of a node beside its data; times are Unix time in ms, {@code owner} 0 where it is not
- * ephemeral.
+ * Metadata of a node. Times are Unix time in ms; {@code owner} is the owning session of an ephemeral node
+ * and 0 for other nodes.
  */
 public record Stat(
         long created,
--- a/nodes/src/test/java/saltdale/nodes/JournalTest.java
+++ b/nodes/src/test/java/saltdale/nodes/JournalTest.java
@@ -26,10 +26,10 @@
     @TempDir
     Path folder;
 
-    /** A log of 30 acknowledged changes, and the tree after each. */
-    private List<String> written(Path file) throws IOException {
+    /** Writes a log of 30 acknowledged changes; returns the state of the tree after each of them. */
+    private List<String> writeLog(Path file) throws IOException {
         Tree tree = new Tree(1000);
-        List<String> after = new ArrayList<>(List.of(tree.toString()));
+        List<String> treeAfterChange = new ArrayList<>(List.of(tree.toString()));
         try (Journal journal = Journal.open(file, new ArrayList<>())) {
             for (int i = 0; i < 30; i++) {
                 Tree.TransactionResult transaction = tree.apply(
@@ -42,10 +42,10 @@
                         i);
                 assertTrue(transaction.done());
                 journal.append(Entry.changes(transaction.changes()));
-                after.add(tree.toString());
+                treeAfterChange.add(tree.toString());
             }
         }
-        return after;
+        return treeAfterChange;
     }
 
     private static String tree(byte[] bytes, List<Entry> entries) {
@@ -56,21 +56,21 @@
     }
 
     @Test
-    void cutAtAnyByteItReadsBackWhatWasWholeByThen() throws IOException {
+    void truncatedLogYieldsAllCompleteRecords() throws IOException {
         Path file = folder.resolve("log");
-        List<String> after = written(file);
+        List<String> treeAfterChange = writeLog(file);
         byte[] all = Files.readAllBytes(file);
-        int last = -1;
+        int lastCount = -1;
         for (int cut = 0; cut <= all.length; cut++) {
             List<Entry> entries = new ArrayList<>();
-            assertEquals(after.get(countWhole(all, cut)), tree(Arrays.copyOf(all, cut), entries));
-            assertTrue(entries.size() >= last);
-            last = entries.size();
+            assertEquals(treeAfterChange.get(countWhole(all, cut)), tree(Arrays.copyOf(all, cut), entries));
+            assertTrue(entries.size() >= lastCount);
+            lastCount = entries.size();
         }
-        assertEquals(30, last);
+        assertEquals(30, lastCount);
     }
 
-    /** By the lengths alone, which is what the writer meant. */
+    /** Counts complete records by the length prefixes alone, independently of the code under test. */
     private static int countWhole(byte[] all, int cut) {
         int at = 0;
         int count = 0;
@@ -86,21 +86,21 @@
     }
 
     @Test
-    void aFlippedByteEndsItThereAndNothingUnwrittenIsRead() throws IOException {
+    void stopsAtACorruptedByteAndReadsNothingUnwritten() throws IOException {
         Path file = folder.resolve("log");
-        List<String> after = written(file);
+        List<String> treeAfterChange = writeLog(file);
         byte[] all = Files.readAllBytes(file);
         for (int i = 0; i < all.length; i++) {
             byte[] flipped = all.clone();
             flipped[i] ^= 0x41;
-            assertTrue(after.contains(tree(flipped, new ArrayList<>())), "byte " + i);
+            assertTrue(treeAfterChange.contains(tree(flipped, new ArrayList<>())), "byte " + i);
         }
     }
 
     @Test
-    void openedAfterACutItGoesOnFromThere() throws IOException {
+    void appendsAfterTheLastCompleteRecordOfATruncatedLog() throws IOException {
         Path file = folder.resolve("log");
-        written(file);
+        writeLog(file);
         byte[] all = Files.readAllBytes(file);
         Files.write(file, Arrays.copyOf(all, all.length - 3));
         List<Entry> entries = new ArrayList<>();
@@ -108,15 +108,15 @@
             assertEquals(29, entries.size());
             journal.append(Entry.closed(5, List.of()));
         }
-        List<Entry> again = new ArrayList<>();
-        Journal.open(file, again).close();
-        assertEquals(30, again.size());
+        List<Entry> reread = new ArrayList<>();
+        Journal.open(file, reread).close();
+        assertEquals(30, reread.size());
     }
 
     @Test
-    void aSnapshotTakesTheLogsPlace() throws IOException {
+    void snapshotReplacesTheLog() throws IOException {
         Path file = folder.resolve("log");
-        written(file);
+        writeLog(file);
         try (Journal journal = Journal.open(file, new ArrayList<>())) {
             journal.replace(List.of(Entry.opened(9, new byte[16], 4000)));
             journal.append(Entry.closed(9, List.of()));
@@ -130,16 +130,16 @@
     }
 
     @Test
-    void aSessionLivesByWhatIsHeardAndByItsPassword() {
+    void sessionExpiresWithoutRequestsAndResumesByPassword() {
         Sessions sessions = new Sessions(Duration.ofMillis(500), 1, new SplittableRandom(1));
-        Sessions.Session one = sessions.open(Duration.ZERO, Duration.ofSeconds(3));
+        Sessions.Session session = sessions.open(Duration.ZERO, Duration.ofSeconds(3));
         assertEquals(Duration.ofSeconds(1), sessions.negotiatedTimeout(Duration.ofMillis(1)));
         assertEquals(List.of(), sessions.expired(Duration.ofMillis(2999)));
-        sessions.touch(Duration.ofMillis(2999), one.id);
+        sessions.touch(Duration.ofMillis(2999), session.id);
         assertEquals(List.of(), sessions.expired(Duration.ofMillis(5998)));
-        assertNull(sessions.resume(Duration.ofMillis(5998), one.id, new byte[16]));
-        assertNotNull(sessions.resume(Duration.ofMillis(5998), one.id, one.password));
-        assertEquals(List.of(one.id), sessions.expired(Duration.ofMillis(9000)));
-        assertNull(sessions.resume(Duration.ofMillis(9001), one.id, one.password));
+        assertNull(sessions.resume(Duration.ofMillis(5998), session.id, new byte[16]));
+        assertNotNull(sessions.resume(Duration.ofMillis(5998), session.id, session.password));
+        assertEquals(List.of(session.id), sessions.expired(Duration.ofMillis(9000)));
+        assertNull(sessions.resume(Duration.ofMillis(9001), session.id, session.password));
     }
 }
--- a/nodes/src/test/java/saltdale/nodes/MembershipTest.java
+++ b/nodes/src/test/java/saltdale/nodes/MembershipTest.java
@@ -35,7 +35,7 @@
         return new RunnerInfo("127.0.0.1:" + (7000 + number), "a", "m", 0, 1, born, draining).data();
     }
 
-    /** So many nodes are there, and have been told. */
+    /** Adds this many nodes and discards the changes reported for them. */
     private void addNodes(int count) {
         membership.linkChanged(at(0), Link.CONNECTED);
         IntStream.range(0, count).forEach(i -> membership.nodeRead(at(0), "n" + i, runnerData(i, 1000, false)));
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void aVanishedNodeIsGoneAtOnceAndADrainMarkDrains() {
+    void reportsDeletedNodesAndDrainMarksAtOnce() {
         addNodes(10);
         membership.nodeDeleted(at(100), "n1");
         assertEquals(List.of("n1 GONE"), reportedChanges());
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void returnedUnderANewSessionItIsTheSameBoxUnlessItWasBornLater() {
+    void recreatedNodeIsTheSameRunnerUnlessItStartedLater() {
         addNodes(10);
         membership.nodeDeleted(at(100), "n1");
         membership.nodeRead(at(150), "n1", runnerData(1, 1000, false));
@@ -69,12 +69,12 @@
         membership.nodeDeleted(at(200), "n1");
         membership.nodeRead(at(900), "n1", runnerData(1, 5000, false));
         assertEquals(5000, membership.changes().get(1).runner().bornMillis());
-        membership.nodeRead(at(950), "n1", runnerData(1, 1000, false)); // an old tree
+        membership.nodeRead(at(950), "n1", runnerData(1, 1000, false)); // read from an outdated tree
         assertEquals(List.of(), reportedChanges());
     }
 
     @Test
-    void aLostLinkTakesNobodyForGoneAndItsTrustFades() {
+    void lostConnectionReportsNoRunnerAsGoneAndReducesTrust() {
         addNodes(5);
         membership.linkChanged(at(1000), Link.SUSPENDED);
         membership.tick(at(50_000));
@@ -88,12 +88,12 @@
     }
 
     @Test
-    void aMassVanishingIsHeldAndProbesDecide() {
+    void massDisappearanceHoldsRunnersUntilProbed() {
         addNodes(10);
         IntStream.range(0, 5).forEach(i -> membership.nodeDeleted(at(100 + i), "n" + i));
         assertTrue(membership.isMassVanishing());
-        // The first ones went before it could be told for a mass; all of the wave stand as draining until
-        // probed.
+        // The first three were deleted before the mass disappearance could be recognized; all five are
+        // reported as draining until probed.
         assertEquals(
                 List.of(
                         "n0 GONE",
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void aDrainMarkCountsWithinAMassVanishingToo() {
+    void drainMarkTakesEffectDuringAMassDisappearance() {
         addNodes(10);
         IntStream.range(0, 5).forEach(i -> membership.nodeDeleted(at(100), "n" + i));
         membership.changes();
@@ -128,14 +128,14 @@
     }
 
     @Test
-    void badDataIsPassedOverAndTheNodeBeforeItStands() {
+    void ignoresInvalidDataAndKeepsTheLastValidData() {
         addNodes(2);
-        byte[] bad = "{\"dial\":7}".getBytes(StandardCharsets.UTF_8);
-        assertFalse(membership.nodeRead(at(10), "n1", bad));
+        byte[] invalid = "{\"dial\":7}".getBytes(StandardCharsets.UTF_8);
+        assertFalse(membership.nodeRead(at(10), "n1", invalid));
         assertEquals(List.of(), reportedChanges());
         assertEquals(1, membership.unreadableNodes());
-        assertTrue(membership.isNewBadData("n1", bad));
-        assertFalse(membership.isNewBadData("n1", bad));
+        assertTrue(membership.isNewBadData("n1", invalid));
+        assertFalse(membership.isNewBadData("n1", invalid));
         for (String each : List.of(
                 "",
                 "[]",
@@ -149,14 +149,14 @@
     }
 
     /**
-     * Whatever comes in whatever order: what was told last of a node agrees with it, and a drain is never
-     * told as up.
+     * For any sequence of observations, the last reported health of a node agrees with its state, and a
+     * draining runner is never reported as up.
      */
     @Property(tries = 500, seed = "3")
-    void whatIsToldAgreesWithTheNodes(@ForAll @Size(max = 200) int[] actions) {
+    void reportedHealthAgreesWithTheNodes(@ForAll @Size(max = 200) int[] actions) {
         Membership each = new Membership(Rules.of(Duration.ofSeconds(2)));
-        boolean[] there = new boolean[6];
-        boolean[] drains = new boolean[6];
+        boolean[] exists = new boolean[6];
+        boolean[] draining = new boolean[6];
         Map<String, Health> last = new HashMap<>();
         Duration now = Duration.ZERO;
         for (int action : actions) {
@@ -164,45 +164,45 @@
             now = now.plusMillis(Math.floorMod(action / 64, 700));
             switch (Math.floorMod(action / 6, 5)) {
                 case 0, 1 -> {
-                    drains[node] = Math.floorMod(action / 6, 5) == 1;
-                    there[node] = true;
-                    each.nodeRead(now, "n" + node, runnerData(node, 1000, drains[node]));
+                    draining[node] = Math.floorMod(action / 6, 5) == 1;
+                    exists[node] = true;
+                    each.nodeRead(now, "n" + node, runnerData(node, 1000, draining[node]));
                 }
                 case 2 -> {
-                    there[node] = false;
+                    exists[node] = false;
                     each.nodeDeleted(now, "n" + node);
                 }
                 case 3 -> each.probeCompleted(now, "n" + node, action > 0);
                 default -> each.tick(now);
             }
             each.changes().forEach(c -> last.put(c.name(), c.health()));
-            Health told = last.get("n" + node);
-            if (there[node]) {
-                assertEquals(drains[node] ? Health.DRAINING : Health.UP, told);
+            Health reported = last.get("n" + node);
+            if (exists[node]) {
+                assertEquals(draining[node] ? Health.DRAINING : Health.UP, reported);
             } else {
-                assertTrue(told != Health.UP || each.toProbe().contains("n" + node));
+                assertTrue(reported != Health.UP || each.toProbe().contains("n" + node));
             }
         }
         each.tick(now.plusSeconds(100));
         each.changes().forEach(c -> last.put(c.name(), c.health()));
         for (int i = 0; i < 6; i++) {
-            assertTrue(there[i] || last.getOrDefault("n" + i, Health.GONE) == Health.GONE);
+            assertTrue(exists[i] || last.getOrDefault("n" + i, Health.GONE) == Health.GONE);
         }
     }
 
     @Test
-    void aPassReadsEachNodeOnceWithinItsCap() {
+    void readsEachNodeOnceWithinTheConcurrencyLimit() {
         ReadPlan plan = new ReadPlan(3);
         List<String> names = IntStream.range(0, 100).mapToObj(i -> "n" + i).toList();
         plan.add(names);
-        ArrayDeque<String> flying = new ArrayDeque<>();
+        ArrayDeque<String> inFlight = new ArrayDeque<>();
         while (!plan.isOver()) {
             for (String next = plan.next(); next != null; next = plan.next()) {
-                flying.add(next);
+                inFlight.add(next);
             }
-            assertTrue(flying.size() <= 3);
-            plan.add(List.of("n99", flying.peek())); // told of again meanwhile
-            plan.completed(flying.poll());
+            assertTrue(inFlight.size() <= 3);
+            plan.add(List.of("n99", inFlight.peek())); // reported as changed again meanwhile
+            plan.completed(inFlight.poll());
         }
         assertEquals(100, plan.reads(), 1);
     }
--- a/nodes/src/test/java/saltdale/nodes/SessionTest.java
+++ b/nodes/src/test/java/saltdale/nodes/SessionTest.java
@@ -27,7 +27,7 @@
 import saltdale.transport.EventLoop;
 import saltdale.transport.SocketBudget;
 
-/** Client and stand-in on one loop, turned by the test until what it waits for has come. */
+/** Tests client and stand-in on one event loop, which the test runs until the awaited condition holds. */
 @Timeout(30)
 class SessionTest {
     @TempDir
@@ -72,18 +72,18 @@
         return client;
     }
 
-    /** Closed, and its addresses free: that takes the loop a turn. */
+    /** Closes the server and runs one turn of the loop, after which its addresses are free. */
     private void closeServer() throws IOException {
         server.close();
-        boolean[] turned = new boolean[1];
-        loop.defer(() -> turned[0] = true);
-        await(() -> turned[0]);
+        boolean[] turnDone = new boolean[1];
+        loop.defer(() -> turnDone[0] = true);
+        await(() -> turnDone[0]);
     }
 
-    private void await(BooleanSupplier come) {
+    private void await(BooleanSupplier condition) {
         try {
-            while (!come.getAsBoolean()) {
-                loop.schedule(Duration.ofMillis(5), () -> {}); // so that each turn ends
+            while (!condition.getAsBoolean()) {
+                loop.schedule(Duration.ofMillis(5), () -> {}); // so that each turn of the loop ends
                 loop.runOnce(() -> {});
             }
         } catch (IOException e) {
@@ -91,36 +91,36 @@
         }
     }
 
-    private void awaitEvent(String what) {
-        await(() -> events.contains(what));
+    private void awaitEvent(String event) {
+        await(() -> events.contains(event));
     }
 
     private ErrorCode create(NodeClient client, String path, boolean ephemeral) {
         ErrorCode[] result = new ErrorCode[1];
-        client.create(path, new byte[] {1}, ephemeral, false, (error, made) -> result[0] = error);
+        client.create(path, new byte[] {1}, ephemeral, false, (error, createdPath) -> result[0] = error);
         await(() -> result[0] != null);
         return result[0];
     }
 
     @Test
-    void anotherHearsOfANodeAndOfItsGoingWithItsSession() throws IOException {
+    void watcherSeesAnEphemeralNodeAndItsDeletionWithTheSession() throws IOException {
         startServer();
-        NodeClient box = client("box", addresses);
+        NodeClient runner = client("box", addresses);
         NodeClient watcher = client("watcher", addresses);
-        assertEquals(ErrorCode.OK, create(box, "/boxes", false));
+        assertEquals(ErrorCode.OK, create(runner, "/boxes", false));
         watcher.watch("/boxes", true, (error, nothing) -> events.add("watching " + error));
         awaitEvent("watching OK");
-        assertEquals(ErrorCode.OK, create(box, "/boxes/b1", true));
-        assertEquals(ErrorCode.NODE_EXISTS, create(box, "/boxes/b1", true));
+        assertEquals(ErrorCode.OK, create(runner, "/boxes/b1", true));
+        assertEquals(ErrorCode.NODE_EXISTS, create(runner, "/boxes/b1", true));
         awaitEvent("watcher CREATED /boxes/b1");
-        box.close(() -> events.add("closed"));
+        runner.close(() -> events.add("closed"));
         awaitEvent("watcher DELETED /boxes/b1");
         awaitEvent("closed");
         assertEquals(1, server.sessions());
     }
 
     @Test
-    void answersComeInTheOrderOfTheRequests() throws IOException {
+    void repliesArriveInRequestOrder() throws IOException {
         startServer();
         NodeClient client = client("c", addresses);
         create(client, "/a", false);
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void aCutServerIsLeftForAnotherWithTheSameSessionAndItsWatches() throws IOException {
+    void movesToAnotherServerWithTheSameSessionAndWatches() throws IOException {
         startServer();
         NodeClient client = client("c", addresses);
         create(client, "/a", true);
@@ -152,13 +152,13 @@
         awaitEvent("c SUSPENDED");
         server.tree().apply(List.of(Operation.set("/a", new byte[] {9}, -1)), 99, 0);
         server.listen(addresses.get(1));
-        awaitEvent("c DATA_CHANGED /a"); // changed while nobody could hear it
+        awaitEvent("c DATA_CHANGED /a"); // the change happened while the client was disconnected
         assertEquals(session, client.session());
         assertTrue(!events.contains("c EXPIRED"));
     }
 
     @Test
-    void anExpiredSessionIsToldAndItsNodesAreGone() throws IOException {
+    void reportsAnExpiredSessionWhoseNodesAreDeleted() throws IOException {
         startServer();
         NodeClient client = client("c", addresses);
         create(client, "/a", true);
@@ -173,7 +173,7 @@
     }
 
     @Test
-    void aSilentServiceSuspendsAndTheSessionLivesIfItComesBackInTime() throws IOException {
+    void silentServiceSuspendsTheSessionUntilItResponds() throws IOException {
         startServer();
         NodeClient client = client("c", addresses.subList(0, 1));
         server.pause(true);
@@ -184,7 +184,7 @@
     }
 
     @Test
-    void aRestartedServiceHasAllThatItAcknowledged() throws IOException {
+    void restartedServerKeepsAllAcknowledgedChanges() throws IOException {
         startServer();
         NodeClient client = client("c", addresses);
         create(client, "/a", false);
@@ -199,7 +199,7 @@
     }
 
     @Test
-    void aClientThatHasSeenMoreThanAServerKnowsGoesElsewhere() throws IOException {
+    void clientDoesNotConnectToAServerWithAnOlderZxid() throws IOException {
         startServer();
         NodeClient client = client("c", addresses.subList(0, 1));
         create(client, "/a", false);
@@ -212,8 +212,8 @@
         assertEquals(State.SUSPENDED, client.state());
     }
 
-    private Registration box(int number) {
-        Registration box = new Registration(
+    private Registration runner(int number) {
+        Registration runner = new Registration(
                 loop,
                 sockets,
                 addresses,
@@ -221,29 +221,29 @@
                 new SplittableRandom(number),
                 "/live/boxes/b" + number,
                 new RunnerInfo("127.0.0.1:" + (7000 + number), "a", "m", 0, 1, 1000, false));
-        box.start();
-        return box;
+        runner.start();
+        return runner;
     }
 
     @Test
-    void aBoxHoldsOneNodeThroughAnExpiryOfItsSession() throws IOException {
+    void registrationRecreatesItsNodeAfterSessionExpiry() throws IOException {
         startServer();
-        Registration box = box(1);
-        await(box::isHeld);
-        long first = box.session();
+        Registration runner = runner(1);
+        await(runner::isHeld);
+        long first = runner.session();
         server.expire(first);
-        await(() -> box.isHeld() && box.session() != first);
+        await(() -> runner.isHeld() && runner.session() != first);
         assertEquals(List.of("b1"), server.tree().children("/live/boxes"));
-        assertEquals(box.session(), server.tree().stat("/live/boxes/b1").owner());
-        assertEquals(2, box.creations());
+        assertEquals(runner.session(), server.tree().stat("/live/boxes/b1").owner());
+        assertEquals(2, runner.creations());
     }
 
     @Test
-    void aSecondProcessOfTheSameBoxWaitsForTheFirstOnesSessionToEnd() throws IOException {
+    void secondRegistrationWaitsForTheFirstSessionToEnd() throws IOException {
         startServer();
-        Registration old = box(1);
+        Registration old = runner(1);
         await(old::isHeld);
-        Registration next = box(1);
+        Registration next = runner(1);
         await(() -> next.failureReason() != null);
         assertEquals(old.session(), server.tree().stat("/live/boxes/b1").owner());
         server.expire(old.session());
@@ -253,10 +253,10 @@
     }
 
     @Test
-    void theListHearsOfBoxesAsTheyComeDrainAndGoAndThroughARestart() throws IOException {
+    void listFollowsRunnersAndSurvivesARestart() throws IOException {
         startServer();
-        Registration one = box(1);
-        Registration two = box(2);
+        Registration one = runner(1);
+        Registration two = runner(2);
         await(() -> one.isHeld() && two.isHeld());
         NodeList list = new NodeList(
                 loop,
@@ -270,19 +270,21 @@
         list.start();
         awaitEvent("b1 UP");
         awaitEvent("b2 UP");
-        Registration three = box(3);
+        Registration three = runner(3);
         awaitEvent("b3 UP");
         three.update(new RunnerInfo("127.0.0.1:7003", "a", "m", 0, 1, 1000, true));
         awaitEvent("b3 DRAINING");
         two.close(() -> {});
         awaitEvent("b2 GONE");
         closeServer();
-        int told = events.size();
+        int eventsBeforeRestart = events.size();
         startServer();
         await(() -> one.state() == State.CONNECTED && list.membership().trust(loop.now()) == 1);
-        Registration four = box(4);
+        Registration four = runner(4);
         awaitEvent("b4 UP");
         await(four::isHeld);
-        assertEquals(List.of("b4 UP"), events.subList(told, events.size())); // the restart took nobody for gone
+        assertEquals(
+                List.of("b4 UP"),
+                events.subList(eventsBeforeRestart, events.size())); // the restart reported no runner as gone
     }
 }
--- a/nodes/src/test/java/saltdale/nodes/TreeTest.java
+++ b/nodes/src/test/java/saltdale/nodes/TreeTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void nodesAreMadeChangedAndRemovedByTheirVersions() {
+    void createsUpdatesAndDeletesNodesByVersion() {
         assertEquals(ErrorCode.OK, error(Operation.create("/a", new byte[] {1}, false, false)));
         assertEquals(ErrorCode.NODE_EXISTS, error(Operation.create("/a", null, false, false)));
         assertEquals(ErrorCode.NO_NODE, error(Operation.create("/b/c", null, false, false)));
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void sequentialNodesCountUpAndEphemeralsGoWithTheirSession() {
+    void numbersSequentialNodesAndDeletesEphemeralsWithTheirSession() {
         apply(Operation.create("/a", null, false, false));
         assertEquals(
                 "/a/n-0000000000",
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void severalStepsHappenTogetherOrNotAtAll() {
+    void appliesAllOperationsOfATransactionOrNone() {
         apply(Operation.create("/a", null, false, false));
         String before = tree.toString();
         Tree.TransactionResult transaction = apply(
@@ -83,41 +83,42 @@
     }
 
     /**
-     * Whatever is asked: a change that fails leaves no trace, and the changes alone make the same tree again.
+     * For any sequence of operations, a failed transaction leaves the tree unchanged, and replaying the
+     * changes rebuilds the same tree.
      */
     @Property(tries = 300, seed = "11")
-    void theChangesMakeTheSameTree(@ForAll @Size(max = 150) int[] actions) {
-        Tree one = new Tree(100);
-        Tree other = new Tree(100);
+    void replayedChangesRebuildTheSameTree(@ForAll @Size(max = 150) int[] actions) {
+        Tree tree = new Tree(100);
+        Tree replayed = new Tree(100);
         String[] paths = {"/a", "/b", "/a/x", "/a/y", "/b/z", "/a/x/q"};
         for (int action : actions) {
             List<Operation> operations = new ArrayList<>();
             for (int i = 0; i <= Math.floorMod(action, 3); i++) {
-                int part = Math.floorMod(action >> (4 * i), 1 << 12);
-                String path = paths[part % paths.length];
+                int bits = Math.floorMod(action >> (4 * i), 1 << 12);
+                String path = paths[bits % paths.length];
                 operations.add(
-                        switch (part / 8 % 5) {
+                        switch (bits / 8 % 5) {
                             case 0, 1 ->
-                                Operation.create(path, new byte[] {(byte) part}, part % 2 == 0, part % 16 == 3);
-                            case 2 -> Operation.delete(path, part % 4 == 0 ? 0 : -1);
-                            case 3 -> Operation.set(path, new byte[part % 120], part % 5 - 1);
-                            default -> Operation.check(path, part % 3 - 1);
+                                Operation.create(path, new byte[] {(byte) bits}, bits % 2 == 0, bits % 16 == 3);
+                            case 2 -> Operation.delete(path, bits % 4 == 0 ? 0 : -1);
+                            case 3 -> Operation.set(path, new byte[bits % 120], bits % 5 - 1);
+                            default -> Operation.check(path, bits % 3 - 1);
                         });
             }
-            String before = one.toString();
+            String before = tree.toString();
             Tree.TransactionResult transaction = action % 17 == 0
-                    ? one.closeSession(action % 3, action)
-                    : one.apply(operations, 1 + Math.floorMod(action, 2), action);
+                    ? tree.closeSession(action % 3, action)
+                    : tree.apply(operations, 1 + Math.floorMod(action, 2), action);
             if (!transaction.done()) {
-                assertEquals(before, one.toString());
+                assertEquals(before, tree.toString());
             }
-            transaction.changes().forEach(other::replay);
-            assertEquals(one.toString(), other.toString());
+            transaction.changes().forEach(replayed::replay);
+            assertEquals(tree.toString(), replayed.toString());
         }
     }
 
     @Test
-    void watchesAreToldOnceOrAlwaysByTheirKind() {
+    void watchesFireOnceOrRepeatedlyByKind() {
         Watches<String> watches = new Watches<>();
         watches.add(Watches.Kind.DATA, "/a/x", "data");
         watches.add(Watches.Kind.CHILDREN, "/a", "children");
--- a/nodes/src/test/java/saltdale/nodes/WireTest.java
+++ b/nodes/src/test/java/saltdale/nodes/WireTest.java
@@ -24,12 +24,12 @@
 import saltdale.nodes.wire.Stat;
 
 class WireTest {
-    // By hand: length 18; xid 5, getData (4), path of length 5 "/a/bc", no watch.
+    // Encoded by hand: length 18; xid 5, getData (4), path "/a/bc" of length 5, no watch.
     private static final byte[] GET_DATA =
             HexFormat.of().parseHex("00000012" + "00000005" + "00000004" + "00000005" + "2f612f6263" + "00");
 
     @Test
-    void aRequestIsWrittenAsTheProtocolHasIt() {
+    void writesARequestInProtocolFormat() {
         ByteBuffer framed = new RecordWriter()
                 .writeInt(5)
                 .writeInt(4)
@@ -40,12 +40,12 @@
     }
 
     @Test
-    void itIsReadFromEachSplitOfItsBytes() throws MalformedRecordException {
+    void decodesARequestSplitAtAnyByte() throws MalformedRecordException {
         for (int split = 0; split <= GET_DATA.length; split++) {
             List<byte[]> records = new ArrayList<>();
-            FrameDecoder frames = new FrameDecoder(1 << 20, records::add);
-            frames.decode(ByteBuffer.wrap(GET_DATA, 0, split));
-            frames.decode(ByteBuffer.wrap(GET_DATA, split, GET_DATA.length - split));
+            FrameDecoder decoder = new FrameDecoder(1 << 20, records::add);
+            decoder.decode(ByteBuffer.wrap(GET_DATA, 0, split));
+            decoder.decode(ByteBuffer.wrap(GET_DATA, split, GET_DATA.length - split));
             assertEquals(1, records.size());
             RecordReader record = new RecordReader(records.get(0));
             assertEquals(5, record.readInt());
@@ -57,10 +57,10 @@
     }
 
     @Test
-    void aLengthBeyondTheBoundIsAFaultAndAllocatesNothing() {
-        FrameDecoder frames = new FrameDecoder(1 << 20, r -> {});
-        frames.decode(ByteBuffer.wrap(HexFormat.of().parseHex("7fffffff00")));
-        assertNotNull(frames.error());
+    void rejectsLengthsBeyondTheLimitWithoutAllocating() {
+        FrameDecoder decoder = new FrameDecoder(1 << 20, r -> {});
+        decoder.decode(ByteBuffer.wrap(HexFormat.of().parseHex("7fffffff00")));
+        assertNotNull(decoder.error());
         FrameDecoder negative = new FrameDecoder(1 << 20, r -> {});
         negative.decode(ByteBuffer.wrap(HexFormat.of().parseHex("ffffffff")));
         assertNotNull(negative.error());
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void aStatAndAnEventComeBackAsTheyWere() throws MalformedRecordException {
+    void statAndEventSurviveARoundTrip() throws MalformedRecordException {
         Stat stat = new Stat(1, 2, 3, 4, 5, 6, 7, -8, 9, 10, 11);
         RecordWriter out = new RecordWriter();
         stat.write(out);
@@ -83,28 +83,29 @@
     }
 
     @Test
-    void pathsAreCheckedAsTheProtocolHasThem() {
+    void validatesPathsAsTheProtocolDoes() {
         assertNull(Paths.validationError("/"));
         assertNull(Paths.validationError("/a/b-0000000001"));
-        for (String bad : List.of("", "a", "/a/", "//", "/a/../b", "/.", "/a\u0000", "/a//b")) {
-            assertNotNull(Paths.validationError(bad), bad);
+        for (String invalid : List.of("", "a", "/a/", "//", "/a/../b", "/.", "/a\u0000", "/a//b")) {
+            assertNotNull(Paths.validationError(invalid), invalid);
         }
         assertEquals("/", Paths.parent("/a"));
         assertEquals("/a", Paths.parent("/a/b"));
     }
 
     /**
-     * Whatever bytes come, in whatever pieces: nothing but a error or a value, and no more held than came.
+     * For any bytes in any chunks, decoding returns a value or an error, and never holds more bytes than
+     * were received.
      */
     @Property(tries = 2000, seed = "5")
-    void noBytesMakeItThrowOrHang(@ForAll @Size(max = 64) byte[] bytes, @ForAll int cut) {
+    void arbitraryBytesNeitherThrowNorHang(@ForAll @Size(max = 64) byte[] bytes, @ForAll int splitSeed) {
         List<byte[]> records = new ArrayList<>();
-        FrameDecoder frames = new FrameDecoder(4096, records::add);
-        int at = bytes.length == 0 ? 0 : Math.floorMod(cut, bytes.length);
-        frames.decode(ByteBuffer.wrap(bytes, 0, at));
-        frames.decode(ByteBuffer.wrap(bytes, at, bytes.length - at));
-        int held = records.stream().mapToInt(r -> r.length + 4).sum();
-        assertTrue(held <= bytes.length);
+        FrameDecoder decoder = new FrameDecoder(4096, records::add);
+        int at = bytes.length == 0 ? 0 : Math.floorMod(splitSeed, bytes.length);
+        decoder.decode(ByteBuffer.wrap(bytes, 0, at));
+        decoder.decode(ByteBuffer.wrap(bytes, at, bytes.length - at));
+        int decodedBytes = records.stream().mapToInt(r -> r.length + 4).sum();
+        assertTrue(decodedBytes <= bytes.length);
         try {
             RecordReader reader = new RecordReader(bytes);
             reader.readStrings();
