--- a/nodes/src/main/java/saltdale/nodes/list/NodeList.java
+++ b/nodes/src/main/java/saltdale/nodes/list/NodeList.java
@@ -147,9 +147,8 @@
                 return;
             }
             if (error == ErrorCode.NO_NODE) {
-                loop.schedule(
-                        TICK_INTERVAL.multipliedBy(5),
-                        () -> listChildren(number)); // the parent node has not been created yet
+                // The parent node has not been created yet.
+                loop.schedule(TICK_INTERVAL.multipliedBy(5), () -> listChildren(number));
             } else if (error == ErrorCode.OK) {
                 readPass = new HashMap<>();
                 readPlan = new ReadPlan(READS_IN_FLIGHT);
--- a/nodes/src/main/java/saltdale/nodes/list/Registration.java
+++ b/nodes/src/main/java/saltdale/nodes/list/Registration.java
@@ -134,7 +134,7 @@
      */
     private void inspectExisting() {
         client.exists(path, true, (error, stat) -> {
-            if (error == ErrorCode.OK && stat.owner() == client.session()) {
+            if (error == ErrorCode.OK && stat.ephemeralOwner() == client.session()) {
                 nodeHeld();
                 writeData();
             } else if (error == ErrorCode.OK) {
--- a/nodes/src/main/java/saltdale/nodes/membership/Membership.java
+++ b/nodes/src/main/java/saltdale/nodes/membership/Membership.java
@@ -280,7 +280,7 @@
     }
 
     /** Whether a mass disappearance is in progress. */
-    public boolean isMassVanishing() {
+    public boolean isMassDisappearance() {
         return massDisappearance;
     }
 
--- a/nodes/src/main/java/saltdale/nodes/membership/ReadPlan.java
+++ b/nodes/src/main/java/saltdale/nodes/membership/ReadPlan.java
@@ -11,8 +11,8 @@
  */
 public final class ReadPlan {
     private final int maxInFlight;
-    private final Set<String> waiting =
-            new LinkedHashSet<>(); // a linked set, since lookups must stay fast with 10,000 nodes
+    // A set rather than a queue: add() looks names up in it, and there may be 10,000 nodes.
+    private final Set<String> waiting = new LinkedHashSet<>();
     private final Set<String> inFlight = new HashSet<>();
     private long reads;
 
--- a/nodes/src/main/java/saltdale/nodes/standin/NodeServer.java
+++ b/nodes/src/main/java/saltdale/nodes/standin/NodeServer.java
@@ -49,7 +49,7 @@
     private final Sessions sessions;
     private final Watches<ClientConnection> watches = new Watches<>();
     private final Map<Long, ClientConnection> connectionsBySession = new TreeMap<>();
-    private final Set<ClientConnection> open = new HashSet<>();
+    private final Set<ClientConnection> openConnections = new HashSet<>();
     private final Map<InetSocketAddress, Listener> listeners = new HashMap<>();
     private final Journal journal;
     private final LongSupplier unixClockMillis;
@@ -96,13 +96,13 @@
         if (listener != null) {
             listener.close();
         }
-        List.copyOf(open).stream().filter(client -> client.at.equals(at)).forEach(ClientConnection::drop);
+        List.copyOf(openConnections).stream().filter(client -> client.at.equals(at)).forEach(ClientConnection::drop);
     }
 
     /** While paused, neither reads requests nor sends replies; sessions continue to time out meanwhile. */
     public void pause(boolean pause) {
         paused = pause;
-        open.forEach(client -> client.connection.setReadEnabled(!pause));
+        openConnections.forEach(client -> client.connection.setReadEnabled(!pause));
     }
 
     /** Expires a session at once, as if its client had timed out. */
@@ -185,7 +185,7 @@
             this.connection = connection;
             this.at = at;
             connection.setHandler(this);
-            open.add(this);
+            openConnections.add(this);
             connection.setReadEnabled(!paused);
         }
 
@@ -208,7 +208,7 @@
         }
 
         private void unregister() {
-            open.remove(this);
+            openConnections.remove(this);
             watches.removeWatcher(this);
             if (session != null) {
                 connectionsBySession.remove(session.id, this);
@@ -448,7 +448,7 @@
                 Stat stat = tree.stat(path);
                 if (stat == null) {
                     event(new Event(Event.Kind.DELETED, path));
-                } else if (stat.modified() > request.zxid()) {
+                } else if (stat.mzxid() > request.zxid()) {
                     event(new Event(Event.Kind.DATA_CHANGED, path));
                 } else {
                     watches.add(Watches.Kind.DATA, path, this);
@@ -465,7 +465,7 @@
                 Stat stat = tree.stat(path);
                 if (stat == null) {
                     event(new Event(Event.Kind.DELETED, path));
-                } else if (stat.childrenChanged() > request.zxid()) {
+                } else if (stat.pzxid() > request.zxid()) {
                     event(new Event(Event.Kind.CHILDREN_CHANGED, path));
                 } else {
                     watches.add(Watches.Kind.CHILDREN, path, this);
--- a/nodes/src/main/java/saltdale/nodes/standin/Sessions.java
+++ b/nodes/src/main/java/saltdale/nodes/standin/Sessions.java
@@ -30,13 +30,13 @@
 
     private final Duration tick;
     private final SplittableRandom random;
-    private final Map<Long, Session> live = new LinkedHashMap<>();
-    private long next;
+    private final Map<Long, Session> openSessions = new LinkedHashMap<>();
+    private long nextId;
 
     /** Session time-outs are limited to 2 to 20 ticks, as ZooKeeper servers do. */
     public Sessions(Duration tick, long firstId, SplittableRandom random) {
         this.tick = tick;
-        this.next = firstId;
+        this.nextId = firstId;
         this.random = random;
     }
 
@@ -55,23 +55,23 @@
         for (int i = 0; i < password.length; i++) {
             password[i] = (byte) random.nextInt(256);
         }
-        return add(new Session(next++, password, negotiatedTimeout(requested), now));
+        return add(new Session(nextId++, password, negotiatedTimeout(requested), now));
     }
 
     /** Restores a session that was open before a restart; its time-out starts again. */
     public Session restored(Duration now, long id, byte[] password, Duration timeout) {
-        next = Math.max(next, id + 1);
+        nextId = Math.max(nextId, id + 1);
         return add(new Session(id, password, timeout, now));
     }
 
     private Session add(Session session) {
-        live.put(session.id, session);
+        openSessions.put(session.id, session);
         return session;
     }
 
     /** Resumes a session; null if it has expired or if the password does not match. */
     public Session resume(Duration now, long id, byte[] password) {
-        Session session = live.get(id);
+        Session session = openSessions.get(id);
         if (session == null || password == null || !MessageDigest.isEqual(session.password, password)) {
             return null;
         }
@@ -81,12 +81,12 @@
 
     /** The open session of this id; null if there is none. */
     public Session find(long id) {
-        return live.get(id);
+        return openSessions.get(id);
     }
 
     /** Records that the client of a session was heard. */
     public void touch(Duration now, long id) {
-        Session session = live.get(id);
+        Session session = openSessions.get(id);
         if (session != null) {
             session.lastHeardAt = now;
         }
@@ -94,18 +94,18 @@
 
     /** Removes a session. */
     public void close(long id) {
-        live.remove(id);
+        openSessions.remove(id);
     }
 
     /** Number of open sessions. */
     public int size() {
-        return live.size();
+        return openSessions.size();
     }
 
     /** The entries that record all open sessions in a snapshot. */
     List<Journal.Entry> entries() {
         List<Journal.Entry> all = new ArrayList<>();
-        live.values().forEach(s -> all.add(Journal.Entry.opened(s.id, s.password, (int) s.timeout.toMillis())));
+        openSessions.values().forEach(s -> all.add(Journal.Entry.opened(s.id, s.password, (int) s.timeout.toMillis())));
         return all;
     }
 
@@ -115,13 +115,13 @@
      */
     public List<Long> expired(Duration now) {
         List<Long> expiredIds = new ArrayList<>();
-        for (Session each : live.values()) {
+        for (Session each : openSessions.values()) {
             long ticks = (each.lastHeardAt.plus(each.timeout).toNanos() + tick.toNanos() - 1) / tick.toNanos();
             if (now.compareTo(tick.multipliedBy(ticks)) >= 0) {
                 expiredIds.add(each.id);
             }
         }
-        expiredIds.forEach(live::remove);
+        expiredIds.forEach(openSessions::remove);
         return expiredIds;
     }
 }
--- a/nodes/src/main/java/saltdale/nodes/tree/Tree.java
+++ b/nodes/src/main/java/saltdale/nodes/tree/Tree.java
@@ -66,39 +66,39 @@
 
     private static final class Node {
         byte[] data;
-        final long created;
-        final long createdAt;
+        final long czxid;
+        final long ctimeMillis;
         final long owner;
-        long modified;
-        long modifiedAt;
-        long childrenChanged;
+        long mzxid;
+        long mtimeMillis;
+        long pzxid;
         int version;
-        int childVersion;
+        int cversion;
         final Set<String> children = new TreeSet<>();
 
         Node(byte[] data, long zxid, long atMillis, long owner) {
             this.data = data;
-            this.created = zxid;
-            this.createdAt = atMillis;
+            this.czxid = zxid;
+            this.ctimeMillis = atMillis;
             this.owner = owner;
-            modified = zxid;
-            modifiedAt = atMillis;
-            childrenChanged = zxid;
+            mzxid = zxid;
+            mtimeMillis = atMillis;
+            pzxid = zxid;
         }
 
         Stat stat() {
             return new Stat(
-                    created,
-                    modified,
-                    createdAt,
-                    modifiedAt,
+                    czxid,
+                    mzxid,
+                    ctimeMillis,
+                    mtimeMillis,
                     version,
-                    childVersion,
+                    cversion,
                     0,
                     owner,
                     data == null ? 0 : data.length,
                     children.size(),
-                    childrenChanged);
+                    pzxid);
         }
     }
 
@@ -196,7 +196,7 @@
             case CREATE -> {
                 Node parent = nodes.get(Paths.parent(operation.path()));
                 String path = operation.sequential()
-                        ? operation.path() + String.format("%010d", parent.childVersion)
+                        ? operation.path() + String.format("%010d", parent.cversion)
                         : operation.path();
                 if (nodes.containsKey(path)) {
                     return new OperationResult(ErrorCode.NODE_EXISTS, null, null);
@@ -278,7 +278,7 @@
         List<Change> all = new ArrayList<>();
         new TreeMap<>(nodes).forEach((path, node) -> {
             if (!path.equals("/")) {
-                all.add(new Change(node.created, Change.Kind.CREATE, path, node.data, node.owner, node.createdAt));
+                all.add(new Change(node.czxid, Change.Kind.CREATE, path, node.data, node.owner, node.ctimeMillis));
             }
         });
         if (zxid > 0) { // so that no zxid is used twice
@@ -299,18 +299,18 @@
 
     private Runnable create(Change c) {
         Node parent = nodes.get(Paths.parent(c.path()));
-        long childrenChanged = parent.childrenChanged;
+        long pzxid = parent.pzxid;
         nodes.put(c.path(), new Node(c.data(), c.zxid(), c.atMillis(), c.owner()));
         parent.children.add(Paths.name(c.path()));
-        parent.childVersion++;
-        parent.childrenChanged = c.zxid();
+        parent.cversion++;
+        parent.pzxid = c.zxid();
         if (c.owner() != 0) {
             ephemerals.computeIfAbsent(c.owner(), k -> new TreeSet<>()).add(c.path());
         }
         return () -> {
             remove(c.path(), c.owner());
-            parent.childVersion--;
-            parent.childrenChanged = childrenChanged;
+            parent.cversion--;
+            parent.pzxid = pzxid;
         };
     }
 
@@ -329,15 +329,15 @@
     private Runnable delete(Change c) {
         Node node = nodes.get(c.path());
         Node parent = nodes.get(Paths.parent(c.path()));
-        long childrenChanged = parent.childrenChanged;
+        long pzxid = parent.pzxid;
         remove(c.path(), node.owner);
-        parent.childVersion++;
-        parent.childrenChanged = c.zxid();
+        parent.cversion++;
+        parent.pzxid = c.zxid();
         return () -> {
             nodes.put(c.path(), node);
             parent.children.add(Paths.name(c.path()));
-            parent.childVersion--;
-            parent.childrenChanged = childrenChanged;
+            parent.cversion--;
+            parent.pzxid = pzxid;
             if (node.owner != 0) {
                 ephemerals.computeIfAbsent(node.owner, k -> new TreeSet<>()).add(c.path());
             }
@@ -347,16 +347,16 @@
     private Runnable set(Change c) {
         Node node = nodes.get(c.path());
         byte[] data = node.data;
-        long modified = node.modified;
-        long modifiedAt = node.modifiedAt;
+        long mzxid = node.mzxid;
+        long mtimeMillis = node.mtimeMillis;
         node.data = c.data();
-        node.modified = c.zxid();
-        node.modifiedAt = c.atMillis();
+        node.mzxid = c.zxid();
+        node.mtimeMillis = c.atMillis();
         node.version++;
         return () -> {
             node.data = data;
-            node.modified = modified;
-            node.modifiedAt = modifiedAt;
+            node.mzxid = mzxid;
+            node.mtimeMillis = mtimeMillis;
             node.version--;
         };
     }
--- a/nodes/src/main/java/saltdale/nodes/wire/Event.java
+++ b/nodes/src/main/java/saltdale/nodes/wire/Event.java
@@ -17,10 +17,11 @@
         }
     }
 
-    private static final int CONNECTED = 3; // KeeperState SyncConnected, which goes with each event of a live session
+    /** KeeperState SyncConnected, which goes with each event of a live session. */
+    private static final int SYNC_CONNECTED = 3;
 
     public void write(RecordWriter to) {
-        to.writeInt(kind.code).writeInt(CONNECTED).writeString(path);
+        to.writeInt(kind.code).writeInt(SYNC_CONNECTED).writeString(path);
     }
 
     public static Event read(RecordReader from) throws MalformedRecordException {
--- a/nodes/src/main/java/saltdale/nodes/wire/Stat.java
+++ b/nodes/src/main/java/saltdale/nodes/wire/Stat.java
@@ -1,33 +1,33 @@
 package saltdale.nodes.wire;
 
 /**
- * Metadata of a node. Times are Unix time in ms; {@code owner} is the owning session of an ephemeral node
+ * Metadata of a node. Times are Unix time in ms; {@code ephemeralOwner} is the owning session of an ephemeral node
  * and 0 for other nodes.
  */
 public record Stat(
-        long created,
-        long modified,
-        long createdAt,
-        long modifiedAt,
+        long czxid,
+        long mzxid,
+        long ctimeMillis,
+        long mtimeMillis,
         int version,
-        int childVersion,
-        int aclVersion,
-        long owner,
+        int cversion,
+        int aversion,
+        long ephemeralOwner,
         int dataLength,
-        int children,
-        long childrenChanged) {
+        int numChildren,
+        long pzxid) {
     public void write(RecordWriter to) {
-        to.writeLong(created)
-                .writeLong(modified)
-                .writeLong(createdAt)
-                .writeLong(modifiedAt)
+        to.writeLong(czxid)
+                .writeLong(mzxid)
+                .writeLong(ctimeMillis)
+                .writeLong(mtimeMillis)
                 .writeInt(version)
-                .writeInt(childVersion)
-                .writeInt(aclVersion)
-                .writeLong(owner)
+                .writeInt(cversion)
+                .writeInt(aversion)
+                .writeLong(ephemeralOwner)
                 .writeInt(dataLength)
-                .writeInt(children)
-                .writeLong(childrenChanged);
+                .writeInt(numChildren)
+                .writeLong(pzxid);
     }
 
     public static Stat read(RecordReader from) throws MalformedRecordException {
--- a/nodes/src/test/java/saltdale/nodes/MembershipTest.java
+++ b/nodes/src/test/java/saltdale/nodes/MembershipTest.java
@@ -91,7 +91,7 @@
     void massDisappearanceHoldsRunnersUntilProbed() {
         addNodes(10);
         IntStream.range(0, 5).forEach(i -> membership.nodeDeleted(at(100 + i), "n" + i));
-        assertTrue(membership.isMassVanishing());
+        assertTrue(membership.isMassDisappearance());
         // The first three were deleted before the mass disappearance could be recognized; all five are
         // reported as draining until probed.
         assertEquals(
@@ -114,7 +114,7 @@
         membership.tick(at(20_000));
         assertEquals(List.of("n0 GONE", "n2 GONE", "n4 GONE"), reportedChanges());
         membership.tick(at(20_001));
-        assertFalse(membership.isMassVanishing());
+        assertFalse(membership.isMassDisappearance());
     }
 
     @Test
--- a/nodes/src/test/java/saltdale/nodes/SessionTest.java
+++ b/nodes/src/test/java/saltdale/nodes/SessionTest.java
@@ -234,7 +234,7 @@
         server.expire(first);
         await(() -> runner.isHeld() && runner.session() != first);
         assertEquals(List.of("b1"), server.tree().children("/live/boxes"));
-        assertEquals(runner.session(), server.tree().stat("/live/boxes/b1").owner());
+        assertEquals(runner.session(), server.tree().stat("/live/boxes/b1").ephemeralOwner());
         assertEquals(2, runner.creations());
     }
 
@@ -245,11 +245,11 @@
         await(old::isHeld);
         Registration next = runner(1);
         await(() -> next.failureReason() != null);
-        assertEquals(old.session(), server.tree().stat("/live/boxes/b1").owner());
+        assertEquals(old.session(), server.tree().stat("/live/boxes/b1").ephemeralOwner());
         server.expire(old.session());
         old.close(() -> {});
         await(next::isHeld);
-        assertEquals(next.session(), server.tree().stat("/live/boxes/b1").owner());
+        assertEquals(next.session(), server.tree().stat("/live/boxes/b1").ephemeralOwner());
     }
 
     @Test
@@ -283,8 +283,7 @@
         Registration four = runner(4);
         awaitEvent("b4 UP");
         await(four::isHeld);
-        assertEquals(
-                List.of("b4 UP"),
-                events.subList(eventsBeforeRestart, events.size())); // the restart reported no runner as gone
+        // The restart reported no runner as gone.
+        assertEquals(List.of("b4 UP"), events.subList(eventsBeforeRestart, events.size()));
     }
 }
--- a/nodes/src/test/java/saltdale/nodes/TreeTest.java
+++ b/nodes/src/test/java/saltdale/nodes/TreeTest.java
@@ -88,7 +88,7 @@
      */
     @Property(tries = 300, seed = "11")
     void replayedChangesRebuildTheSameTree(@ForAll @Size(max = 150) int[] actions) {
-        Tree tree = new Tree(100);
+        Tree original = new Tree(100);
         Tree replayed = new Tree(100);
         String[] paths = {"/a", "/b", "/a/x", "/a/y", "/b/z", "/a/x/q"};
         for (int action : actions) {
@@ -105,15 +105,15 @@
                             default -> Operation.check(path, bits % 3 - 1);
                         });
             }
-            String before = tree.toString();
+            String before = original.toString();
             Tree.TransactionResult transaction = action % 17 == 0
-                    ? tree.closeSession(action % 3, action)
-                    : tree.apply(operations, 1 + Math.floorMod(action, 2), action);
+                    ? original.closeSession(action % 3, action)
+                    : original.apply(operations, 1 + Math.floorMod(action, 2), action);
             if (!transaction.done()) {
-                assertEquals(before, tree.toString());
+                assertEquals(before, original.toString());
             }
             transaction.changes().forEach(replayed::replay);
-            assertEquals(tree.toString(), replayed.toString());
+            assertEquals(original.toString(), replayed.toString());
         }
     }
 
