--- a/rig/src/main/java/saltdale/rig/experiment/DispatcherProcesses.java
+++ b/rig/src/main/java/saltdale/rig/experiment/DispatcherProcesses.java
@@ -22,8 +22,8 @@
 import saltdale.model.DispatcherSettings;
 import saltdale.model.Workload;
 import saltdale.rig.judge.EventObserver;
-import saltdale.rig.plan.Day;
-import saltdale.rig.plan.Make;
+import saltdale.rig.plan.RunnerType;
+import saltdale.rig.plan.Scenario;
 import saltdale.rig.standin.LoopbackAddresses;
 import saltdale.rig.standin.Origin;
 
@@ -31,47 +31,47 @@
 public final class DispatcherProcesses implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(DispatcherProcesses.class);
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Duration TO_COME_UP = Duration.ofSeconds(30);
-    private static final Duration TO_END = Duration.ofSeconds(6);
-    private static final double TICKS = 100; // of /proc, a second
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(30);
+    private static final Duration STOP_TIMEOUT = Duration.ofSeconds(6);
+    private static final double CLOCK_TICKS_PER_SECOND = 100; // of /proc, a second
 
     private static final class Member {
         volatile Process process;
-        volatile boolean toldToEnd;
-        volatile boolean stopped;
-        double cpuBefore;
-        double cpuOfEarlierLives;
+        volatile boolean expectedToExit;
+        volatile boolean paused;
+        double cpuAtReset;
+        double cpuOfEarlierProcesses;
     }
 
-    private final Day day;
+    private final Scenario scenario;
     private final Version version;
-    private final LoopbackAddresses places;
-    private final Path folder;
+    private final LoopbackAddresses loopback;
+    private final Path directory;
     private final Origin origin;
-    private final EventObserver witness;
+    private final EventObserver observer;
     private final String cpus;
     private final List<Member> members = new ArrayList<>();
-    private volatile boolean ending;
+    private volatile boolean closing;
     // Guards against dispatchers that outlive a rig which was told to end.
-    private final Thread atExit = new Thread(this::destroy, "end of the dispatchers");
+    private final Thread shutdownHook = new Thread(this::destroy, "end of the dispatchers");
 
     /** {@code cpus}: the cores that they share, as taskset names them; null for all. */
     public DispatcherProcesses(
-            Day day,
+            Scenario scenario,
             Version version,
-            LoopbackAddresses places,
-            Path folder,
+            LoopbackAddresses loopback,
+            Path directory,
             Origin origin,
-            EventObserver witness,
+            EventObserver observer,
             String cpus) {
-        this.day = day;
+        this.scenario = scenario;
         this.version = version;
-        this.places = places;
-        this.folder = folder;
+        this.loopback = loopback;
+        this.directory = directory;
         this.origin = origin;
-        this.witness = witness;
+        this.observer = observer;
         this.cpus = cpus;
-        for (int i = 0; i < day.dispatchers; i++) {
+        for (int i = 0; i < scenario.dispatcherCount; i++) {
             members.add(new Member());
         }
     }
@@ -79,19 +79,19 @@
     public List<InetSocketAddress> addresses() {
         List<InetSocketAddress> all = new ArrayList<>();
         for (int i = 0; i < members.size(); i++) {
-            all.add(places.dispatcher(i));
+            all.add(loopback.dispatcher(i));
         }
         return all;
     }
 
     /** Starts all of them, and returns when each answers that it is up. */
-    public void begin() throws IOException {
-        Runtime.getRuntime().addShutdownHook(atExit);
+    public void startAll() throws IOException {
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
         for (int i = 0; i < members.size(); i++) {
-            Files.writeString(folder.resolve("config-" + i + ".json"), configuration(day, i));
+            Files.writeString(directory.resolve("config-" + i + ".json"), configuration(scenario, i));
             start(i);
         }
-        long end = System.nanoTime() + TO_COME_UP.toNanos();
+        long end = System.nanoTime() + START_TIMEOUT.toNanos();
         for (int i = 0; i < members.size(); i++) {
             while (!isUp(i)) {
                 if (!members.get(i).process.isAlive()) {
@@ -101,16 +101,16 @@
                 } else if (System.nanoTime() > end) {
                     throw new IOException("dispatcher " + i + " of " + version.name()
                             + " did not come up within "
-                            + TO_COME_UP.toSeconds() + " s: " + lastLine(i));
+                            + START_TIMEOUT.toSeconds() + " s: " + lastLine(i));
                 }
-                pause(20);
+                sleep(20);
             }
         }
     }
 
     private String lastLine(int i) {
         try {
-            List<String> lines = Files.readAllLines(folder.resolve("dispatcher-" + i + ".log"));
+            List<String> lines = Files.readAllLines(directory.resolve("dispatcher-" + i + ".log"));
             return lines.isEmpty() ? "it said nothing" : lines.get(lines.size() - 1);
         } catch (IOException e) {
             return "its log can't be read";
@@ -128,17 +128,17 @@
         ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(
-                        folder.resolve("dispatcher-" + i + ".log").toFile()));
+                        directory.resolve("dispatcher-" + i + ".log").toFile()));
         builder.environment()
                 .putAll(Map.of(
                         "EDGE_NAME",
                         "d" + i,
                         "EDGE_LISTEN",
-                        LoopbackAddresses.text(places.dispatcher(i)),
+                        LoopbackAddresses.text(loopback.dispatcher(i)),
                         "EDGE_DISCOVERY",
-                        LoopbackAddresses.text(places.list(i)),
+                        LoopbackAddresses.text(loopback.list(i)),
                         "EDGE_CONFIG",
-                        folder.resolve("config-" + i + ".json").toString()));
+                        directory.resolve("config-" + i + ".json").toString()));
         members.get(i).process = builder.start();
     }
 
@@ -148,7 +148,7 @@
 
     /** What it answers to this; nothing where it does not. */
     public String get(int i, String path) {
-        InetSocketAddress at = places.dispatcher(i);
+        InetSocketAddress at = loopback.dispatcher(i);
         try (Socket socket = new Socket()) {
             socket.connect(at, 500);
             socket.setSoTimeout(1000);
@@ -162,7 +162,7 @@
         }
     }
 
-    private static void pause(long millis) {
+    private static void sleep(long millis) {
         try {
             Thread.sleep(millis);
         } catch (InterruptedException e) {
@@ -173,39 +173,39 @@
     /** Kills one outright. */
     public void kill(int i) {
         Member member = members.get(i);
-        member.toldToEnd = true;
-        member.cpuOfEarlierLives += cpu(member.process);
-        witness.dispatcherKilled(origin.now(), i);
+        member.expectedToExit = true;
+        member.cpuOfEarlierProcesses += cpuSeconds(member.process);
+        observer.dispatcherKilled(origin.now(), i);
         member.process.destroyForcibly();
         try {
             member.process.waitFor(5, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        witness.dispatcherKilled(origin.now(), i); // what it took between the two is its clients' too
+        observer.dispatcherKilled(origin.now(), i); // what it took between the two is its clients' too
     }
 
     /** Tells one to end in order. */
-    public void end(int i) {
+    public void shutDown(int i) {
         Member member = members.get(i);
-        member.toldToEnd = true;
+        member.expectedToExit = true;
         member.process.destroy();
     }
 
     /** Stops processes where they stand; each is judged as stopped from before the signal. */
-    public void stop(List<Integer> which) {
+    public void pause(List<Integer> which) {
         which.forEach(i -> {
-            members.get(i).stopped = true;
-            witness.dispatcherPaused(origin.now(), i);
+            members.get(i).paused = true;
+            observer.dispatcherPaused(origin.now(), i);
         });
         signal("STOP", which);
     }
 
-    public void goOn(List<Integer> which) {
+    public void resume(List<Integer> which) {
         signal("CONT", which);
         which.forEach(i -> {
-            members.get(i).stopped = false;
-            witness.dispatcherResumed(origin.now(), i);
+            members.get(i).paused = false;
+            observer.dispatcherResumed(origin.now(), i);
         });
     }
 
@@ -232,15 +232,15 @@
     }
 
     /** Starts one again; one that was told to end and has not is waited for, as a platform would before it kills. */
-    public void revive(int i) {
+    public void restart(int i) {
         Member member = members.get(i);
         try {
-            if (!ending) {
-                if (!member.process.waitFor(TO_END.toMillis(), TimeUnit.MILLISECONDS)) {
-                    LOG.warn("dispatcher {} did not end within {} s: killed", i, TO_END.toSeconds());
+            if (!closing) {
+                if (!member.process.waitFor(STOP_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)) {
+                    LOG.warn("dispatcher {} did not end within {} s: killed", i, STOP_TIMEOUT.toSeconds());
                     kill(i);
                 }
-                member.toldToEnd = false;
+                member.expectedToExit = false;
                 start(i);
             }
         } catch (InterruptedException e) {
@@ -251,36 +251,36 @@
     }
 
     /** From now on the CPU counts. */
-    public void countCpu() {
+    public void resetCpu() {
         for (Member member : members) {
-            member.cpuBefore = cpu(member.process);
-            member.cpuOfEarlierLives = 0;
+            member.cpuAtReset = cpuSeconds(member.process);
+            member.cpuOfEarlierProcesses = 0;
         }
     }
 
     /** Seconds of CPU that all of them have used since. */
-    public double cpu() {
+    public double cpuSeconds() {
         double all = 0;
         for (Member member : members) {
-            all += member.cpuOfEarlierLives
-                    + cpu(member.process)
-                    - (member.cpuOfEarlierLives == 0 ? member.cpuBefore : 0);
+            all += member.cpuOfEarlierProcesses
+                    + cpuSeconds(member.process)
+                    - (member.cpuOfEarlierProcesses == 0 ? member.cpuAtReset : 0);
         }
         return all;
     }
 
-    private static double cpu(Process process) {
+    private static double cpuSeconds(Process process) {
         try {
             String stat = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-            return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / TICKS;
+            return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / CLOCK_TICKS_PER_SECOND;
         } catch (IOException e) {
             return 0; // it has ended
         }
     }
 
     /** The most memory that any of them held, MiB. */
-    public double memory() {
+    public double maxMemoryMb() {
         double most = 0;
         for (Member member : members) {
             try {
@@ -304,7 +304,7 @@
     public List<Integer> crashed() {
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < members.size(); i++) {
-            if (!members.get(i).process.isAlive() && !members.get(i).toldToEnd) {
+            if (!members.get(i).process.isAlive() && !members.get(i).expectedToExit) {
                 all.add(i);
             }
         }
@@ -312,17 +312,17 @@
     }
 
     private void destroy() {
-        ending = true;
-        goOnAll();
+        closing = true;
+        resumeAll();
         members.stream().filter(m -> m.process != null).forEach(m -> m.process.destroy());
     }
 
     /** Guards against processes that stay for ever: one that is stopped hears of no signal to end. */
-    private void goOnAll() {
+    private void resumeAll() {
         signal(
                 "CONT",
                 IntStream.range(0, members.size())
-                        .filter(i -> members.get(i).stopped)
+                        .filter(i -> members.get(i).paused)
                         .boxed()
                         .toList());
     }
@@ -341,17 +341,17 @@
             }
         }
         try {
-            Runtime.getRuntime().removeShutdownHook(atExit);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
             // it is on its way
         }
     }
 
     /** What a dispatcher of this day is told, in the words of the platform. */
-    public static String configuration(Day day, int i) throws IOException {
-        DispatcherSettings o = day.orders(i);
+    public static String configuration(Scenario scenario, int i) throws IOException {
+        DispatcherSettings o = scenario.dispatcherSettings(i);
         ObjectNode root = JSON.createObjectNode();
-        root.put("name", "d" + i).put("seed", Long.toHexString(day.seed * 1000 + i + 1));
+        root.put("name", "d" + i).put("seed", Long.toHexString(scenario.seed * 1000 + i + 1));
         root.putObject("limits").put("sockets", 4096).put("memory_mb", 192).put("cores", 1.0);
         if (o.overload != null) {
             root.putObject("overload")
@@ -376,13 +376,13 @@
                 .put("MostDispatches", o.maxAttempts)
                 .put("MaxRetryAfter", us(o.maxRetryAfter))
                 .put("DialTimeout", us(o.connectTimeout))
-                .put("IdleClose", us(day.idleClose));
+                .put("IdleClose", us(scenario.idleClose));
         settings.putObject("Contract")
                 .put("ColdFrom", o.coldCapacity)
                 .put("WarmWithin", us(o.warmUpTime))
                 .put("TipMultiple", o.coldLimitMultiple)
                 .put("Fall", us(o.coldLimitWindow))
-                .put("DrainGrace", us(day.drainGrace))
+                .put("DrainGrace", us(scenario.drainGrace))
                 .put("LateShedding", o.lateRejections);
         settings.putObject("Callers").put("MarksRetry", o.retriesMarked);
         settings.putObject("Tariffs").put("CrossZone", o.crossZonePrice);
@@ -397,8 +397,8 @@
                 .add("x0");
         family.put("ReportX0", "free slots");
         ArrayNode kinds = settings.putArray("MachineTypes");
-        day.makes.stream().map(Make::name).forEach(kinds::add);
-        day.zones.forEach(settings.putArray("Zones")::add);
+        scenario.runnerTypes.stream().map(RunnerType::name).forEach(kinds::add);
+        scenario.zones.forEach(settings.putArray("Zones")::add);
         ArrayNode workloads = settings.putArray("Workloads");
         for (Workload w : o.workloads) {
             ObjectNode row = workloads.addObject();
--- a/rig/src/main/java/saltdale/rig/experiment/Expectation.java
+++ b/rig/src/main/java/saltdale/rig/experiment/Expectation.java
@@ -4,25 +4,25 @@
 import java.util.Map;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import saltdale.rig.plan.Misread;
+import saltdale.rig.plan.InvalidInputException;
 
 /** One line that turns figures into a verdict, such as {@code now.service >= before.service - 0.02}. */
 public final class Expectation {
-    private static final Pattern LINE = Pattern.compile(
+    private static final Pattern LINE_PATTERN = Pattern.compile(
             "\\s*([A-Za-z][\\w.%-]*)\\s*(<=|>=|==|!=|<|>)\\s*([A-Za-z][\\w.%-]*|-?[\\d.]+)\\s*(?:([*+-])\\s*([\\d.]+))?\\s*");
 
     /** What came of it, in words. */
-    public record Verdict(boolean kept, String words) {}
+    public record Verdict(boolean met, String words) {}
 
     private final String line;
     private final Matcher parts;
 
     public Expectation(String file, String line) {
         this.line = line;
-        parts = LINE.matcher(line);
+        parts = LINE_PATTERN.matcher(line);
         if (!parts.matches()) {
-            throw new Misread(file + ": expect: \"" + line + "\" is not of the form \"figure >= number\" or "
-                    + "\"figure <= other.figure * 1.1\"");
+            throw new InvalidInputException(file + ": expect: \"" + line
+                    + "\" is not of the form \"figure >= number\" or " + "\"figure <= other.figure * 1.1\"");
         }
     }
 
@@ -42,7 +42,7 @@
                 default -> right - by;
             };
         }
-        boolean kept = switch (parts.group(2)) {
+        boolean met = switch (parts.group(2)) {
             case "<=" -> left <= right;
             case ">=" -> left >= right;
             case "<" -> left < right;
@@ -50,6 +50,6 @@
             case "==" -> left.doubleValue() == right;
             default -> left.doubleValue() != right;
         };
-        return new Verdict(kept, String.format(Locale.ROOT, "%s: %.4g against %.4g", line, left, right));
+        return new Verdict(met, String.format(Locale.ROOT, "%s: %.4g against %.4g", line, left, right));
     }
 }
--- /dev/null
+++ b/rig/src/main/java/saltdale/rig/experiment/RunResult.java
@@ -0,0 +1,34 @@
+package saltdale.rig.experiment;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import saltdale.rig.judge.Violation;
+import saltdale.rig.load.RequestStatistics;
+import saltdale.rig.load.RunnerLoadHistory;
+
+/**
+ * What one run gave.
+ *
+ * @param figures by name; times in ms
+ * @param isVoid why it does not count; null where it does
+ */
+public record RunResult(
+        String version,
+        String point,
+        int repeat,
+        Map<String, Double> figures,
+        List<Violation> violations,
+        String voidReason,
+        RequestStatistics statistics,
+        RunnerLoadHistory loadHistory) {
+    static Map<String, Double> figures(
+            RequestStatistics statistics, long violations, long requests, long answered, long dispatches) {
+        Map<String, Double> all = new LinkedHashMap<>(statistics.figures());
+        all.put("rules_broken", (double) violations);
+        all.put("requests", (double) requests);
+        all.put("requests_answered", (double) answered);
+        all.put("dispatches_per_request", dispatches / (double) Math.max(1, requests));
+        return all;
+    }
+}
--- a/rig/src/main/java/saltdale/rig/experiment/Series.java
+++ b/rig/src/main/java/saltdale/rig/experiment/Series.java
@@ -3,8 +3,8 @@
 import com.fasterxml.jackson.databind.node.ArrayNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import java.util.List;
-import saltdale.rig.load.Tally;
-import saltdale.rig.load.Watch;
+import saltdale.rig.load.RequestStatistics;
+import saltdale.rig.load.RunnerLoadHistory;
 
 /** What a run was like over time, as its results keep it for the report. */
 final class Series {
@@ -13,8 +13,8 @@
 
     private Series() {}
 
-    static void write(ObjectNode to, Outcome o) {
-        List<Tally.Second> seconds = o.tally().seconds();
+    static void write(ObjectNode to, RunResult o) {
+        List<RequestStatistics.Second> seconds = o.statistics().seconds();
         for (double percentile : PERCENTILES) {
             ArrayNode line = to.withObject("/latency_ms").putArray(percentile == 100 ? "most" : "p" + (int) percentile);
             for (int i = 0; i < seconds.size(); i++) {
@@ -34,13 +34,13 @@
                             .add((double) of[1] / Math.max(1, of[0])));
         }
         ArrayNode runners = to.putArray("runners");
-        for (List<Watch.Sample> samples : o.watch().samples()) {
+        for (List<RunnerLoadHistory.Sample> samples : o.loadHistory().samples()) {
             ArrayNode line = runners.addArray();
-            for (Watch.Sample each : samples) {
+            for (RunnerLoadHistory.Sample each : samples) {
                 line.addArray()
                         .add(each.at().minus(samples.get(0).at()).toNanos() / 1e9)
-                        .add(each.held())
-                        .add(Double.isNaN(each.told()) ? -1 : each.told());
+                        .add(each.inFlight())
+                        .add(Double.isNaN(each.reported()) ? -1 : each.reported());
             }
         }
     }
--- a/rig/src/main/java/saltdale/rig/experiment/Version.java
+++ b/rig/src/main/java/saltdale/rig/experiment/Version.java
@@ -3,8 +3,8 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
-import saltdale.rig.plan.Misread;
-import saltdale.rig.plan.Sheet;
+import saltdale.rig.plan.InvalidInputException;
+import saltdale.rig.plan.TomlTable;
 import saltdale.rig.simulate.BaselineDispatcher;
 
 /**
@@ -19,8 +19,8 @@
         String name,
         List<String> flags,
         List<String> program,
-        BaselineDispatcher.SelectionPolicy choice,
-        boolean levels) {
+        BaselineDispatcher.SelectionPolicy baseline,
+        boolean overloadAware) {
     public Version(String name, List<String> flags, List<String> program) {
         this(name, flags, program, null, true);
     }
@@ -29,38 +29,38 @@
     static final List<String> FLAGS = List.of(
             "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-Xms24m", "-Xmx112m", "-Xss512k");
 
-    private static String name(Sheet row) {
+    private static String name(TomlTable row) {
         String name = row.required("name");
         if (!name.matches("[A-Za-z0-9_-]+") || name.equals("difference")) {
-            throw row.wrong("name", "a name of letters, figures, _ and -");
+            throw row.invalid("name", "a name of letters, figures, _ and -");
         }
         return name;
     }
 
     /** One that is played in simulated time: this build's module, or a baseline. */
-    static Version simulated(Sheet row) {
+    static Version readSimulated(TomlTable row) {
         String name = name(row);
-        BaselineDispatcher.SelectionPolicy choice =
-                row.has("baseline") ? row.word("baseline", BaselineDispatcher.SelectionPolicy.RANDOM) : null;
-        return new Version(name, List.of(), List.of(), choice, row.flag("levels", true));
+        BaselineDispatcher.SelectionPolicy baseline =
+                row.has("baseline") ? row.enumValue("baseline", BaselineDispatcher.SelectionPolicy.RANDOM) : null;
+        return new Version(name, List.of(), List.of(), baseline, row.bool("levels", true));
     }
 
-    static Version read(Sheet row, Path home, Path beside) {
+    static Version read(TomlTable row, Path home, Path baseDirectory) {
         String name = name(row);
-        String jar = row.text("jar", null);
-        Path at = jar == null ? own(home) : beside.resolve(jar);
+        String jar = row.string("jar", null);
+        Path at = jar == null ? builtJar(home) : baseDirectory.resolve(jar);
         if (!Files.isReadable(at)) {
-            throw new Misread(row.file() + ": version " + name + ": no jar at " + at);
+            throw new InvalidInputException(row.file() + ": version " + name + ": no jar at " + at);
         }
-        return new Version(name, row.texts("flags", FLAGS), List.of("-jar", at.toString(), "serve"));
+        return new Version(name, row.strings("flags", FLAGS), List.of("-jar", at.toString(), "serve"));
     }
 
     /** The build of this checkout. */
-    public static Version own(String name, Path home) {
-        return new Version(name, FLAGS, List.of("-jar", own(home).toString(), "serve"));
+    public static Version current(String name, Path home) {
+        return new Version(name, FLAGS, List.of("-jar", builtJar(home).toString(), "serve"));
     }
 
-    private static Path own(Path home) {
+    private static Path builtJar(Path home) {
         return home.resolve("daemon/target/saltdale.jar");
     }
 }
--- a/rig/src/main/java/saltdale/rig/fleet/ReceiptStore.java
+++ b/rig/src/main/java/saltdale/rig/fleet/ReceiptStore.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 import saltdale.model.Workload;
-import saltdale.rig.plan.Day;
+import saltdale.rig.plan.Scenario;
 
 /** The receipts shared by a group of runners, each stored for the deduplication window of its workload. */
 public final class ReceiptStore {
@@ -23,12 +23,12 @@
     }
 
     /** The stores of the runners of a day, by runner number. */
-    public static List<ByScope> of(Day day) {
+    public static List<ByScope> of(Scenario day) {
         ReceiptStore all = new ReceiptStore();
         Map<String, ReceiptStore> zones = new HashMap<>();
         Map<Integer, ReceiptStore> cells = new HashMap<>();
         List<ByScope> shared = new ArrayList<>();
-        for (int i = 0; i < day.runners; i++) {
+        for (int i = 0; i < day.runnerCount; i++) {
             shared.add(new ByScope(
                     all,
                     zones.computeIfAbsent(day.zone(i), k -> new ReceiptStore()),
--- a/rig/src/main/java/saltdale/rig/fleet/RunnerModel.java
+++ b/rig/src/main/java/saltdale/rig/fleet/RunnerModel.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import saltdale.model.LoadReport;
-import saltdale.rig.plan.Make;
+import saltdale.rig.plan.RunnerType;
 
 /**
  * A model of a runner, without I/O or a clock: its owner passes the time and receives the events of the jobs through a
@@ -55,7 +55,7 @@
 
     private record LoadSample(long atNanos, int waiting, int running) {}
 
-    public final Make make;
+    public final RunnerType make;
     private final JobListener listener;
     private final SplittableRandom random;
     private final ReceiptStore.ByScope receipts;
@@ -80,7 +80,7 @@
      * @param meanWorkSeconds the mean work of a job, with which that is calculated
      */
     public RunnerModel(
-            Make make,
+            RunnerType make,
             ReceiptStore.ByScope receipts,
             double coldLimitMultiple,
             Duration coldLimitWindow,
@@ -131,10 +131,11 @@
     }
 
     private double capacityShare(long at) {
-        double warmUpNanos = make.warmWithin().toNanos();
+        double warmUpNanos = make.warmUpTime().toNanos();
         return startedNanos == Long.MIN_VALUE || at - startedNanos >= warmUpNanos
                 ? 1
-                : make.coldFrom() + (1 - make.coldFrom()) * Math.max(0, (at - startedNanos) / warmUpNanos);
+                : make.coldCapacityShare()
+                        + (1 - make.coldCapacityShare()) * Math.max(0, (at - startedNanos) / warmUpNanos);
     }
 
     /** The time of the next event or change of state without a call; null for never. */
@@ -186,7 +187,7 @@
 
     private void processDueEvents() {
         if (nextWarmUpStepNanos <= nowNanos) {
-            long stepNanos = make.warmWithin().toNanos() / WARM_UP_STEPS;
+            long stepNanos = make.warmUpTime().toNanos() / WARM_UP_STEPS;
             nextWarmUpStepNanos = capacityShare(nowNanos) >= 1 ? NEVER : nowNanos + stepNanos;
         }
         for (RunnerJob job : List.copyOf(running)) {
@@ -195,7 +196,7 @@
                 boolean shed = condition.lateShedShare() > 0 && random.nextDouble() < condition.lateShedShare();
                 listener.ended(now(), job, job.fails ? JobEnd.FAILED : shed ? JobEnd.SHED : JobEnd.DONE);
             } else if (job.nextProgressNanos <= nowNanos) {
-                job.nextProgressNanos = nowNanos + make.progressEvery().toNanos();
+                job.nextProgressNanos = nowNanos + make.progressInterval().toNanos();
                 listener.progressed(now(), job, Math.min(1, 1 - job.remainingSeconds / job.totalSeconds));
             }
         }
@@ -234,9 +235,9 @@
         while (running.size() < make.slots() && !waiting.isEmpty() && !condition.stalled()) {
             RunnerJob job = selectNextJob();
             waiting.remove(job);
-            job.nextProgressNanos = make.progressEvery().isZero()
+            job.nextProgressNanos = make.progressInterval().isZero()
                     ? NEVER
-                    : nowNanos + make.progressEvery().toNanos();
+                    : nowNanos + make.progressInterval().toNanos();
             if (job.receipt != null
                     && receipts != null
                     && !receipts.of(job.workload).isNew(job.receipt, job.workload.dedupWindow, nowNanos)) {
@@ -268,12 +269,12 @@
         advance(at);
         boolean wasWaiting = waiting.removeIf(job -> job.id.equals(id) && job.dispatcher == dispatcher);
         boolean isRunning = running.stream().anyMatch(job -> job.id.equals(id) && job.dispatcher == dispatcher);
-        if (isRunning && make.cancelStops()) {
+        if (isRunning && make.cancelStopsRunning()) {
             running.removeIf(job -> job.id.equals(id) && job.dispatcher == dispatcher);
             startWaitingJobs();
         }
         updateRate();
-        return wasWaiting || !isRunning || make.cancelStops();
+        return wasWaiting || !isRunning || make.cancelStopsRunning();
     }
 
     /** Sets the disturbances from now on. */
@@ -337,18 +338,19 @@
     private void updateRate() {
         int runningCount = running.size();
         double cores = make.cores() * (1 - condition.coresTakenShare());
-        double excessLoad = Math.max(0, (runningCount + waiting.size()) / (double) make.cores() - make.thrashAt());
+        double excessLoad =
+                Math.max(0, (runningCount + waiting.size()) / (double) make.cores() - make.thrashThreshold());
         jobRate = runningCount == 0 || condition.stalled()
                 ? 0
                 : Math.min(1, cores / runningCount)
                         * make.speed()
                         * capacityShare(nowNanos)
                         / condition.slowdownFactor()
-                        / (1 + make.thrash() * excessLoad);
+                        / (1 + make.thrashFactor() * excessLoad);
         loadHistory.addLast(new LoadSample(nowNanos, waiting.size(), runningCount));
         long oldestNeededNanos = nowNanos
                 - 2
-                        * (make.reportEvery().toNanos()
+                        * (make.reportInterval().toNanos()
                                 + make.reportDelay().toNanos()
                                 + (long) (condition.reportDelaySeconds() * 1e9));
         while (loadHistory.size() > 1 && second(loadHistory).atNanos <= oldestNeededNanos) {
@@ -366,7 +368,7 @@
     public LoadReport report(Duration at) {
         advance(at);
         long sampleNanos = nowNanos - make.reportDelay().toNanos() - (long) (condition.reportDelaySeconds() * 1e9);
-        long intervalNanos = make.reportEvery().toNanos();
+        long intervalNanos = make.reportInterval().toNanos();
         sampleNanos = intervalNanos == 0 ? sampleNanos : sampleNanos / intervalNanos * intervalNanos;
         LoadSample sample = new LoadSample(0, 0, 0);
         for (LoadSample candidate : loadHistory) {
--- a/rig/src/main/java/saltdale/rig/fleet/TroubleSchedule.java
+++ b/rig/src/main/java/saltdale/rig/fleet/TroubleSchedule.java
@@ -95,8 +95,8 @@
                     addStartAndEnd(
                             actions,
                             trouble,
-                            trouble.onWire() ? Action.CHANGE_WIRE : Action.CHANGE_CONDITION,
-                            trouble.onWire() ? Action.CHANGE_WIRE : Action.CHANGE_CONDITION);
+                            trouble.isWireFault() ? Action.CHANGE_WIRE : Action.CHANGE_CONDITION,
+                            trouble.isWireFault() ? Action.CHANGE_WIRE : Action.CHANGE_CONDITION);
             }
         }
         actions.sort(Comparator.comparing(ScheduledAction::at));
@@ -118,19 +118,19 @@
 
     /** The condition of the link between these two at this time. */
     public LinkCondition linkCondition(int runner, int dispatcher, Duration at) {
-        return linkConditionOf(at, trouble -> trouble.befalls(runner, dispatcher));
+        return linkConditionOf(at, trouble -> trouble.affectsPath(runner, dispatcher));
     }
 
     /** The condition of the link from this dispatcher to the runner list at this time. */
     public LinkCondition listLinkCondition(int dispatcher, Duration at) {
         return linkConditionOf(
-                at, trouble -> trouble.list() && trouble.dispatchers().contains(dispatcher));
+                at, trouble -> trouble.runnerList() && trouble.dispatchers().contains(dispatcher));
     }
 
     private LinkCondition linkConditionOf(Duration at, Predicate<Trouble> filter) {
         LinkCondition combined = LinkCondition.CLEAR;
         for (Trouble trouble : troubles) {
-            if (trouble.onWay()
+            if (trouble.isPathFault()
                     && at.compareTo(trouble.at()) >= 0
                     && at.compareTo(trouble.end()) < 0
                     && filter.test(trouble)) {
@@ -171,7 +171,7 @@
     /** The troubles that alter bytes on the connections of this runner at this time. */
     public List<Trouble> wireTroubles(int runner, Duration at) {
         return troubles.stream()
-                .filter(trouble -> trouble.onWire() && isActive(trouble, runner, at))
+                .filter(trouble -> trouble.isWireFault() && isActive(trouble, runner, at))
                 .toList();
     }
 
--- a/rig/src/main/java/saltdale/rig/judge/EventObserver.java
+++ b/rig/src/main/java/saltdale/rig/judge/EventObserver.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 import saltdale.model.Workload;
-import saltdale.rig.plan.Make;
+import saltdale.rig.plan.RunnerType;
 
 /**
  * Receives the events observed by clients, runners and the runner list, in time order. No event relies on the statement
@@ -59,7 +59,7 @@
     default void runnerSilent(Duration at, int runner) {}
 
     /** This runner has started and is cold. */
-    default void runnerStarted(Duration at, int runner, Make make) {}
+    default void runnerStarted(Duration at, int runner, RunnerType make) {}
 
     /** This dispatcher was sent a list entry; {@code runnerStartedAt} is null for a start long ago. */
     default void listEntryReceived(
--- a/rig/src/main/java/saltdale/rig/judge/EventRecorder.java
+++ b/rig/src/main/java/saltdale/rig/judge/EventRecorder.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.function.Consumer;
 import saltdale.model.Workload;
-import saltdale.rig.plan.Make;
+import saltdale.rig.plan.RunnerType;
 
 /** Records events of several threads, to replay them to a judge in time order after the run. Thread-safe. */
 public final class EventRecorder implements EventObserver {
@@ -104,7 +104,7 @@
     }
 
     @Override
-    public void runnerStarted(Duration at, int runner, Make make) {
+    public void runnerStarted(Duration at, int runner, RunnerType make) {
         record(at, observer -> observer.runnerStarted(at, runner, make));
     }
 
--- a/rig/src/main/java/saltdale/rig/judge/Judge.java
+++ b/rig/src/main/java/saltdale/rig/judge/Judge.java
@@ -13,7 +13,7 @@
 import java.util.TreeMap;
 import saltdale.model.Workload;
 import saltdale.rig.fleet.ColdBudget;
-import saltdale.rig.plan.Make;
+import saltdale.rig.plan.RunnerType;
 
 /**
  * Checks the four dispatching rules against events observed outside the dispatchers. Events must arrive in time
@@ -87,7 +87,7 @@
 
     /** The time after the start of a runner in which it has less than its full capacity. */
     private static final class ColdPhase {
-        Make make;
+        RunnerType make;
         Duration startedAt;
         ColdBudget budget;
         boolean reported;
@@ -441,13 +441,13 @@
             return;
         }
         Duration age = at.minus(coldPhase.startedAt);
-        Duration warmUpTime = coldPhase.make.warmWithin();
+        Duration warmUpTime = coldPhase.make.warmUpTime();
         if (age.compareTo(warmUpTime) >= 0) {
             coldPhase.budget = null;
             return;
         }
-        double share =
-                coldPhase.make.coldFrom() + (1 - coldPhase.make.coldFrom()) * age.toNanos() / warmUpTime.toNanos();
+        double share = coldPhase.make.coldCapacityShare()
+                + (1 - coldPhase.make.coldCapacityShare()) * age.toNanos() / warmUpTime.toNanos();
         ListEntry entry = listEntries.get(linkKey(dispatcher, runner));
         boolean informed = entry != null
                 && entry.runnerStartedAt != null
@@ -518,7 +518,7 @@
     }
 
     @Override
-    public void runnerStarted(Duration at, int runner, Make make) {
+    public void runnerStarted(Duration at, int runner, RunnerType make) {
         ColdPhase coldPhase = new ColdPhase();
         coldPhase.make = make;
         coldPhase.startedAt = at;
--- a/rig/src/main/java/saltdale/rig/judge/JudgeSettings.java
+++ b/rig/src/main/java/saltdale/rig/judge/JudgeSettings.java
@@ -1,7 +1,7 @@
 package saltdale.rig.judge;
 
 import java.time.Duration;
-import saltdale.rig.plan.Day;
+import saltdale.rig.plan.Scenario;
 
 /**
  * The parameters of the dispatching rules.
@@ -31,24 +31,24 @@
         String[] machineTypes,
         int[] cells) {
     /** The settings for a day. */
-    public static JudgeSettings of(Day day, Duration timingTolerance) {
-        String[] zones = new String[day.runners];
-        String[] machineTypes = new String[day.runners];
-        int[] cells = new int[day.runners];
-        for (int i = 0; i < day.runners; i++) {
+    public static JudgeSettings of(Scenario day, Duration timingTolerance) {
+        String[] zones = new String[day.runnerCount];
+        String[] machineTypes = new String[day.runnerCount];
+        int[] cells = new int[day.runnerCount];
+        for (int i = 0; i < day.runnerCount; i++) {
             zones[i] = day.zone(i);
-            machineTypes[i] = day.make(i).name();
+            machineTypes[i] = day.runnerType(i).name();
             cells[i] = day.cell(i);
         }
         return new JudgeSettings(
                 day.answerGrace,
                 day.drainGrace,
                 timingTolerance,
-                day.orders.parallelAttempts,
-                day.orders.lateRejections,
-                day.orders.coldLimitMultiple,
-                day.orders.coldLimitWindow,
-                day.meanSize(),
+                day.dispatcherSettings.parallelAttempts,
+                day.dispatcherSettings.lateRejections,
+                day.dispatcherSettings.coldLimitMultiple,
+                day.dispatcherSettings.coldLimitWindow,
+                day.meanWorkSeconds(),
                 zones,
                 machineTypes,
                 cells);
--- a/rig/src/main/java/saltdale/rig/load/Arrivals.java
+++ b/rig/src/main/java/saltdale/rig/load/Arrivals.java
@@ -5,49 +5,49 @@
 import java.util.List;
 import java.util.NoSuchElementException;
 import java.util.SplittableRandom;
-import saltdale.rig.plan.Job;
+import saltdale.rig.plan.PlannedWorkload;
 import saltdale.rig.plan.Traffic;
 
 /**
  * The asks of a day by their intended times, fixed beforehand: a Poisson process whose rate follows the
  * shape, made by thinning. Nothing that happens later moves one of them.
  */
-public final class Arrivals implements Iterator<Ask> {
+public final class Arrivals implements Iterator<ClientRequest> {
     private final Traffic traffic;
-    private final List<Job> jobs;
-    private final double allShares;
+    private final List<PlannedWorkload> workloads;
+    private final double shareSum;
     private final double end;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     private double at;
     private long number;
-    private Ask next;
+    private ClientRequest nextRequest;
 
-    public Arrivals(Traffic traffic, List<Job> jobs, Duration length, long seed) {
+    public Arrivals(Traffic traffic, List<PlannedWorkload> workloads, Duration length, long seed) {
         this.traffic = traffic;
-        this.jobs = jobs;
-        this.allShares = jobs.stream().mapToDouble(Job::share).sum();
+        this.workloads = workloads;
+        this.shareSum = workloads.stream().mapToDouble(PlannedWorkload::share).sum();
         this.end = length.toNanos() / 1e9;
-        this.chance = new SplittableRandom(seed);
+        this.random = new SplittableRandom(seed);
         advance();
     }
 
     private void advance() {
-        double most = traffic.rate()
+        double maxRate = traffic.rate()
                 * (1 + traffic.swing())
-                * (traffic.peak() == null ? 1 : traffic.peak().times());
-        next = null;
-        while (next == null) {
-            at -= Math.log(1 - chance.nextDouble()) / most;
+                * (traffic.peak() == null ? 1 : traffic.peak().factor());
+        nextRequest = null;
+        while (nextRequest == null) {
+            at -= Math.log(1 - random.nextDouble()) / maxRate;
             if (at >= end) {
                 return;
             }
-            if (chance.nextDouble() * most < rate(at)) {
-                Job job = draw();
-                next = new Ask(
+            if (random.nextDouble() * maxRate < rate(at)) {
+                PlannedWorkload job = drawWorkload();
+                nextRequest = new ClientRequest(
                         number++,
                         Duration.ofNanos((long) (at * 1e9)),
                         job,
-                        job.size().draw(chance));
+                        job.size().sample(random));
             }
         }
     }
@@ -56,7 +56,7 @@
     double rate(double time) {
         double phase = time / (traffic.period().toNanos() / 1e9);
         double swing = traffic.swing();
-        double peak = traffic.peak() == null ? 1 : traffic.peak().times(time);
+        double peak = traffic.peak() == null ? 1 : traffic.peak().factorAt(time);
         return peak
                 * traffic.rate()
                 * switch (traffic.shape()) {
@@ -69,29 +69,29 @@
                 };
     }
 
-    private Job draw() {
-        double drawn = chance.nextDouble() * allShares;
-        for (Job job : jobs) {
+    private PlannedWorkload drawWorkload() {
+        double drawn = random.nextDouble() * shareSum;
+        for (PlannedWorkload job : workloads) {
             drawn -= job.share();
             if (drawn < 0) {
                 return job;
             }
         }
-        return jobs.get(jobs.size() - 1);
+        return workloads.get(workloads.size() - 1);
     }
 
     @Override
     public boolean hasNext() {
-        return next != null;
+        return nextRequest != null;
     }
 
     @Override
-    public Ask next() {
-        if (next == null) {
+    public ClientRequest next() {
+        if (nextRequest == null) {
             throw new NoSuchElementException();
         }
-        Ask now = next;
+        ClientRequest result = nextRequest;
         advance();
-        return now;
+        return result;
     }
 }
--- a/rig/src/main/java/saltdale/rig/load/Ask.java
+++ b/rig/src/main/java/saltdale/rig/load/ClientRequest.java
@@ -1,7 +1,7 @@
 package saltdale.rig.load;
 
 import java.time.Duration;
-import saltdale.rig.plan.Job;
+import saltdale.rig.plan.PlannedWorkload;
 
 /**
  * One thing that a client wants: when it means to send its first try, of which job, how much work it is in
@@ -9,4 +9,4 @@
  *
  * @param number in the order of intended times, from 0
  */
-public record Ask(long number, Duration at, Job job, double size) {}
+public record ClientRequest(long number, Duration intendedAt, PlannedWorkload plannedWorkload, double workSeconds) {}
--- a/rig/src/main/java/saltdale/rig/load/Generator.java
+++ b/rig/src/main/java/saltdale/rig/load/Generator.java
@@ -14,7 +14,7 @@
 import saltdale.protocol.HttpParser;
 import saltdale.rig.judge.EventObserver;
 import saltdale.rig.judge.EventObserver.FinalAnswer;
-import saltdale.rig.plan.Day;
+import saltdale.rig.plan.Scenario;
 import saltdale.rig.standin.LoopThread;
 import saltdale.rig.standin.LoopbackAddresses;
 import saltdale.rig.standin.Origin;
@@ -29,19 +29,20 @@
  */
 public final class Generator {
     private static final Duration CONNECT_LIMIT = Duration.ofSeconds(1);
-    private static final Duration LATE_SEEN = Duration.ofMillis(500); // so late an answer is seen, and judged as late
+    private static final Duration LATE_ANSWER_WAIT =
+            Duration.ofMillis(500); // so late an answer is seen, and judged as late
     private static final Duration IDLE_LIMIT = Duration.ofSeconds(20);
-    private static final Duration FRONT_NOTICES = Duration.ofSeconds(1);
+    private static final Duration UNREACHABLE_AVOIDANCE = Duration.ofSeconds(1);
     // Beyond these the figures would be the generator's own.
-    private static final long MOST_LAG_P99_US = 10_000;
-    private static final long MOST_LAG_US = 100_000;
+    private static final long MAX_LAG_P99_US = 10_000;
+    private static final long MAX_LAG_US = 100_000;
 
     private final LoopThread loopThread;
-    private final Day day;
+    private final Scenario scenario;
     private final Origin origin;
-    private final EventObserver witness;
-    private final Tally tally;
-    private final Persistence persistence;
+    private final EventObserver observer;
+    private final RequestStatistics statistics;
+    private final ClientRetryPolicy retryPolicy;
     private final ConnectionPool[] pools;
     private final InetSocketAddress[] addresses;
     private final Set<Integer> avoided = new HashSet<>();
@@ -49,12 +50,12 @@
     private final String run;
     private final Duration start;
     private int next;
-    private volatile long open;
-    private final Spread spread;
-    private long heavies;
+    private volatile long openClients;
+    private final ShedSpread shedSpread;
+    private long weightedChoices;
     private volatile boolean allSent;
     private long answers;
-    private Duration thousandthAt;
+    private Duration thousandthAnswerAt;
 
     /**
      * {@code run}: makes the ids of this run differ from those of any other; {@code start}: when the day
@@ -62,22 +63,22 @@
      */
     public Generator(
             LoopThread loopThread,
-            Day day,
+            Scenario scenario,
             List<InetSocketAddress> dispatchers,
             Origin origin,
-            EventObserver witness,
+            EventObserver observer,
             long seed,
             String run,
             Duration start) {
         this.loopThread = loopThread;
-        this.day = day;
+        this.scenario = scenario;
         this.origin = origin;
-        this.witness = witness;
+        this.observer = observer;
         this.run = run;
         this.start = start;
-        tally = new Tally(day.jobs, day.warmUp, start);
-        persistence = new Persistence(day.traffic, new SplittableRandom(seed));
-        spread = new Spread(dispatchers.size());
+        statistics = new RequestStatistics(scenario.workloads, scenario.warmUp, start);
+        retryPolicy = new ClientRetryPolicy(scenario.traffic, new SplittableRandom(seed));
+        shedSpread = new ShedSpread(dispatchers.size());
         addresses = dispatchers.toArray(new InetSocketAddress[0]);
         pools = new ConnectionPool[addresses.length];
         for (int i = 0; i < pools.length; i++) {
@@ -86,40 +87,41 @@
     }
 
     /** Begins to send; called on the loop. */
-    public void begin(Iterator<Ask> asks) {
-        if (!asks.hasNext()) {
+    public void start(Iterator<ClientRequest> requests) {
+        if (!requests.hasNext()) {
             allSent = true;
             return;
         }
-        Ask ask = asks.next();
-        loopThread.loop.schedule(ask.at().minus(origin.now()).minus(drift()), () -> {
-            long late = Math.max(0, origin.now().minus(ask.at()).toNanos() / 1000);
-            if (ask.at().minus(start).compareTo(day.warmUp) >= 0) { // as the figures do that it might spoil
+        ClientRequest request = requests.next();
+        loopThread.loop.schedule(request.intendedAt().minus(origin.now()).minus(turnTimeOffset()), () -> {
+            long late = Math.max(0, origin.now().minus(request.intendedAt()).toNanos() / 1000);
+            if (request.intendedAt().minus(start).compareTo(scenario.warmUp)
+                    >= 0) { // as the figures do that it might spoil
                 lag.recordValue(Math.min(late, 3_600_000_000L));
             }
-            new Customer(ask).sendTry();
-            begin(asks);
+            new Client(request).sendTry();
+            start(requests);
         });
     }
 
     /** The turn's time beside the clock: at most nothing. */
-    private Duration drift() {
+    private Duration turnTimeOffset() {
         return loopThread.loop.now().minus(loopThread.loop.elapsed());
     }
 
     /** Closes what rests: dispatchers that are told to end wait for clients that might still send. */
-    public void hangUp() {
+    public void closeIdleConnections() {
         for (ConnectionPool pool : pools) {
             pool.closeIdle();
         }
     }
 
     public boolean isOver() {
-        return allSent && open == 0;
+        return allSent && openClients == 0;
     }
 
-    public Tally tally() {
-        return tally;
+    public RequestStatistics statistics() {
+        return statistics;
     }
 
     /** True send against intended send, us. */
@@ -128,9 +130,9 @@
     }
 
     /** Why the run is void; null where it counts. */
-    public String isVoid() {
+    public String voidReason() {
         long p99 = lag.getValueAtPercentile(99);
-        if (p99 <= MOST_LAG_P99_US && lag.getMaxValue() <= MOST_LAG_US) {
+        if (p99 <= MAX_LAG_P99_US && lag.getMaxValue() <= MAX_LAG_US) {
             return null;
         }
         return String.format(
@@ -139,23 +141,23 @@
                         + "percentile, %.1f ms at the most (allowed: %d and %d ms)",
                 p99 / 1e3,
                 lag.getMaxValue() / 1e3,
-                MOST_LAG_P99_US / 1000,
-                MOST_LAG_US / 1000);
+                MAX_LAG_P99_US / 1000,
+                MAX_LAG_US / 1000);
     }
 
     /** When the thousandth answer had come, on the run's clock; null before. */
-    public Duration thousandthAt() {
-        return thousandthAt;
+    public Duration thousandthAnswerAt() {
+        return thousandthAnswerAt;
     }
 
-    public Spread spread() {
-        return spread;
+    public ShedSpread shedSpread() {
+        return shedSpread;
     }
 
-    private int choose() {
-        if (day.traffic.heavy() > 1
+    private int chooseDispatcher() {
+        if (scenario.traffic.firstDispatcherWeight() > 1
                 && avoided.isEmpty()
-                && heavies++ % (pools.length - 1 + day.traffic.heavy()) >= pools.length) {
+                && weightedChoices++ % (pools.length - 1 + scenario.traffic.firstDispatcherWeight()) >= pools.length) {
             return 0;
         }
         for (int i = 0; i < pools.length; i++) {
@@ -168,63 +170,69 @@
     }
 
     /** A front takes no notice at once, and gives it another chance after a while. */
-    private void unreachable(int dispatcher) {
+    private void markUnreachable(int dispatcher) {
         if (avoided.add(dispatcher)) {
-            loopThread.loop.schedule(FRONT_NOTICES, () -> avoided.remove(dispatcher));
+            loopThread.loop.schedule(UNREACHABLE_AVOIDANCE, () -> avoided.remove(dispatcher));
         }
     }
 
     /** The client of one ask, over all its tries. */
-    private final class Customer {
-        private final Ask ask;
+    private final class Client {
+        private final ClientRequest request;
         private int tries;
         private Try current;
         private boolean finished;
 
-        Customer(Ask ask) {
-            this.ask = ask;
-            open++;
+        Client(ClientRequest request) {
+            this.request = request;
+            openClients++;
         }
 
         void sendTry() {
             if (tries++ == 0) {
-                persistence.firstTry();
+                retryPolicy.recordFirstTry();
             }
-            current = new Try(this, run + "-" + ask.number() + "." + tries, choose());
+            current = new Try(this, run + "-" + request.number() + "." + tries, chooseDispatcher());
             current.send(false);
-            if (tries == 1 && persistence.leaves()) {
+            if (tries == 1 && retryPolicy.abandons()) {
                 Try first = current;
-                loopThread.loop.schedule(ask.job().workload().clientTimeout.dividedBy(2), () -> {
-                    if (current == first && !finished) {
-                        witness.clientLeft(origin.now(), first.id);
-                        first.drop();
-                        finish(null, true);
-                    }
-                });
+                loopThread.loop.schedule(
+                        request.plannedWorkload().workload().clientTimeout.dividedBy(2), () -> {
+                            if (current == first && !finished) {
+                                observer.clientLeft(origin.now(), first.id);
+                                first.drop();
+                                finish(null, true);
+                            }
+                        });
             }
         }
 
-        void over(FinalAnswer how, Duration pause, boolean unreachable) {
+        void tryEnded(FinalAnswer answer, Duration retryAfter, boolean unreachable) {
             current = null;
-            Duration wait = persistence.next(
-                    ask.job().workload(), tries, unreachable ? FinalAnswer.SHED : how, pause, origin.now(), ask.at());
+            Duration wait = retryPolicy.nextDelay(
+                    request.plannedWorkload().workload(),
+                    tries,
+                    unreachable ? FinalAnswer.SHED : answer,
+                    retryAfter,
+                    origin.now(),
+                    request.intendedAt());
             if (wait == null) {
-                finish(how, false);
+                finish(answer, false);
             } else {
                 loopThread.loop.schedule(wait, this::sendTry);
             }
         }
 
-        private void finish(FinalAnswer how, boolean left) {
+        private void finish(FinalAnswer answer, boolean abandoned) {
             finished = true;
-            open--;
-            tally.over(ask, how, origin.now(), tries, left);
+            openClients--;
+            statistics.record(request, answer, origin.now(), tries, abandoned);
         }
     }
 
     /** One request and its answer. */
     private final class Try implements Connection.Handler {
-        private final Customer customer;
+        private final Client client;
         private final String id;
         private final int dispatcher;
         private HttpParser parser = new HttpParser(HttpParser.Kind.ANSWER);
@@ -233,44 +241,49 @@
         private boolean reused;
         private boolean over;
 
-        Try(Customer customer, String id, int dispatcher) {
-            this.customer = customer;
+        Try(Client client, String id, int dispatcher) {
+            this.client = client;
             this.id = id;
             this.dispatcher = dispatcher;
         }
 
-        void send(boolean again) {
-            Ask ask = customer.ask;
+        void send(boolean isResend) {
+            ClientRequest request = client.request;
             connection = pools[dispatcher].acquire(this);
             if (connection == null) {
                 loopThread.loop.defer(() -> end(null, null, true));
                 return;
             }
-            if (!again) { // before it is written: the answer may be here before this thread is on again
-                witness.requestSent(
+            if (!isResend) { // before it is written: the answer may be here before this thread is on again
+                observer.requestSent(
                         origin.now(),
                         id,
-                        customer.ask.job().workload(),
+                        client.request.plannedWorkload().workload(),
                         dispatcher,
-                        customer.ask.job().workload().clientTimeout);
+                        client.request.plannedWorkload().workload().clientTimeout);
             }
             connection.beginMessage();
             reused = connection.isReused();
-            Duration patience = ask.job().workload().clientTimeout;
-            connection.send(ByteBuffer.wrap(("POST /" + ask.job().name() + "/" + ask.number()
+            Duration clientTimeout = request.plannedWorkload().workload().clientTimeout;
+            connection.send(ByteBuffer.wrap(("POST /"
+                            + request.plannedWorkload().name() + "/" + request.number()
                             + " HTTP/1.1\r\nHost: "
                             + LoopbackAddresses.text(addresses[dispatcher]) + "\r\nRequest-Id: " + id
                             + "\r\nRequest-Timeout-Ms: "
-                            + patience.toMillis() + "\r\nIdempotency-Key: " + run + "-" + ask.number() + "\r\n"
-                            + (day.traffic.marks() && customer.tries > 1 ? "Client-Retry: 1\r\n" : "")
-                            + StandInFleet.WORK + ": " + Math.max(1, Math.round(ask.size() * 1e6))
+                            + clientTimeout.toMillis() + "\r\nIdempotency-Key: " + run + "-" + request.number() + "\r\n"
+                            + (scenario.traffic.marksRetries() && client.tries > 1 ? "Client-Retry: 1\r\n" : "")
+                            + StandInFleet.WORK + ": " + Math.max(1, Math.round(request.workSeconds() * 1e6))
                             + "\r\nContent-Length: 0\r\n\r\n")
                     .getBytes(StandardCharsets.US_ASCII)));
-            if (!again) {
+            if (!isResend) {
                 // By the clock, not the turn's time: a first turn is long, and its limits would come before they are
                 // due.
                 limit = loopThread.loop.schedule(
-                        patience.plus(day.answerGrace).plus(LATE_SEEN).minus(drift()), () -> {
+                        clientTimeout
+                                .plus(scenario.answerGrace)
+                                .plus(LATE_ANSWER_WAIT)
+                                .minus(turnTimeOffset()),
+                        () -> {
                             drop();
                             end(null, null, false);
                         });
@@ -299,20 +312,20 @@
                 } else {
                     connection.close();
                 }
-                FinalAnswer how = switch (head.status()) {
+                FinalAnswer answer = switch (head.status()) {
                     case 200 -> FinalAnswer.FULFILLED;
                     case 429, 503 -> FinalAnswer.SHED;
                     default -> FinalAnswer.GIVEN_UP;
                 };
-                witness.answerReceived(origin.now(), id, how, body);
+                observer.answerReceived(origin.now(), id, answer, body);
                 if (++answers == 1000) {
-                    thousandthAt = origin.now();
+                    thousandthAnswerAt = origin.now();
                 }
-                end(how, pause(head), false);
+                end(answer, retryAfter(head), false);
             }
         }
 
-        private Duration pause(Head head) {
+        private Duration retryAfter(Head head) {
             String text = head.header("Retry-After");
             try {
                 return text == null ? null : Duration.ofNanos((long) (Double.parseDouble(text) * 1e9));
@@ -333,23 +346,24 @@
             }
             boolean unsent = connection.sendProgress().isIncomplete();
             if (unsent) {
-                witness.clientLeft(origin.now(), id); // no dispatcher has taken it
-                unreachable(dispatcher);
+                observer.clientLeft(origin.now(), id); // no dispatcher has taken it
+                markUnreachable(dispatcher);
             } else if (!connection.isReused() && parser.isAtStart()) {
-                witness.newConnectionClosed(origin.now(), id);
+                observer.newConnectionClosed(origin.now(), id);
             } else {
-                witness.connectionLost(origin.now(), id);
+                observer.connectionLost(origin.now(), id);
             }
             end(null, null, unsent);
         }
 
-        private void end(FinalAnswer how, Duration pause, boolean unreachable) {
+        private void end(FinalAnswer answer, Duration retryAfter, boolean unreachable) {
             over = true;
             if (limit != null) {
                 limit.cancel();
             }
-            spread.ended(dispatcher, customer.ask.job().workload().importance, how == FinalAnswer.SHED);
-            customer.over(how, pause, unreachable);
+            shedSpread.recordTry(
+                    dispatcher, client.request.plannedWorkload().workload().importance, answer == FinalAnswer.SHED);
+            client.tryEnded(answer, retryAfter, unreachable);
         }
     }
 }
--- /dev/null
+++ b/rig/src/main/java/saltdale/rig/load/OverloadFigures.java
@@ -0,0 +1,96 @@
+package saltdale.rig.load;
+
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import saltdale.rig.plan.Peak;
+import saltdale.rig.plan.Scenario;
+
+/** What an overload did to a day: beside what could be had, after its cause's end, and over the dispatchers. */
+public final class OverloadFigures {
+    private static final double RECOVERED_SHARE = 0.98; // of what was served before
+    private static final int RECOVERY_WINDOW_SECONDS =
+            5; // seconds that are looked at together: fewer hold too few asks to tell
+
+    private OverloadFigures() {}
+
+    public static Map<String, Double> figures(Scenario scenario, RequestStatistics statistics, ShedSpread shedSpread) {
+        Map<String, Double> all = new LinkedHashMap<>();
+        double attainable = attainableShare(
+                statistics,
+                scenario.capacity() * scenario.length.minus(scenario.warmUp).toNanos() / 1e9);
+        all.put("could_be_had", attainable);
+        all.put("of_could_be_had", statistics.service() / attainable);
+        all.put("shed_spread", shedSpread.ratio());
+        Peak peak = scenario.traffic.peak();
+        if (peak != null) {
+            List<RequestStatistics.Second> seconds = statistics.seconds();
+            double before = serviceBetween(seconds, seconds(scenario.warmUp), seconds(peak.at()));
+            int end = seconds(peak.end());
+            int causeEnd =
+                    scenario.troubles.stream().mapToInt(t -> seconds(t.end())).reduce(end, Math::max);
+            int last = Math.min(seconds.size(), seconds(scenario.length));
+            all.put("before_peak", before);
+            all.put("in_peak", serviceBetween(seconds, seconds(peak.at()), end));
+            all.put("after_5s", serviceBetween(seconds, Math.min(causeEnd + 5, last), Math.min(causeEnd + 10, last)));
+            all.put("after_10s", serviceBetween(seconds, Math.min(causeEnd + 10, last), Math.min(causeEnd + 20, last)));
+            all.put("back_after_s", recoverySeconds(seconds, causeEnd, last, RECOVERED_SHARE * before));
+        }
+        return all;
+    }
+
+    /**
+     * The part of the importance that would be served if the dearest work for its size went first and nothing
+     * was lost.
+     */
+    static double attainableShare(RequestStatistics statistics, double workCapacity) {
+        List<RequestStatistics.Row> rows = new ArrayList<>();
+        Map<RequestStatistics.Row, Double> importance = new LinkedHashMap<>();
+        statistics.rows().forEach((workload, row) -> {
+            rows.add(row);
+            importance.put(row, workload.importance);
+        });
+        rows.sort((a, b) ->
+                Double.compare(importance.get(b) * b.offered / b.work, importance.get(a) * a.offered / a.work));
+        double remaining = workCapacity;
+        double attainable = 0;
+        double offered = 0;
+        for (RequestStatistics.Row row : rows) {
+            double rowImportance = importance.get(row) * row.offered;
+            offered += rowImportance;
+            attainable += row.work <= 0 ? rowImportance : rowImportance * Math.min(1, remaining / row.work);
+            remaining = Math.max(0, remaining - row.work);
+        }
+        return offered == 0 ? 1 : attainable / offered;
+    }
+
+    private static int seconds(Duration span) {
+        return (int) Math.ceil(span.toNanos() / 1e9);
+    }
+
+    /** Of what was asked for from this second on and before that one; NaN where that is nothing. */
+    private static double serviceBetween(List<RequestStatistics.Second> seconds, int from, int to) {
+        double offered = 0;
+        double served = 0;
+        for (int i = from; i < Math.min(to, seconds.size()); i++) {
+            offered += seconds.get(i).offeredImportance;
+            served += seconds.get(i).servedImportance;
+        }
+        return offered == 0 ? Double.NaN : served / offered;
+    }
+
+    /**
+     * Seconds after the cause's end, the peak's and any trouble's, from which on some seconds together are
+     * served as well as this; NaN for never.
+     */
+    private static double recoverySeconds(List<RequestStatistics.Second> seconds, int end, int last, double target) {
+        for (int from = end; from + RECOVERY_WINDOW_SECONDS <= last; from++) {
+            if (serviceBetween(seconds, from, from + RECOVERY_WINDOW_SECONDS) >= target) {
+                return from - end;
+            }
+        }
+        return Double.NaN;
+    }
+}
--- a/rig/src/main/java/saltdale/rig/load/Tally.java
+++ b/rig/src/main/java/saltdale/rig/load/RequestStatistics.java
@@ -8,11 +8,11 @@
 import org.HdrHistogram.Histogram;
 import saltdale.model.Workload;
 import saltdale.rig.judge.EventObserver.FinalAnswer;
-import saltdale.rig.plan.Job;
+import saltdale.rig.plan.PlannedWorkload;
 
 /** What became of the asks of a day, counted from their intended times. Not safe for more than one thread. */
-public final class Tally {
-    private static final long LONGEST = 3_600_000_000L; // us
+public final class RequestStatistics {
+    private static final long MAX_LATENCY_US = 3_600_000_000L; // us
 
     /** One workload's figures, of all asks whose intended time lies after the warming up. */
     public static final class Row {
@@ -25,10 +25,10 @@
         public long shed;
         public long givenUp;
         public long unanswered;
-        public long left;
+        public long abandoned;
         public long tries;
         /** From the intended time to the answer, us, of what was fulfilled. */
-        public final Histogram latency = new Histogram(LONGEST, 3);
+        public final Histogram latency = new Histogram(MAX_LATENCY_US, 3);
 
         /** The part of what was asked for that was fulfilled in the promised time. */
         public double service() {
@@ -41,10 +41,10 @@
         public long offered;
         public long inTime;
         /** Importance asked for, and fulfilled in the promised time. */
-        public double worth;
+        public double offeredImportance;
 
-        public double earned;
-        public final Histogram latency = new Histogram(LONGEST, 2);
+        public double servedImportance;
+        public final Histogram latency = new Histogram(MAX_LATENCY_US, 2);
         public final Map<String, long[]> byWorkload = new LinkedHashMap<>(); // offered, in time
     }
 
@@ -52,19 +52,19 @@
     private final Duration start;
     private final Map<Workload, Row> rows = new LinkedHashMap<>();
     private final List<Second> seconds = new ArrayList<>();
-    private double importance;
-    private double earned;
+    private double offeredImportance;
+    private double servedImportance;
     private long firstTries;
 
-    public Tally(List<Job> jobs, Duration warmUp) {
-        this(jobs, warmUp, Duration.ZERO);
+    public RequestStatistics(List<PlannedWorkload> workloads, Duration warmUp) {
+        this(workloads, warmUp, Duration.ZERO);
     }
 
     /** {@code start}: when the day begins, on the clock by which the asks' times are given. */
-    public Tally(List<Job> jobs, Duration warmUp, Duration start) {
+    public RequestStatistics(List<PlannedWorkload> workloads, Duration warmUp, Duration start) {
         this.warmUp = warmUp;
         this.start = start;
-        jobs.forEach(job -> rows.put(job.workload(), new Row()));
+        workloads.forEach(job -> rows.put(job.workload(), new Row()));
     }
 
     public Map<Workload, Row> rows() {
@@ -76,9 +76,9 @@
     }
 
     /** When an answer to this ask is worth something no more, since its intended time. */
-    public static Duration promised(Ask ask) {
-        Workload w = ask.job().workload();
-        return w.targetLatency.plusNanos((long) (w.latencyStretch * ask.size() * 1e9));
+    public static Duration latencyLimit(ClientRequest request) {
+        Workload w = request.plannedWorkload().workload();
+        return w.targetLatency.plusNanos((long) (w.latencyStretch * request.workSeconds() * 1e9));
     }
 
     /**
@@ -87,41 +87,42 @@
      * @param how null where no answer came
      * @param tries that its client made; 0 where it went away
      */
-    public void over(Ask ask, FinalAnswer how, Duration at, int tries, boolean left) {
-        Duration took = at.minus(ask.at());
-        boolean inTime = how == FinalAnswer.FULFILLED && took.compareTo(promised(ask)) <= 0;
-        long us = Math.max(0, Math.min(LONGEST, took.toNanos() / 1000));
-        Second second = second((int) ask.at().minus(start).toSeconds());
-        if (!left) {
-            long[] of = second.byWorkload.computeIfAbsent(ask.job().name(), k -> new long[2]);
+    public void record(ClientRequest request, FinalAnswer answer, Duration at, int tries, boolean abandoned) {
+        Duration took = at.minus(request.intendedAt());
+        boolean inTime = answer == FinalAnswer.FULFILLED && took.compareTo(latencyLimit(request)) <= 0;
+        long us = Math.max(0, Math.min(MAX_LATENCY_US, took.toNanos() / 1000));
+        Second second = second((int) request.intendedAt().minus(start).toSeconds());
+        if (!abandoned) {
+            long[] counts =
+                    second.byWorkload.computeIfAbsent(request.plannedWorkload().name(), k -> new long[2]);
             second.offered++;
-            of[0]++;
+            counts[0]++;
             second.inTime += inTime ? 1 : 0;
-            second.worth += ask.job().workload().importance;
-            second.earned += inTime ? ask.job().workload().importance : 0;
-            of[1] += inTime ? 1 : 0;
-            if (how == FinalAnswer.FULFILLED) {
+            second.offeredImportance += request.plannedWorkload().workload().importance;
+            second.servedImportance += inTime ? request.plannedWorkload().workload().importance : 0;
+            counts[1] += inTime ? 1 : 0;
+            if (answer == FinalAnswer.FULFILLED) {
                 second.latency.recordValue(us);
             }
         }
-        if (ask.at().minus(start).compareTo(warmUp) < 0) {
+        if (request.intendedAt().minus(start).compareTo(warmUp) < 0) {
             return;
         }
-        Row row = rows.get(ask.job().workload());
+        Row row = rows.get(request.plannedWorkload().workload());
         row.tries += tries;
         firstTries++;
-        if (left) {
-            row.left++;
+        if (abandoned) {
+            row.abandoned++;
             return;
         }
         row.offered++;
-        row.work += ask.size();
-        importance += ask.job().workload().importance;
-        if (how == null) {
+        row.work += request.workSeconds();
+        offeredImportance += request.plannedWorkload().workload().importance;
+        if (answer == null) {
             row.unanswered++;
-        } else if (how == FinalAnswer.SHED) {
+        } else if (answer == FinalAnswer.SHED) {
             row.shed++;
-        } else if (how == FinalAnswer.GIVEN_UP) {
+        } else if (answer == FinalAnswer.GIVEN_UP) {
             row.givenUp++;
         } else {
             row.fulfilled++;
@@ -129,7 +130,7 @@
         }
         if (inTime) {
             row.inTime++;
-            earned += ask.job().workload().importance;
+            servedImportance += request.plannedWorkload().workload().importance;
         }
     }
 
@@ -142,7 +143,7 @@
 
     /** The importance fulfilled in the promised time over the importance asked for. */
     public double service() {
-        return importance == 0 ? 1 : earned / importance;
+        return offeredImportance == 0 ? 1 : servedImportance / offeredImportance;
     }
 
     public long offered() {
@@ -157,7 +158,7 @@
 
     /** All workloads together. */
     public Histogram latency() {
-        Histogram all = new Histogram(LONGEST, 3);
+        Histogram all = new Histogram(MAX_LATENCY_US, 3);
         rows.values().forEach(row -> all.add(row.latency));
         return all;
     }
--- a/rig/src/main/java/saltdale/rig/load/Watch.java
+++ b/rig/src/main/java/saltdale/rig/load/RunnerLoadHistory.java
@@ -6,30 +6,30 @@
 import saltdale.model.LoadReport;
 
 /** What each runner held over time, beside what it had last told anybody of it. */
-public final class Watch {
+public final class RunnerLoadHistory {
     /**
      * @param held assignments in work and waiting
      * @param told the same by its last report; NaN before the first
      */
-    public record Sample(Duration at, int held, double told, boolean up) {}
+    public record Sample(Duration at, int inFlight, double reported, boolean up) {}
 
     private final List<List<Sample>> samples = new ArrayList<>();
-    private final double[] told;
+    private final double[] reported;
 
-    public Watch(int runners) {
-        told = new double[runners];
+    public RunnerLoadHistory(int runners) {
+        reported = new double[runners];
         for (int i = 0; i < runners; i++) {
             samples.add(new ArrayList<>());
-            told[i] = Double.NaN;
+            reported[i] = Double.NaN;
         }
     }
 
-    public void told(int runner, LoadReport report) {
-        told[runner] = report.inFlight();
+    public void recordReport(int runner, LoadReport report) {
+        reported[runner] = report.inFlight();
     }
 
-    public void sample(Duration at, int runner, int held, boolean up) {
-        samples.get(runner).add(new Sample(at, held, told[runner], up));
+    public void sample(Duration at, int runner, int inFlight, boolean up) {
+        samples.get(runner).add(new Sample(at, inFlight, reported[runner], up));
     }
 
     public List<List<Sample>> samples() {
--- a/rig/src/main/java/saltdale/rig/load/Spread.java
+++ b/rig/src/main/java/saltdale/rig/load/ShedSpread.java
@@ -1,23 +1,23 @@
 package saltdale.rig.load;
 
 /** How evenly the dispatchers shed: whose client asks where should not matter. Not safe for more than one thread. */
-public final class Spread {
-    private static final double FEW = 50; // tries below which a share says nothing
+public final class ShedSpread {
+    private static final double MIN_TRIES = 50; // tries below which a share says nothing
 
     private final double[] tries;
-    private final double[] asked;
+    private final double[] offered;
     private final double[] shed;
 
-    public Spread(int dispatchers) {
+    public ShedSpread(int dispatchers) {
         tries = new double[dispatchers];
-        asked = new double[dispatchers];
+        offered = new double[dispatchers];
         shed = new double[dispatchers];
     }
 
     /** This try ended so at this dispatcher. */
-    public void ended(int dispatcher, double importance, boolean wasShed) {
+    public void recordTry(int dispatcher, double importance, boolean wasShed) {
         tries[dispatcher]++;
-        asked[dispatcher] += importance;
+        offered[dispatcher] += importance;
         shed[dispatcher] += wasShed ? importance : 0;
     }
 
@@ -28,10 +28,10 @@
     public double ratio() {
         double least = Double.POSITIVE_INFINITY;
         double most = 0;
-        for (int i = 0; i < asked.length; i++) {
-            if (tries[i] >= FEW) {
-                least = Math.min(least, shed[i] / asked[i]);
-                most = Math.max(most, shed[i] / asked[i]);
+        for (int i = 0; i < offered.length; i++) {
+            if (tries[i] >= MIN_TRIES) {
+                least = Math.min(least, shed[i] / offered[i]);
+                most = Math.max(most, shed[i] / offered[i]);
             }
         }
         return most == 0 ? 1 : most / Math.max(least, 1e-3);
--- a/rig/src/main/java/saltdale/rig/load/Trace.java
+++ b/rig/src/main/java/saltdale/rig/load/Trace.java
@@ -10,9 +10,9 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import saltdale.rig.plan.Job;
-import saltdale.rig.plan.Misread;
-import saltdale.rig.plan.Sheet;
+import saltdale.rig.plan.InvalidInputException;
+import saltdale.rig.plan.PlannedWorkload;
+import saltdale.rig.plan.TomlTable;
 
 /**
  * Recorded arrivals. CSV with the head {@code at,workload,size}, or JSON lines with these names: {@code at}
@@ -33,7 +33,7 @@
     }
 
     public static Trace read(Path file) {
-        return of(file.toString(), Sheet.text(file));
+        return of(file.toString(), TomlTable.readText(file));
     }
 
     public static Trace of(String name, String text) {
@@ -47,12 +47,12 @@
             }
             Line read = line.stripLeading().startsWith("{") ? trace.json(json, line, number) : trace.csv(line, number);
             if (!(read.at >= 0) || !(read.size > 0) || Double.isInfinite(read.at + read.size)) {
-                throw trace.wrong(number, "at must be 0 or more, size over 0, in seconds");
+                throw trace.invalid(number, "at must be 0 or more, size over 0, in seconds");
             }
             trace.lines.add(read);
         }
         if (trace.lines.isEmpty()) {
-            throw new Misread(name + ": holds no arrival");
+            throw new InvalidInputException(name + ": holds no arrival");
         }
         trace.lines.sort(Comparator.comparingDouble(Line::at));
         return trace;
@@ -68,7 +68,7 @@
         } catch (NumberFormatException e) {
             // told below
         }
-        throw wrong(number, "wanted: at,workload,size with seconds, a name, seconds");
+        throw invalid(number, "wanted: at,workload,size with seconds, a name, seconds");
     }
 
     private Line json(ObjectMapper mapper, String line, int number) {
@@ -85,11 +85,11 @@
         } catch (JsonProcessingException e) {
             // told below
         }
-        throw wrong(number, "wanted: {\"at\":seconds,\"workload\":\"name\",\"size\":seconds}");
+        throw invalid(number, "wanted: {\"at\":seconds,\"workload\":\"name\",\"size\":seconds}");
     }
 
-    private Misread wrong(int line, String what) {
-        return new Misread(file + ": line " + line + ": " + what);
+    private InvalidInputException invalid(int line, String what) {
+        return new InvalidInputException(file + ": line " + line + ": " + what);
     }
 
     /** Takes parts out of it, each set at another time; with none it stays as it is. */
@@ -102,9 +102,10 @@
             String[] cut = part.split("\\.\\.|@");
             Duration[] spans = new Duration[3];
             for (int i = 0; i < 3; i++) {
-                spans[i] = cut.length == 3 ? Sheet.span(cut[i]) : null;
+                spans[i] = cut.length == 3 ? TomlTable.parseDuration(cut[i]) : null;
                 if (spans[i] == null) {
-                    throw new Misread(file + ": splice: \"" + part + "\" is not of the form \"10s..20s@5s\"");
+                    throw new InvalidInputException(
+                            file + ": splice: \"" + part + "\" is not of the form \"10s..20s@5s\"");
                 }
             }
             double from = spans[0].toNanos() / 1e9;
@@ -119,16 +120,16 @@
     }
 
     /** The asks of this trace, as many times as {@code scale} says. */
-    public List<Ask> asks(List<Job> jobs, double scale, Duration length) {
-        Map<String, Job> byName = new HashMap<>();
-        jobs.forEach(job -> byName.put(job.name(), job));
-        List<Ask> asks = new ArrayList<>();
+    public List<ClientRequest> requests(List<PlannedWorkload> workloads, double scale, Duration length) {
+        Map<String, PlannedWorkload> byName = new HashMap<>();
+        workloads.forEach(job -> byName.put(job.name(), job));
+        List<ClientRequest> requests = new ArrayList<>();
         double due = 0;
         for (int i = 0; i < lines.size(); i++) {
             Line line = lines.get(i);
-            Job job = byName.get(line.workload);
+            PlannedWorkload job = byName.get(line.workload);
             if (job == null) {
-                throw new Misread(file + ": workload " + line.workload + " is none of the day's: "
+                throw new InvalidInputException(file + ": workload " + line.workload + " is none of the day's: "
                         + String.join(", ", new java.util.TreeSet<>(byName.keySet())));
             }
             double gap = i + 1 < lines.size() ? lines.get(i + 1).at - line.at : 0;
@@ -138,10 +139,10 @@
             for (int k = 0; k < times; k++) {
                 Duration at = Duration.ofNanos((long) ((line.at + gap * k / times) * 1e9));
                 if (at.compareTo(length) < 0) {
-                    asks.add(new Ask(asks.size(), at, job, line.size));
+                    requests.add(new ClientRequest(requests.size(), at, job, line.size));
                 }
             }
         }
-        return asks;
+        return requests;
     }
 }
--- a/rig/src/main/java/saltdale/rig/plan/Misread.java
+++ b/rig/src/main/java/saltdale/rig/plan/InvalidInputException.java
@@ -1,10 +1,10 @@
 package saltdale.rig.plan;
 
 /** What a file holds that can't be used: one line that names the file, the place and what is wanted there. */
-public final class Misread extends RuntimeException {
+public final class InvalidInputException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
-    public Misread(String message) {
+    public InvalidInputException(String message) {
         super(message);
     }
 }
--- a/rig/src/main/java/saltdale/rig/plan/Peak.java
+++ b/rig/src/main/java/saltdale/rig/plan/Peak.java
@@ -3,12 +3,12 @@
 import java.time.Duration;
 
 /** A time in which so many times more is asked for. */
-public record Peak(Duration at, Duration length, double times) {
-    static Peak read(Sheet sheet) {
+public record Peak(Duration at, Duration length, double factor) {
+    static Peak read(TomlTable table) {
         return new Peak(
-                sheet.span("at", Duration.ofSeconds(5)),
-                sheet.span("length", Duration.ofSeconds(5)),
-                sheet.number("times", 2, 1, 1000));
+                table.duration("at", Duration.ofSeconds(5)),
+                table.duration("length", Duration.ofSeconds(5)),
+                table.number("times", 2, 1, 1000));
     }
 
     public Duration end() {
@@ -16,7 +16,7 @@
     }
 
     /** How many times more is asked for at this time, in seconds since the start. */
-    public double times(double time) {
-        return time >= at.toNanos() / 1e9 && time < end().toNanos() / 1e9 ? times : 1;
+    public double factorAt(double seconds) {
+        return seconds >= at.toNanos() / 1e9 && seconds < end().toNanos() / 1e9 ? factor : 1;
     }
 }
--- a/rig/src/main/java/saltdale/rig/plan/Make.java
+++ b/rig/src/main/java/saltdale/rig/plan/RunnerType.java
@@ -18,7 +18,7 @@
  * @param reportDelay and are this old then
  * @param cancelStops whether a job that is taken back stops when it runs already
  */
-public record Make(
+public record RunnerType(
         String name,
         double share,
         int cores,
@@ -26,14 +26,14 @@
         int slots,
         int queue,
         Order order,
-        double thrash,
-        double thrashAt,
-        double coldFrom,
-        Duration warmWithin,
-        Duration reportEvery,
+        double thrashFactor,
+        double thrashThreshold,
+        double coldCapacityShare,
+        Duration warmUpTime,
+        Duration reportInterval,
         Duration reportDelay,
-        Duration progressEvery,
-        boolean cancelStops) {
+        Duration progressInterval,
+        boolean cancelStopsRunning) {
     /** The order in which waiting jobs begin. */
     public enum Order {
         FIFO,
@@ -42,29 +42,29 @@
         PRIORITY
     }
 
-    static Make read(Sheet sheet) {
-        int cores = sheet.whole("cores", 2, 1, 1024);
-        return new Make(
-                sheet.text("name", "any"),
-                sheet.number("share", 1, 0.0001, 1e6),
+    static RunnerType read(TomlTable table) {
+        int cores = table.integer("cores", 2, 1, 1024);
+        return new RunnerType(
+                table.string("name", "any"),
+                table.number("share", 1, 0.0001, 1e6),
                 cores,
-                sheet.number("speed", 1, 0.001, 1000),
-                sheet.whole("slots", cores, 1, 100_000),
-                sheet.whole("queue", 16, 0, 1_000_000),
-                sheet.word("order", Order.FIFO),
-                sheet.number("thrash", 0, 0, 10),
-                sheet.number("thrash_at", 4, 0, 1000),
-                sheet.number("cold_from", 0.3, 0.01, 1),
-                sheet.span("warm_within", Duration.ofSeconds(8)),
-                sheet.span("report_every", Duration.ofMillis(100)),
-                sheet.span("report_delay", Duration.ZERO),
-                sheet.span("progress_every", Duration.ZERO),
-                sheet.flag("cancel_stops", true));
+                table.number("speed", 1, 0.001, 1000),
+                table.integer("slots", cores, 1, 100_000),
+                table.integer("queue", 16, 0, 1_000_000),
+                table.enumValue("order", Order.FIFO),
+                table.number("thrash", 0, 0, 10),
+                table.number("thrash_at", 4, 0, 1000),
+                table.number("cold_from", 0.3, 0.01, 1),
+                table.duration("warm_within", Duration.ofSeconds(8)),
+                table.duration("report_every", Duration.ofMillis(100)),
+                table.duration("report_delay", Duration.ZERO),
+                table.duration("progress_every", Duration.ZERO),
+                table.bool("cancel_stops", true));
     }
 
     /** One core, one slot, first come first served, always warm, reports at once: for closed forms. */
-    public static Make plain(int cores, int queue) {
-        return new Make(
+    public static RunnerType plain(int cores, int queue) {
+        return new RunnerType(
                 "plain",
                 1,
                 cores,
@@ -82,8 +82,8 @@
                 true);
     }
 
-    public Make warming(double from, Duration within) {
-        return new Make(
+    public RunnerType withWarmUp(double from, Duration within) {
+        return new RunnerType(
                 name,
                 share,
                 cores,
@@ -91,18 +91,18 @@
                 slots,
                 queue,
                 order,
-                thrash,
-                thrashAt,
+                thrashFactor,
+                thrashThreshold,
                 from,
                 within,
-                reportEvery,
+                reportInterval,
                 reportDelay,
-                progressEvery,
-                cancelStops);
+                progressInterval,
+                cancelStopsRunning);
     }
 
-    public Make reporting(Duration every, Duration delay) {
-        return new Make(
+    public RunnerType withReporting(Duration every, Duration delay) {
+        return new RunnerType(
                 name,
                 share,
                 cores,
@@ -110,14 +110,14 @@
                 slots,
                 queue,
                 order,
-                thrash,
-                thrashAt,
-                coldFrom,
-                warmWithin,
+                thrashFactor,
+                thrashThreshold,
+                coldCapacityShare,
+                warmUpTime,
                 every,
                 delay,
-                progressEvery,
-                cancelStops);
+                progressInterval,
+                cancelStopsRunning);
     }
 
     /** Seconds of work a second, warm and undisturbed. */
--- /dev/null
+++ b/rig/src/main/java/saltdale/rig/plan/Scenario.java
@@ -0,0 +1,283 @@
+package saltdale.rig.plan;
+
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SplittableRandom;
+import saltdale.model.DispatcherSettings;
+import saltdale.model.OverloadSettings;
+import saltdale.model.Workload;
+
+/** One day to be played: the dispatchers, what they are told, the fleet, the load and the troubles. */
+public final class Scenario {
+    public final String name;
+    public final long seed;
+    public final Duration length;
+    public final Duration warmUp;
+    public final int dispatcherCount;
+    public final DispatcherSettings dispatcherSettings;
+    public final Duration drainGrace;
+    public final Duration answerGrace;
+    public final Duration idleClose;
+    public final List<PlannedWorkload> workloads = new ArrayList<>();
+    public final List<RunnerType> runnerTypes = new ArrayList<>();
+    public final int runnerCount;
+    public final List<String> zones;
+    public final int cells;
+    public final Duration sameZoneLatency;
+    public final Duration crossZoneLatency;
+    public final double networkJitter;
+    /** How long the list takes to tell of a change: of a drain or a start, and of a process that died. */
+    public final Duration listUpdateDelay;
+
+    public final Duration crashNoticeDelay;
+    /** What a probe costs its runner: counted, not charged. */
+    public final Duration probeCost;
+
+    public final boolean mustSubscribe;
+    public final Traffic traffic;
+    public final List<Trouble> troubles = new ArrayList<>();
+
+    public Scenario(TomlTable table) {
+        name = table.string("name", "day");
+        seed = table.integer("seed", 1, 0, Integer.MAX_VALUE);
+        length = table.duration("length", Duration.ofSeconds(20));
+        warmUp = table.duration("warm_up", Duration.ofSeconds(1));
+        if (warmUp.compareTo(length) >= 0) {
+            throw table.invalid("warm_up", "a span under the length of the day, " + length.toMillis() + " ms");
+        }
+        dispatcherCount = table.integer("dispatchers", 2, 1, 10_000);
+
+        TomlTable fleet = table.table("fleet");
+        runnerCount = fleet.integer("runners", 8, 1, 100_000);
+        zones = fleet.strings("zones", List.of("a"));
+        if (zones.isEmpty()) {
+            throw fleet.invalid("zones", "a list of at least one text in quotes");
+        }
+        cells = fleet.integer("cells", 1, 1, 100_000);
+        fleet.tables("make").forEach(row -> runnerTypes.add(RunnerType.read(row)));
+        if (runnerTypes.isEmpty()) {
+            runnerTypes.add(RunnerType.read(fleet.table("make_of_all")));
+        }
+
+        TomlTable net = table.table("network");
+        sameZoneLatency = net.duration("same_zone", Duration.ofNanos(200_000));
+        crossZoneLatency = net.duration("cross_zone", Duration.ofNanos(800_000));
+        networkJitter = net.number("jitter", 0.2, 0, 10);
+        listUpdateDelay = net.duration("notice", Duration.ofMillis(200));
+        crashNoticeDelay = net.duration("silent_notice", Duration.ofSeconds(3));
+
+        probeCost = net.duration("probe_cost", Duration.ofNanos(300_000));
+
+        TomlTable settingsTable = table.table("orders");
+        dispatcherSettings = new DispatcherSettings();
+        dispatcherSettings.dispatcherCount = dispatcherCount;
+        dispatcherSettings.roundInterval = settingsTable.duration("round", Duration.ofMillis(1));
+        dispatcherSettings.subscribes = settingsTable.bool("must_subscribe", false);
+        mustSubscribe = dispatcherSettings.subscribes;
+        dispatcherSettings.mayProbe = settingsTable.bool("probes", true);
+        dispatcherSettings.mayCancel = settingsTable.bool("cancels", true);
+        dispatcherSettings.parallelAttempts = settingsTable.bool("parallel", false);
+        dispatcherSettings.sendsRetryAfter = settingsTable.bool("pauses", true);
+        dispatcherSettings.maxRetryAfter = settingsTable.duration("longest_pause", Duration.ofSeconds(1));
+        dispatcherSettings.maxAttempts = settingsTable.integer("most_dispatches", 4, 1, 1000);
+        dispatcherSettings.connectTimeout = settingsTable.duration("connect_time", Duration.ofMillis(250));
+        if (dispatcherSettings.connectTimeout.isZero()) {
+            throw settingsTable.invalid("connect_time", "a span over 0");
+        }
+        dispatcherSettings.reportsStart = settingsTable.bool("tells_start", true);
+        dispatcherSettings.progressInterval = runnerTypes.stream()
+                .map(RunnerType::progressInterval)
+                .filter(p -> !p.isZero())
+                .max(Duration::compareTo)
+                .orElse(Duration.ZERO);
+        dispatcherSettings.coldCapacity = runnerTypes.stream()
+                .mapToDouble(RunnerType::coldCapacityShare)
+                .min()
+                .orElse(1);
+        dispatcherSettings.warmUpTime = runnerTypes.stream()
+                .map(RunnerType::warmUpTime)
+                .max(Duration::compareTo)
+                .orElse(Duration.ZERO);
+        dispatcherSettings.coldLimitMultiple = settingsTable.number("tip_multiple", 2.5, 1, 1000);
+        dispatcherSettings.coldLimitWindow = settingsTable.duration("fall", Duration.ofSeconds(2));
+        dispatcherSettings.lateRejections = settingsTable.bool("full_proves_nothing", false);
+        dispatcherSettings.crossZonePrice = settingsTable.number("cross_zone_price", 0, 0, 10);
+        dispatcherSettings.overload = table.has("overload") ? readOverload(table.table("overload")) : null;
+        drainGrace = settingsTable.duration("drain_grace", Duration.ofMillis(500));
+        answerGrace = settingsTable.duration("answer_grace", Duration.ofMillis(50));
+        idleClose = settingsTable.duration("idle_close", Duration.ofSeconds(30));
+
+        for (TomlTable row : table.tables("workload")) {
+            workloads.add(readWorkload(row));
+        }
+        if (workloads.isEmpty()) {
+            throw table.missing("workload", "at least one table [[workload]]");
+        }
+        workloads.forEach(planned -> dispatcherSettings.workloads.add(planned.workload()));
+
+        Traffic read = Traffic.read(table.table("load"));
+        dispatcherSettings.retriesMarked = read.marksRetries();
+        traffic = read.utilisation() == 0 ? read : read.withRate(read.utilisation() * capacity() / meanWorkSeconds());
+        SplittableRandom random = new SplittableRandom(seed * 31 + 7);
+        for (TomlTable row : table.tables("trouble")) {
+            Trouble next = Trouble.read(row, runnerCount, dispatcherCount, zones, random);
+            if (next.kind() == Trouble.Kind.LATE_SHED && !dispatcherSettings.lateRejections) {
+                throw row.invalid("kind", "possible: orders.full_proves_nothing is not true");
+            }
+            for (Trouble other : troubles) {
+                if (next.isProcessFault()
+                        && other.isProcessFault()
+                        && next.at().compareTo(other.end()) <= 0
+                        && other.at().compareTo(next.end()) <= 0
+                        && next.runners().stream().anyMatch(other.runners()::contains)) {
+                    throw row.invalid("at", "possible: it befalls a dispatcher that another trouble holds by then");
+                }
+            }
+            troubles.add(next);
+        }
+    }
+
+    public static Scenario read(Path file) {
+        TomlTable table = TomlTable.read(file);
+        Scenario scenario = new Scenario(table);
+        // an experiment's
+        table.ignore("face", "repeats", "quick_repeats", "cpus", "expect", "version", "sweep");
+        table.rejectUnknownKeys();
+        return scenario;
+    }
+
+    /** Guards against a day whose faults nothing would cause: there are no processes in simulated time. */
+    public void requireSimulatable(String file) {
+        troubles.stream().filter(Trouble::requiresSockets).findFirst().ifPresent(t -> {
+            throw new InvalidInputException(
+                    file + ": trouble.kind: " + t.kind().name().toLowerCase().replace('_', '-')
+                            + " can't be played in simulated time: it needs processes and sockets");
+        });
+    }
+
+    /** What one dispatcher is told: the same as all, but for its number and its zone. */
+    public DispatcherSettings dispatcherSettings(int dispatcher) {
+        DispatcherSettings one = new DispatcherSettings();
+        one.workloads.addAll(dispatcherSettings.workloads);
+        one.dispatcherIndex = dispatcher;
+        one.dispatcherCount = dispatcherSettings.dispatcherCount;
+        one.zone = zone(dispatcher);
+        one.roundInterval = dispatcherSettings.roundInterval;
+        one.subscribes = dispatcherSettings.subscribes;
+        one.mayProbe = dispatcherSettings.mayProbe;
+        one.mayCancel = dispatcherSettings.mayCancel;
+        one.parallelAttempts = dispatcherSettings.parallelAttempts;
+        one.sendsRetryAfter = dispatcherSettings.sendsRetryAfter;
+        one.maxRetryAfter = dispatcherSettings.maxRetryAfter;
+        one.maxAttempts = dispatcherSettings.maxAttempts;
+        one.connectTimeout = dispatcherSettings.connectTimeout;
+        one.reportsStart = dispatcherSettings.reportsStart;
+        one.progressInterval = dispatcherSettings.progressInterval;
+        one.coldCapacity = dispatcherSettings.coldCapacity;
+        one.warmUpTime = dispatcherSettings.warmUpTime;
+        one.coldLimitMultiple = dispatcherSettings.coldLimitMultiple;
+        one.coldLimitWindow = dispatcherSettings.coldLimitWindow;
+        one.lateRejections = dispatcherSettings.lateRejections;
+        one.crossZonePrice = dispatcherSettings.crossZonePrice;
+        one.overload = dispatcherSettings.overload;
+        one.retriesMarked = dispatcherSettings.retriesMarked;
+        return one;
+    }
+
+    /** As the daemon reads its own table of this name. */
+    private static OverloadSettings readOverload(TomlTable table) {
+        OverloadSettings usual = OverloadSettings.DEFAULTS;
+        OverloadSettings overloadSettings = new OverloadSettings(
+                table.number("low", usual.lowWaitShare(), 0, 10),
+                table.number("high", usual.highWaitShare(), 0, 10),
+                table.number("borne", usual.slackShare(), 0.01, 1),
+                table.number("missed", usual.tolerableMissShare(), 0, 1),
+                table.duration("step", usual.minChangeInterval()),
+                table.integer("known", usual.minCompletions(), 1, 1_000_000));
+        if (overloadSettings.highWaitShare() <= overloadSettings.lowWaitShare()) {
+            throw table.invalid("high", "over low");
+        }
+        return overloadSettings;
+    }
+
+    private PlannedWorkload readWorkload(TomlTable row) {
+        Workload w = new Workload();
+        w.name = row.required("name");
+        if (!w.name.matches("[A-Za-z0-9._~-]+")) {
+            throw row.invalid("name", "a name of letters, figures and . _ ~ -");
+        }
+        w.targetLatency = row.duration("promised", Duration.ofMillis(400));
+        w.latencyStretch = row.number("stretch", 2, 0, 1000);
+        w.clientTimeout = row.duration("patience", Duration.ofSeconds(3));
+        w.importance = row.number("importance", 1, 0, 1e9);
+        w.repeatSafety = row.enumValue("repeat", Workload.RepeatSafety.PURE);
+        w.dedupScope = row.enumValue("group", Workload.DedupScope.ALL);
+        w.dedupWindow = row.duration("window", Duration.ofSeconds(5));
+        w.zones.addAll(among(row, "zones", zones));
+        w.machineTypes.addAll(
+                among(row, "kinds", runnerTypes.stream().map(RunnerType::name).toList()));
+        return new PlannedWorkload(w, row.number("share", 1, 0.000001, 1e9), SizeDistribution.read(row.table("size")));
+    }
+
+    private static List<String> among(TomlTable row, String key, List<String> known) {
+        List<String> names = row.strings(key, List.of());
+        if (!known.containsAll(names)) {
+            throw row.invalid(key, "a list of names among " + String.join(", ", known));
+        }
+        return names;
+    }
+
+    /** The make of the runner of this number: makes go round by their shares. */
+    public RunnerType runnerType(int runner) {
+        double all = runnerTypes.stream().mapToDouble(RunnerType::share).sum();
+        // spread evenly, whatever the fleet's size
+        double at = (runner + 0.5) * 0.6180339887498949 % 1 * all;
+        for (RunnerType runnerType : runnerTypes) {
+            at -= runnerType.share();
+            if (at < 0) {
+                return runnerType;
+            }
+        }
+        return runnerTypes.get(runnerTypes.size() - 1);
+    }
+
+    public String zone(int number) {
+        return zones.get(number % zones.size());
+    }
+
+    public int cell(int runner) {
+        return runner % cells;
+    }
+
+    /**
+     * How long a client may stay at the most: all its tries, each with its patience, and the waits between. Before
+     * that a request without an answer is not lost.
+     */
+    public Duration maxClientTime() {
+        int tries = traffic.retries() + 1;
+        Duration each = dispatcherSettings
+                .maxClientTimeout()
+                .plus(answerGrace)
+                .plus(traffic.honoursRetryAfter() ? dispatcherSettings.maxRetryAfter : Duration.ZERO);
+        return each.multipliedBy(tries).plus(traffic.initialBackoff().multipliedBy(1L << Math.min(20, tries)));
+    }
+
+    /** Seconds of work a second that the whole fleet does. */
+    public double capacity() {
+        double all = 0;
+        for (int i = 0; i < runnerCount; i++) {
+            all += runnerType(i).capacity();
+        }
+        return all;
+    }
+
+    /** Seconds of work of an assignment, on average. */
+    public double meanWorkSeconds() {
+        double share = workloads.stream().mapToDouble(PlannedWorkload::share).sum();
+        return workloads.stream()
+                .mapToDouble(j -> j.share() / share * j.size().mean())
+                .sum();
+    }
+}
--- a/rig/src/main/java/saltdale/rig/plan/Sheet.java
+++ b/rig/src/main/java/saltdale/rig/plan/TomlTable.java
@@ -23,45 +23,45 @@
 import java.util.regex.Pattern;
 
 /** One table of a TOML file, read with checks: what nobody has read when the file is closed was not meant. */
-public final class Sheet {
+public final class TomlTable {
     private static final TomlMapper TOML = new TomlMapper();
-    private static final Pattern SPAN = Pattern.compile("(\\d+(?:\\.\\d+)?)\\s*(us|ms|s|min|h)");
+    private static final Pattern DURATION = Pattern.compile("(\\d+(?:\\.\\d+)?)\\s*(us|ms|s|min|h)");
 
     private final String file;
     private final List<String> lines;
     private final String path;
     private final JsonNode node;
     private final Set<String> read = new HashSet<>();
-    private final List<Sheet> parts = new ArrayList<>();
+    private final List<TomlTable> tables = new ArrayList<>();
 
-    private Sheet(String file, List<String> lines, String path, JsonNode node) {
+    private TomlTable(String file, List<String> lines, String path, JsonNode node) {
         this.file = file;
         this.lines = lines;
         this.path = path;
         this.node = node;
     }
 
-    public static Sheet read(Path file) {
-        return of(file.toString(), text(file));
+    public static TomlTable read(Path file) {
+        return of(file.toString(), readText(file));
     }
 
     /** The text of a file that a user has named. */
-    public static String text(Path file) {
+    public static String readText(Path file) {
         try {
             return Files.readString(file);
         } catch (MalformedInputException e) {
-            throw new Misread(file + ": is not UTF-8 text");
+            throw new InvalidInputException(file + ": is not UTF-8 text");
         } catch (IOException e) {
-            throw new Misread(file + ": can't be read: " + e.getMessage());
+            throw new InvalidInputException(file + ": can't be read: " + e.getMessage());
         }
     }
 
-    public static Sheet of(String name, String text) {
+    public static TomlTable of(String name, String text) {
         try {
-            return new Sheet(name, text.lines().toList(), "", TOML.readTree(text));
+            return new TomlTable(name, text.lines().toList(), "", TOML.readTree(text));
         } catch (JsonProcessingException e) {
             JsonLocation at = e.getLocation();
-            throw new Misread(name + (at == null ? "" : ": line " + at.getLineNr()) + ": is no TOML: "
+            throw new InvalidInputException(name + (at == null ? "" : ": line " + at.getLineNr()) + ": is no TOML: "
                     + e.getOriginalMessage().lines().findFirst().orElse(""));
         }
     }
@@ -69,24 +69,24 @@
     /**
      * The same file with one figure replaced, by its dotted path; rows of tables go by their number from 0.
      */
-    public Sheet with(String figure, Object value) {
+    public TomlTable with(String figure, Object value) {
         ObjectNode root = node.deepCopy();
         JsonNode at = root;
-        String[] steps = figure.split("\\.");
-        for (int i = 0; i < steps.length - 1; i++) {
-            JsonNode next = at instanceof ArrayNode && steps[i].matches("\\d+")
-                    ? at.get(Integer.parseInt(steps[i]))
-                    : at.get(steps[i]);
+        String[] segments = figure.split("\\.");
+        for (int i = 0; i < segments.length - 1; i++) {
+            JsonNode next = at instanceof ArrayNode && segments[i].matches("\\d+")
+                    ? at.get(Integer.parseInt(segments[i]))
+                    : at.get(segments[i]);
             if (next == null && at instanceof ObjectNode table) {
-                next = table.putObject(steps[i]);
+                next = table.putObject(segments[i]);
             }
             at = next;
         }
         if (!(at instanceof ObjectNode table)) {
-            throw new Misread(file + ": sweep: " + figure + " names no figure of this file");
+            throw new InvalidInputException(file + ": sweep: " + figure + " names no figure of this file");
         }
-        table.set(steps[steps.length - 1], TOML.valueToTree(value));
-        return new Sheet(file, lines, path, root);
+        table.set(segments[segments.length - 1], TOML.valueToTree(value));
+        return new TomlTable(file, lines, path, root);
     }
 
     public String file() {
@@ -98,56 +98,56 @@
     }
 
     /** The table of this name; an empty one where there is none. */
-    public Sheet part(String key) {
-        JsonNode found = take(key);
+    public TomlTable table(String key) {
+        JsonNode found = read(key);
         if (found != null && !found.isObject()) {
-            throw wrong(key, found, "a table, [" + path + key + "]");
+            throw invalid(key, found, "a table, [" + path + key + "]");
         }
-        Sheet part = new Sheet(file, lines, path + key + ".", found == null ? TOML.createObjectNode() : found);
-        parts.add(part);
+        TomlTable part = new TomlTable(file, lines, path + key + ".", found == null ? TOML.createObjectNode() : found);
+        tables.add(part);
         return part;
     }
 
-    public List<Sheet> rows(String key) {
-        JsonNode found = take(key);
-        List<Sheet> rows = new ArrayList<>();
+    public List<TomlTable> tables(String key) {
+        JsonNode found = read(key);
+        List<TomlTable> rows = new ArrayList<>();
         if (found != null && !found.isArray()) {
-            throw wrong(key, found, "tables, [[" + path + key + "]]");
+            throw invalid(key, found, "tables, [[" + path + key + "]]");
         }
         for (int i = 0; found != null && i < found.size(); i++) {
             if (!found.get(i).isObject()) {
-                throw wrong(key, found, "tables, [[" + path + key + "]]");
+                throw invalid(key, found, "tables, [[" + path + key + "]]");
             }
-            rows.add(new Sheet(file, lines, path + key + "." + i + ".", found.get(i)));
+            rows.add(new TomlTable(file, lines, path + key + "." + i + ".", found.get(i)));
         }
-        parts.addAll(rows);
+        tables.addAll(rows);
         return rows;
     }
 
-    public String text(String key, String absent) {
-        JsonNode found = take(key);
+    public String string(String key, String fallback) {
+        JsonNode found = read(key);
         if (found == null) {
-            return absent;
+            return fallback;
         } else if (!found.isTextual()) {
-            throw wrong(key, found, "a text in quotes");
+            throw invalid(key, found, "a text in quotes");
         }
         return found.textValue();
     }
 
     public String required(String key) {
-        String text = text(key, null);
+        String text = string(key, null);
         if (text == null) {
-            throw lacks(key, "a text in quotes");
+            throw missing(key, "a text in quotes");
         }
         return text;
     }
 
-    public <E extends Enum<E>> E word(String key, E absent) {
-        String text = text(key, null);
+    public <E extends Enum<E>> E enumValue(String key, E fallback) {
+        String text = string(key, null);
         if (text == null) {
-            return absent;
+            return fallback;
         }
-        E[] all = absent.getDeclaringClass().getEnumConstants();
+        E[] all = fallback.getDeclaringClass().getEnumConstants();
         List<String> words = new ArrayList<>();
         for (E each : all) {
             words.add(each.name().toLowerCase().replace('_', '-'));
@@ -155,56 +155,56 @@
                 return each;
             }
         }
-        throw wrong(key, node.get(key), "one of " + String.join(", ", words));
+        throw invalid(key, node.get(key), "one of " + String.join(", ", words));
     }
 
-    public boolean flag(String key, boolean absent) {
-        JsonNode found = take(key);
+    public boolean bool(String key, boolean fallback) {
+        JsonNode found = read(key);
         if (found != null && !found.isBoolean()) {
-            throw wrong(key, found, "true or false");
+            throw invalid(key, found, "true or false");
         }
-        return found == null ? absent : found.booleanValue();
+        return found == null ? fallback : found.booleanValue();
     }
 
-    public double number(String key, double absent, double least, double most) {
-        JsonNode found = take(key);
+    public double number(String key, double fallback, double min, double max) {
+        JsonNode found = read(key);
         if (found == null) {
-            return absent;
+            return fallback;
         }
         double value = found.isNumber() ? found.doubleValue() : Double.NaN;
-        if (!(value >= least && value <= most)) {
-            throw wrong(key, found, "a number from " + plain(least) + " to " + plain(most));
+        if (!(value >= min && value <= max)) {
+            throw invalid(key, found, "a number from " + formatNumber(min) + " to " + formatNumber(max));
         }
         return value;
     }
 
-    public int whole(String key, int absent, int least, int most) {
-        double value = number(key, absent, least, most);
+    public int integer(String key, int fallback, int min, int max) {
+        double value = number(key, fallback, min, max);
         if (value != Math.rint(value)) {
-            throw wrong(key, node.get(key), "a whole number from " + least + " to " + most);
+            throw invalid(key, node.get(key), "a whole number from " + min + " to " + max);
         }
         return (int) value;
     }
 
-    public Duration span(String key, Duration absent) {
-        JsonNode found = take(key);
+    public Duration duration(String key, Duration fallback) {
+        JsonNode found = read(key);
         if (found == null) {
-            return absent;
+            return fallback;
         }
-        Duration span = found.isTextual() ? span(found.textValue()) : null;
+        Duration span = found.isTextual() ? parseDuration(found.textValue()) : null;
         if (span == null) {
-            throw wrong(key, found, "a span such as \"250ms\": a number with us, ms, s, min or h");
+            throw invalid(key, found, "a span such as \"250ms\": a number with us, ms, s, min or h");
         }
         return span;
     }
 
-    public List<Integer> wholes(String key) {
-        JsonNode found = take(key);
+    public List<Integer> integers(String key) {
+        JsonNode found = read(key);
         List<Integer> all = new ArrayList<>();
         if (found != null) {
             found.forEach(each -> {
                 if (!each.canConvertToInt() || each.intValue() < 0) {
-                    throw wrong(key, found, "a list of whole numbers from 0");
+                    throw invalid(key, found, "a list of whole numbers from 0");
                 }
                 all.add(each.intValue());
             });
@@ -212,26 +212,26 @@
         return all;
     }
 
-    public List<String> texts(String key, List<String> absent) {
-        JsonNode found = take(key);
+    public List<String> strings(String key, List<String> fallback) {
+        JsonNode found = read(key);
         if (found == null) {
-            return absent;
+            return fallback;
         }
         List<String> all = new ArrayList<>();
         found.forEach(each -> all.add(each.textValue()));
         if (!found.isArray() || all.contains(null)) {
-            throw wrong(key, found, "a list of texts in quotes");
+            throw invalid(key, found, "a list of texts in quotes");
         }
         return all;
     }
 
     /** The keys of this table, each with its list of plain values. */
-    public Map<String, List<Object>> lists() {
+    public Map<String, List<Object>> valueLists() {
         Map<String, List<Object>> all = new TreeMap<>();
         node.fieldNames().forEachRemaining(key -> {
-            JsonNode found = take(key);
+            JsonNode found = read(key);
             if (!found.isArray() || found.isEmpty()) {
-                throw wrong(key, found, "a list of values");
+                throw invalid(key, found, "a list of values");
             }
             List<Object> values = new ArrayList<>();
             found.forEach(each -> values.add(
@@ -248,8 +248,8 @@
     }
 
     /** Reads a span; null where the text is none. */
-    public static Duration span(String text) {
-        Matcher m = SPAN.matcher(text.strip());
+    public static Duration parseDuration(String text) {
+        Matcher m = DURATION.matcher(text.strip());
         if (!m.matches()) {
             return null;
         }
@@ -264,66 +264,66 @@
     }
 
     /** These keys are somebody else's: neither read nor unknown. */
-    public void leave(String... keys) {
+    public void ignore(String... keys) {
         read.addAll(List.of(keys));
     }
 
     /** All has been read: guards against a key that is misspelt and so silently has no effect. */
-    public void close() {
+    public void rejectUnknownKeys() {
         node.fieldNames().forEachRemaining(key -> {
             if (!read.contains(key)) {
-                throw new Misread(place(key) + ": is no key that is known here"
+                throw new InvalidInputException(location(key) + ": is no key that is known here"
                         + (read.isEmpty() ? "" : "; known: " + String.join(", ", new TreeSet<>(read))));
             }
         });
-        parts.forEach(Sheet::close);
+        tables.forEach(TomlTable::rejectUnknownKeys);
     }
 
-    public Misread lacks(String key, String wanted) {
-        return new Misread(place(key) + ": is missing; wanted: " + wanted);
+    public InvalidInputException missing(String key, String wanted) {
+        return new InvalidInputException(location(key) + ": is missing; wanted: " + wanted);
     }
 
-    public Misread wrong(String key, String wanted) {
-        return wrong(key, node.get(key), wanted);
+    public InvalidInputException invalid(String key, String wanted) {
+        return invalid(key, node.get(key), wanted);
     }
 
-    private Misread wrong(String key, JsonNode found, String wanted) {
-        return new Misread(place(key) + ": " + found + " is not " + wanted);
+    private InvalidInputException invalid(String key, JsonNode found, String wanted) {
+        return new InvalidInputException(location(key) + ": " + found + " is not " + wanted);
     }
 
-    private JsonNode take(String key) {
+    private JsonNode read(String key) {
         read.add(key);
         return node.get(key);
     }
 
-    private String place(String key) {
+    private String location(String key) {
         int line = line(key);
         return file + (line == 0 ? "" : ": line " + line) + ": " + path + key;
     }
 
     /** The line on which the key stands, by its table's header and its name; 0 where that can't be told. */
     private int line(String key) {
-        String[] steps = path.isEmpty()
+        String[] segments = path.isEmpty()
                 ? new String[0]
                 : path.substring(0, path.length() - 1).split("\\.");
-        int row = steps.length > 0 && steps[steps.length - 1].matches("\\d+")
-                ? Integer.parseInt(steps[steps.length - 1])
+        int row = segments.length > 0 && segments[segments.length - 1].matches("\\d+")
+                ? Integer.parseInt(segments[segments.length - 1])
                 : 0;
         String table = String.join(
-                ".", Arrays.stream(steps).filter(s -> !s.matches("\\d+")).toList());
-        String open = "";
+                ".", Arrays.stream(segments).filter(s -> !s.matches("\\d+")).toList());
+        String currentTable = "";
         int seen = -1;
-        Pattern here = Pattern.compile("\\s*" + Pattern.quote(key) + "\\s*=.*");
+        Pattern keyLine = Pattern.compile("\\s*" + Pattern.quote(key) + "\\s*=.*");
         Pattern inline = Pattern.compile(".*[{,]\\s*" + Pattern.quote(key) + "\\s*=.*");
         for (int i = 0; i < lines.size(); i++) {
             String line = lines.get(i).strip();
             if (line.startsWith("[")) {
-                open = line.replaceAll("[\\[\\]]|#.*", "").strip();
-                seen += open.equals(table) ? 1 : 0;
-            } else if (open.equals(table) && here.matcher(line).matches() && (table.isEmpty() || seen == row)
+                currentTable = line.replaceAll("[\\[\\]]|#.*", "").strip();
+                seen += currentTable.equals(table) ? 1 : 0;
+            } else if (currentTable.equals(table) && keyLine.matcher(line).matches() && (table.isEmpty() || seen == row)
                     || !table.isEmpty()
-                            && !open.equals(table)
-                            && table.startsWith(open)
+                            && !currentTable.equals(table)
+                            && table.startsWith(currentTable)
                             && inline.matcher(line).matches()) {
                 return i + 1;
             }
@@ -331,7 +331,7 @@
         return 0;
     }
 
-    private static String plain(double value) {
+    private static String formatNumber(double value) {
         return value == Math.rint(value) && Math.abs(value) < 1e15
                 ? Long.toString((long) value)
                 : Double.toString(value);
--- a/rig/src/main/java/saltdale/rig/plan/Traffic.java
+++ b/rig/src/main/java/saltdale/rig/plan/Traffic.java
@@ -31,14 +31,14 @@
         double scale,
         List<String> splice,
         int retries,
-        Duration firstWait,
+        Duration initialBackoff,
         double jitter,
-        double budget,
-        boolean honoursPause,
-        double leave,
+        double retryBudget,
+        boolean honoursRetryAfter,
+        double abandonShare,
         int clients,
-        boolean marks,
-        int heavy,
+        boolean marksRetries,
+        int firstDispatcherWeight,
         Peak peak) {
     /** How the rate goes over time. */
     public enum Shape {
@@ -49,29 +49,29 @@
         DAY
     }
 
-    static Traffic read(Sheet sheet) {
-        if (sheet.has("rate") && sheet.has("utilisation")) {
-            throw sheet.wrong("rate", "wanted beside utilisation; give one of the two");
+    static Traffic read(TomlTable table) {
+        if (table.has("rate") && table.has("utilisation")) {
+            throw table.invalid("rate", "wanted beside utilisation; give one of the two");
         }
         return new Traffic(
-                sheet.word("shape", Shape.STEADY),
-                sheet.number("rate", 100, 0.001, 1e6),
-                sheet.number("utilisation", 0, 0.001, 10),
-                sheet.number("swing", 0.5, 0, 1),
-                sheet.span("period", Duration.ofSeconds(10)),
-                sheet.text("trace", null),
-                sheet.number("scale", 1, 0.0001, 10000),
-                sheet.texts("splice", List.of()),
-                sheet.whole("retries", 0, 0, 100),
-                sheet.span("wait", Duration.ofMillis(50)),
-                sheet.number("jitter", 0.5, 0, 1),
-                sheet.number("budget", 1, 0, 1),
-                sheet.flag("honours_pause", true),
-                sheet.number("leave", 0, 0, 1),
-                sheet.whole("clients", 0, 0, 1_000_000),
-                sheet.flag("marks", false),
-                sheet.whole("heavy", 1, 1, 100),
-                sheet.has("peak") ? Peak.read(sheet.part("peak")) : null);
+                table.enumValue("shape", Shape.STEADY),
+                table.number("rate", 100, 0.001, 1e6),
+                table.number("utilisation", 0, 0.001, 10),
+                table.number("swing", 0.5, 0, 1),
+                table.duration("period", Duration.ofSeconds(10)),
+                table.string("trace", null),
+                table.number("scale", 1, 0.0001, 10000),
+                table.strings("splice", List.of()),
+                table.integer("retries", 0, 0, 100),
+                table.duration("wait", Duration.ofMillis(50)),
+                table.number("jitter", 0.5, 0, 1),
+                table.number("budget", 1, 0, 1),
+                table.bool("honours_pause", true),
+                table.number("leave", 0, 0, 1),
+                table.integer("clients", 0, 0, 1_000_000),
+                table.bool("marks", false),
+                table.integer("heavy", 1, 1, 100),
+                table.has("peak") ? Peak.read(table.table("peak")) : null);
     }
 
     public static Traffic steady(double rate) {
@@ -96,7 +96,7 @@
                 null);
     }
 
-    public Traffic at(double newRate) {
+    public Traffic withRate(double newRate) {
         return new Traffic(
                 shape,
                 newRate,
@@ -107,40 +107,40 @@
                 scale,
                 splice,
                 retries,
-                firstWait,
+                initialBackoff,
                 jitter,
-                budget,
-                honoursPause,
-                leave,
+                retryBudget,
+                honoursRetryAfter,
+                abandonShare,
                 clients,
-                marks,
-                heavy,
+                marksRetries,
+                firstDispatcherWeight,
                 peak);
     }
 
-    public Traffic shaped(Shape how, double swings, Duration each) {
+    public Traffic withShape(Shape newShape, double newSwing, Duration newPeriod) {
         return new Traffic(
-                how,
+                newShape,
                 rate,
                 utilisation,
-                swings,
-                each,
+                newSwing,
+                newPeriod,
                 trace,
                 scale,
                 splice,
                 retries,
-                firstWait,
+                initialBackoff,
                 jitter,
-                budget,
-                honoursPause,
-                leave,
+                retryBudget,
+                honoursRetryAfter,
+                abandonShare,
                 clients,
-                marks,
-                heavy,
+                marksRetries,
+                firstDispatcherWeight,
                 peak);
     }
 
-    public Traffic retrying(int most, Duration first, double share) {
+    public Traffic withRetries(int newRetries, Duration newInitialBackoff, double newBudget) {
         return new Traffic(
                 shape,
                 rate,
@@ -150,15 +150,15 @@
                 trace,
                 scale,
                 splice,
-                most,
-                first,
+                newRetries,
+                newInitialBackoff,
                 jitter,
-                share,
-                honoursPause,
-                leave,
+                newBudget,
+                honoursRetryAfter,
+                abandonShare,
                 clients,
-                marks,
-                heavy,
+                marksRetries,
+                firstDispatcherWeight,
                 peak);
     }
 }
--- a/rig/src/main/java/saltdale/rig/plan/Trouble.java
+++ b/rig/src/main/java/saltdale/rig/plan/Trouble.java
@@ -24,7 +24,7 @@
         double size,
         double extra,
         List<Integer> dispatchers,
-        boolean list) {
+        boolean runnerList) {
     /** The kinds, and what {@code size} and {@code extra} are for each. */
     public enum Kind {
         /** So many times slower. */
@@ -89,24 +89,24 @@
         WAY_FLAPS(0.5, 0.01, 0.99, 1);
 
         public final double size;
-        final double least;
-        final double most;
+        final double min;
+        final double max;
         final double extra;
 
-        Kind(double size, double least, double most, double extra) {
+        Kind(double size, double min, double max, double extra) {
             this.size = size;
-            this.least = least;
-            this.most = most;
+            this.min = min;
+            this.max = max;
             this.extra = extra;
         }
 
         /** Whether it befalls dispatchers' processes. */
-        boolean isOfProcesses() {
+        boolean isProcessFault() {
             return this == DISPATCHER_KILL || compareTo(DISPATCHER_STOP) >= 0 && compareTo(DISPATCHER_RESTART) <= 0;
         }
 
         /** Whether it befalls ways between dispatchers and runners, or the list. */
-        boolean isOfWays() {
+        boolean isPathFault() {
             return compareTo(WAY_RESET) >= 0;
         }
     }
@@ -116,92 +116,93 @@
     }
 
     /** Whether it disturbs the wire to this runner rather than the runner. */
-    public boolean onWire() {
+    public boolean isWireFault() {
         return kind.compareTo(Kind.CUT_ANSWERS) >= 0 && kind.compareTo(Kind.NO_NEWS) <= 0;
     }
 
-    public boolean onProcess() {
-        return kind.isOfProcesses();
+    public boolean isProcessFault() {
+        return kind.isProcessFault();
     }
 
-    public boolean onWay() {
-        return kind.isOfWays();
+    public boolean isPathFault() {
+        return kind.isPathFault();
     }
 
     /** Whether it can be played only where there are processes and sockets. */
-    public boolean socketsOnly() {
+    public boolean requiresSockets() {
         return kind.compareTo(Kind.DISPATCHER_STOP) >= 0;
     }
 
     /** Whether it befalls the way between these two. */
-    public boolean befalls(int runner, int dispatcher) {
-        return onWay() && !list && runners.contains(runner) && dispatchers.contains(dispatcher);
+    public boolean affectsPath(int runner, int dispatcher) {
+        return isPathFault() && !runnerList && runners.contains(runner) && dispatchers.contains(dispatcher);
     }
 
-    static Trouble read(Sheet sheet, int fleet, int dispatchers, List<String> zones, SplittableRandom chance) {
-        sheet.required("kind");
-        Kind kind = sheet.word("kind", Kind.SLOW);
-        boolean way = kind.isOfWays();
-        int most = kind.isOfProcesses() ? dispatchers : fleet;
-        List<Integer> runners = sheet.wholes("runners");
+    static Trouble read(
+            TomlTable table, int runnerCount, int dispatchers, List<String> zones, SplittableRandom random) {
+        table.required("kind");
+        Kind kind = table.enumValue("kind", Kind.SLOW);
+        boolean onPath = kind.isPathFault();
+        int count = kind.isProcessFault() ? dispatchers : runnerCount;
+        List<Integer> runners = table.integers("runners");
         for (int each : runners) {
-            if (each >= most) {
-                throw sheet.wrong("runners", "a list of numbers from 0 to " + (most - 1));
+            if (each >= count) {
+                throw table.invalid("runners", "a list of numbers from 0 to " + (count - 1));
             }
         }
-        double part = sheet.number("part", 0, 0, 1);
-        if (sheet.has("part") && sheet.has("runners")) {
-            throw sheet.wrong("part", "wanted beside runners; give one of the two");
+        double part = table.number("part", 0, 0, 1);
+        if (table.has("part") && table.has("runners")) {
+            throw table.invalid("part", "wanted beside runners; give one of the two");
         }
-        boolean list = way && sheet.flag("list", false);
-        String zone = way ? sheet.text("zone", null) : null;
-        if (list && (sheet.has("runners") || sheet.has("part") || zone != null)) {
-            throw sheet.wrong("list", "wanted beside runners, part or zone; give one of them");
-        } else if (list && kind != Kind.WAY_RESET && kind != Kind.WAY_SILENT && kind != Kind.WAY_FLAPS) {
-            throw sheet.wrong("list", "possible with this kind; way-reset, way-silent and way-flaps are");
+        boolean runnerList = onPath && table.bool("list", false);
+        String zone = onPath ? table.string("zone", null) : null;
+        if (runnerList && (table.has("runners") || table.has("part") || zone != null)) {
+            throw table.invalid("list", "wanted beside runners, part or zone; give one of them");
+        } else if (runnerList && kind != Kind.WAY_RESET && kind != Kind.WAY_SILENT && kind != Kind.WAY_FLAPS) {
+            throw table.invalid("list", "possible with this kind; way-reset, way-silent and way-flaps are");
         } else if (zone != null && !zones.contains(zone)) {
-            throw sheet.wrong("zone", "one of the fleet's zones, " + String.join(", ", zones));
-        } else if (zone != null && (sheet.has("runners") || sheet.has("part"))) {
-            throw sheet.wrong("zone", "wanted beside runners or part; give one of them");
+            throw table.invalid("zone", "one of the fleet's zones, " + String.join(", ", zones));
+        } else if (zone != null && (table.has("runners") || table.has("part"))) {
+            throw table.invalid("zone", "wanted beside runners or part; give one of them");
         }
-        List<Integer> whose = way ? sheet.wholes("dispatchers") : List.of();
-        for (int each : whose) {
+        List<Integer> pathDispatchers = onPath ? table.integers("dispatchers") : List.of();
+        for (int each : pathDispatchers) {
             if (each >= dispatchers) {
-                throw sheet.wrong("dispatchers", "a list of numbers from 0 to " + (dispatchers - 1));
+                throw table.invalid("dispatchers", "a list of numbers from 0 to " + (dispatchers - 1));
             }
         }
-        if (way && whose.isEmpty()) {
-            whose = IntStream.range(0, dispatchers).boxed().toList();
+        if (onPath && pathDispatchers.isEmpty()) {
+            pathDispatchers = IntStream.range(0, dispatchers).boxed().toList();
         }
         if (zone != null) {
-            runners = IntStream.range(0, fleet)
+            runners = IntStream.range(0, runnerCount)
                     .filter(i -> zones.get(i % zones.size()).equals(zone))
                     .boxed()
                     .toList();
         }
-        if (runners.isEmpty() && kind != Kind.ZONE_CUT && kind != Kind.LIST_SILENT && !list) {
+        if (runners.isEmpty() && kind != Kind.ZONE_CUT && kind != Kind.LIST_SILENT && !runnerList) {
             List<Integer> all = new ArrayList<>();
-            for (int i = 0; i < most; i++) {
+            for (int i = 0; i < count; i++) {
                 all.add(i);
             }
             for (int i = all.size() - 1; i > 0; i--) {
-                Collections.swap(all, i, chance.nextInt(i + 1));
+                Collections.swap(all, i, random.nextInt(i + 1));
             }
-            runners = all.subList(0, part == 0 ? 1 : (int) Math.max(1, Math.round(part * most)));
+            runners = all.subList(0, part == 0 ? 1 : (int) Math.max(1, Math.round(part * count)));
         }
-        double size = kind.most == 0 ? 0 : sheet.number("size", kind.size, kind.least, kind.most);
-        boolean turns = kind == Kind.DISPATCHER_SLOW || kind == Kind.WAY_FLAPS;
+        double size = kind.max == 0 ? 0 : table.number("size", kind.size, kind.min, kind.max);
+        boolean isPeriodic = kind == Kind.DISPATCHER_SLOW || kind == Kind.WAY_FLAPS;
         double extra = kind.extra == 0 && kind != Kind.NEIGHBOUR
                 ? 0
-                : sheet.number("extra", kind.extra, turns ? 0.02 : 0, 1000);
+                : table.number("extra", kind.extra, isPeriodic ? 0.02 : 0, 1000);
         return new Trouble(
                 kind,
-                sheet.span("at", Duration.ZERO),
-                sheet.span("length", Duration.ofSeconds(5)),
+                table.duration("at", Duration.ZERO),
+                table.duration("length", Duration.ofSeconds(5)),
                 List.copyOf(runners),
                 size,
                 extra,
-                List.copyOf(whose),
-                list);
+                List.copyOf(pathDispatchers),
+                runnerList);
     }
 }
--- a/rig/src/main/java/saltdale/rig/report/Report.java
+++ b/rig/src/main/java/saltdale/rig/report/Report.java
@@ -22,10 +22,10 @@
 
 /** One page of HTML with its plots inside, to be opened without a network. */
 public final class Report {
-    private static final int MOST_RUNNERS = 12; // drawn one by one
-    private static final int MOST_DRAWN = 6; // runs with plots of their own: a sweep's page would not open
-    private static final double NEARLY_ALL = 0.99;
-    private static final Pattern LOAD = Pattern.compile("load\\.utilisation=([0-9.]+)");
+    private static final int MAX_PLOTTED_RUNNERS = 12; // drawn one by one
+    private static final int MAX_PLOTTED_RUNS = 6; // runs with plots of their own: a sweep's page would not open
+    private static final double OVERLOAD_THRESHOLD = 0.99;
+    private static final Pattern LOAD_PATTERN = Pattern.compile("load\\.utilisation=([0-9.]+)");
 
     private Report() {}
 
@@ -45,12 +45,12 @@
         overload(page, results.path("runs"));
         int drawn = 0;
         for (JsonNode run : results.path("runs")) {
-            if (run.path("repeat").asInt() == 0 && drawn++ < MOST_DRAWN) {
+            if (run.path("repeat").asInt() == 0 && drawn++ < MAX_PLOTTED_RUNS) {
                 run(page, run);
             }
         }
-        if (drawn > MOST_DRAWN) {
-            page.append("<p>").append(drawn - MOST_DRAWN).append(" more runs stand in results.json.</p>");
+        if (drawn > MAX_PLOTTED_RUNS) {
+            page.append("<p>").append(drawn - MAX_PLOTTED_RUNS).append(" more runs stand in results.json.</p>");
         }
         return page.append("</body></html>\n").toString();
     }
@@ -83,8 +83,8 @@
         Map<String, Map<Double, List<Double>>> byLoad = new LinkedHashMap<>(); // worth in time, by version and load
         for (JsonNode run : runs) {
             JsonNode f = run.path("figures");
-            any |= f.path("could_be_had").asDouble(1) < NEARLY_ALL || f.has("in_peak");
-            Matcher load = LOAD.matcher(run.path("point").asText());
+            any |= f.path("could_be_had").asDouble(1) < OVERLOAD_THRESHOLD || f.has("in_peak");
+            Matcher load = LOAD_PATTERN.matcher(run.path("point").asText());
             if (load.find()) {
                 double times = Double.parseDouble(load.group(1));
                 byLoad.computeIfAbsent(run.path("version").asText(), k -> new TreeMap<>())
@@ -177,16 +177,16 @@
         service.getStyler().setYAxisMax(1.0);
         series.path("service").fields().forEachRemaining(e -> add(service, e.getKey(), e.getValue(), 1, 0));
         draw(page, service);
-        XYChart held = chart("Assignments held by each runner", "s", "assignments");
-        for (int i = 0; i < Math.min(MOST_RUNNERS, series.path("runners").size()); i++) {
-            add(held, "r" + i, series.path("runners").get(i), 1, 0);
+        XYChart inFlight = chart("Assignments held by each runner", "s", "assignments");
+        for (int i = 0; i < Math.min(MAX_PLOTTED_RUNNERS, series.path("runners").size()); i++) {
+            add(inFlight, "r" + i, series.path("runners").get(i), 1, 0);
         }
-        draw(page, held);
-        beliefs(page, series.path("runners"));
+        draw(page, inFlight);
+        reportAccuracy(page, series.path("runners"));
     }
 
     /** The runner whose reports lay furthest from the truth. */
-    private static void beliefs(StringBuilder page, JsonNode runners) throws IOException {
+    private static void reportAccuracy(StringBuilder page, JsonNode runners) throws IOException {
         int worst = -1;
         double most = -1;
         for (int i = 0; i < runners.size(); i++) {
--- a/rig/src/main/java/saltdale/rig/simulate/JudgeProof.java
+++ b/rig/src/main/java/saltdale/rig/simulate/JudgeProof.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 import saltdale.rig.judge.Violation;
 import saltdale.rig.load.Arrivals;
-import saltdale.rig.plan.Day;
-import saltdale.rig.plan.Sheet;
+import saltdale.rig.plan.Scenario;
+import saltdale.rig.plan.TomlTable;
 import saltdale.rig.simulate.BaselineDispatcher.Defect;
 import saltdale.rig.simulate.BaselineDispatcher.SelectionPolicy;
 
@@ -138,8 +138,9 @@
     }
 
     private static Case runDay(String name, Violation.Kind expected, Simulation.DispatcherFactory factory) {
-        Day day = new Day(Sheet.of("proof", DAY));
-        Simulation sim = new Simulation(day, factory, new Arrivals(day.traffic, day.jobs, day.length, day.seed)).run();
+        Scenario day = new Scenario(TomlTable.of("proof", DAY));
+        Simulation sim =
+                new Simulation(day, factory, new Arrivals(day.traffic, day.workloads, day.length, day.seed)).run();
         return new Case(
                 name,
                 expected,
--- a/rig/src/main/java/saltdale/rig/simulate/OverloadProof.java
+++ b/rig/src/main/java/saltdale/rig/simulate/OverloadProof.java
@@ -15,10 +15,10 @@
 import saltdale.model.Workload;
 import saltdale.rig.judge.Violation;
 import saltdale.rig.load.Arrivals;
-import saltdale.rig.load.Overloads;
-import saltdale.rig.load.Tally;
-import saltdale.rig.plan.Day;
-import saltdale.rig.plan.Sheet;
+import saltdale.rig.load.OverloadFigures;
+import saltdale.rig.load.RequestStatistics;
+import saltdale.rig.plan.Scenario;
+import saltdale.rig.plan.TomlTable;
 
 /**
  * Verifies that the required properties under overload are observable from outside: each defective dispatcher violates
@@ -118,16 +118,16 @@
     }
 
     private static Map<Property, String> runDay(Defect defect) {
-        Day day = new Day(Sheet.of("overload proof", DAY));
+        Scenario day = new Scenario(TomlTable.of("overload proof", DAY));
         Observations observations = new Observations();
         Simulation sim = new Simulation(
                         day,
                         (settings, actions, random) ->
                                 createDispatcher(defect, settings, actions, random, observations),
-                        new Arrivals(day.traffic, day.jobs, day.length, day.seed))
+                        new Arrivals(day.traffic, day.workloads, day.length, day.seed))
                 .run();
         Map<Property, String> violations = new TreeMap<>();
-        List<Tally.Row> rows = new ArrayList<>(sim.tally().rows().values());
+        List<RequestStatistics.Row> rows = new ArrayList<>(sim.tally().rows().values());
         check(
                 violations,
                 Property.DEAREST_FIRST,
@@ -173,7 +173,7 @@
                 inTimeShare > 0.7,
                 "in time: %.2f of the fulfilled requests, " + "%.2f of those possible",
                 inTimeShare,
-                Overloads.figures(day, sim.tally(), sim.spread()).get("of_could_be_had"));
+                OverloadFigures.figures(day, sim.tally(), sim.spread()).get("of_could_be_had"));
         return violations;
     }
 
--- a/rig/src/main/java/saltdale/rig/simulate/SimulatedFleet.java
+++ b/rig/src/main/java/saltdale/rig/simulate/SimulatedFleet.java
@@ -10,9 +10,9 @@
 import saltdale.rig.fleet.RunnerModel;
 import saltdale.rig.fleet.TroubleSchedule.Action;
 import saltdale.rig.judge.EventObserver.ListedHealth;
-import saltdale.rig.load.Watch;
-import saltdale.rig.plan.Day;
-import saltdale.rig.plan.Make;
+import saltdale.rig.load.RunnerLoadHistory;
+import saltdale.rig.plan.RunnerType;
+import saltdale.rig.plan.Scenario;
 
 /** The runners of a simulated day, driven by the event queue, and their entries in the runner list. */
 public final class SimulatedFleet {
@@ -33,29 +33,29 @@
 
     private final Simulation sim;
     private final List<SimulatedRunner> runners = new ArrayList<>();
-    private final Watch watch;
+    private final RunnerLoadHistory watch;
 
     SimulatedFleet(Simulation sim, SplittableRandom random) {
         this.sim = sim;
-        Day day = sim.day;
-        watch = new Watch(day.runners);
+        Scenario day = sim.day;
+        watch = new RunnerLoadHistory(day.runnerCount);
         List<ReceiptStore.ByScope> receipts = ReceiptStore.of(day);
-        for (int i = 0; i < day.runners; i++) {
+        for (int i = 0; i < day.runnerCount; i++) {
             runners.add(new SimulatedRunner(
                     i,
                     new RunnerModel(
-                            day.make(i),
+                            day.runnerType(i),
                             receipts.get(i),
-                            day.orders.coldLimitMultiple,
-                            day.orders.coldLimitWindow,
-                            day.meanSize(),
+                            day.dispatcherSettings.coldLimitMultiple,
+                            day.dispatcherSettings.coldLimitWindow,
+                            day.meanWorkSeconds(),
                             random.split(),
                             new AttemptNotifier(i))));
         }
     }
 
     /** The load of the runners over time. */
-    public Watch watch() {
+    public RunnerLoadHistory watch() {
         return watch;
     }
 
@@ -78,7 +78,7 @@
         return runners.get(runner).listedStart;
     }
 
-    Make make(int runner) {
+    RunnerType make(int runner) {
         return runners.get(runner).model.make;
     }
 
@@ -105,7 +105,7 @@
 
     LoadReport report(int runner) {
         LoadReport report = runners.get(runner).model.report(sim.eventQueue.now());
-        watch.told(runner, report);
+        watch.recordReport(runner, report);
         scheduleWake(runners.get(runner));
         return report;
     }
@@ -133,27 +133,27 @@
                 simulatedRunner.model.setCondition(now, sim.troubleSchedule.runnerCondition(runner, now));
             case CRASH -> {
                 simulatedRunner.model.stop(now);
-                publishAfter(simulatedRunner, ListedHealth.GONE, sim.day.silentNotice);
+                publishAfter(simulatedRunner, ListedHealth.GONE, sim.day.crashNoticeDelay);
             }
             case VANISH -> {
                 simulatedRunner.silent = true;
                 sim.judge.runnerSilent(now, runner);
                 simulatedRunner.model.stop(now);
-                publishAfter(simulatedRunner, ListedHealth.GONE, sim.day.silentNotice);
+                publishAfter(simulatedRunner, ListedHealth.GONE, sim.day.crashNoticeDelay);
             }
             case DRAIN, HAND_BACK -> {
                 simulatedRunner.model.drain(now, action == Action.HAND_BACK);
-                publishAfter(simulatedRunner, ListedHealth.DRAINING, sim.day.notice);
+                publishAfter(simulatedRunner, ListedHealth.DRAINING, sim.day.listUpdateDelay);
             }
             case REMOVE -> {
                 simulatedRunner.model.stop(now);
-                publishAfter(simulatedRunner, ListedHealth.GONE, sim.day.notice);
+                publishAfter(simulatedRunner, ListedHealth.GONE, sim.day.listUpdateDelay);
             }
             case START -> {
                 simulatedRunner.silent = false;
                 simulatedRunner.model.start(now);
                 sim.judge.runnerStarted(now, runner, simulatedRunner.model.make);
-                publishAfter(simulatedRunner, ListedHealth.UP, sim.day.notice);
+                publishAfter(simulatedRunner, ListedHealth.UP, sim.day.listUpdateDelay);
             }
             default -> {} // applies to bytes on the wire, which aren't simulated
         }
@@ -185,7 +185,7 @@
 
         @Override
         public void started(Duration at, RunnerJob job) {
-            if (sim.day.orders.reportsStart) {
+            if (sim.day.dispatcherSettings.reportsStart) {
                 ((SimulatedNode.InFlightAttempt) job.attachment).started();
             }
         }
--- a/rig/src/main/java/saltdale/rig/simulate/SimulatedNode.java
+++ b/rig/src/main/java/saltdale/rig/simulate/SimulatedNode.java
@@ -60,7 +60,7 @@
         this.sim = sim;
         this.number = number;
         this.random = random;
-        this.settings = sim.day.orders(number);
+        this.settings = sim.day.dispatcherSettings(number);
     }
 
     boolean isUp() {
@@ -77,7 +77,7 @@
         incarnation++;
         runners.clear();
         runnerNumbers.clear();
-        for (int i = 0; i < sim.day.runners; i++) {
+        for (int i = 0; i < sim.day.runnerCount; i++) {
             Runner runner = new Runner();
             runners.add(runner);
             runnerNumbers.put(runner, i);
@@ -171,7 +171,7 @@
     // ---- Clients.
 
     void receive(Simulation.ClientTry clientTry) {
-        Request request = new Request(clientTry.ask().job().workload(), now(), clientTry.clientTimeout());
+        Request request = new Request(clientTry.ask().plannedWorkload().workload(), now(), clientTry.clientTimeout());
         request.markedAsRetry = clientTry.number > 1;
         HeldRequest held = new HeldRequest(clientTry, request);
         requests.put(request, held);
@@ -298,7 +298,7 @@
                     id,
                     workload.repeatSafety == Workload.RepeatSafety.RECEIPTED ? held.clientTry.receipt() : null,
                     workload,
-                    held.clientTry.ask().size(),
+                    held.clientTry.ask().workSeconds(),
                     number);
             job.attachment = this;
             sim.judge.attemptReceived(sentAt, now(), id, runner, number, job.sizeSeconds);
--- a/rig/src/main/java/saltdale/rig/simulate/Simulation.java
+++ b/rig/src/main/java/saltdale/rig/simulate/Simulation.java
@@ -14,11 +14,11 @@
 import saltdale.rig.judge.EventObserver.ListedHealth;
 import saltdale.rig.judge.Judge;
 import saltdale.rig.judge.JudgeSettings;
-import saltdale.rig.load.Ask;
-import saltdale.rig.load.Persistence;
-import saltdale.rig.load.Spread;
-import saltdale.rig.load.Tally;
-import saltdale.rig.plan.Day;
+import saltdale.rig.load.ClientRequest;
+import saltdale.rig.load.ClientRetryPolicy;
+import saltdale.rig.load.RequestStatistics;
+import saltdale.rig.load.ShedSpread;
+import saltdale.rig.plan.Scenario;
 
 /**
  * Simulates a day: clients, dispatchers, the network, the runner list and the fleet. It uses one thread and a random
@@ -35,14 +35,14 @@
 
     private static final Duration SAMPLE_INTERVAL = Duration.ofMillis(250);
 
-    final Day day;
+    final Scenario day;
     final EventQueue eventQueue = new EventQueue();
     final Judge judge;
     final TroubleSchedule troubleSchedule;
     final SimulatedFleet fleet;
-    private final Tally tally;
+    private final RequestStatistics tally;
     private final List<SimulatedNode> nodes = new ArrayList<>();
-    private final Persistence persistence;
+    private final ClientRetryPolicy persistence;
     private final SplittableRandom networkRandom;
     private final DispatcherFactory dispatcherFactory;
     private final SplittableRandom random;
@@ -53,9 +53,9 @@
     private long openRequests;
     private long weightedTurns;
     private long probeCount;
-    private final Spread spread;
+    private final ShedSpread spread;
 
-    public Simulation(Day day, DispatcherFactory dispatcherFactory, Iterator<Ask> arrivals) {
+    public Simulation(Scenario day, DispatcherFactory dispatcherFactory, Iterator<ClientRequest> arrivals) {
         this.day = day;
         this.dispatcherFactory = dispatcherFactory;
         random = new SplittableRandom(day.seed);
@@ -63,10 +63,10 @@
         judge = new Judge(JudgeSettings.of(day, Duration.ofMillis(1)), Duration.ofSeconds(5));
         troubleSchedule = new TroubleSchedule(day.troubles);
         fleet = new SimulatedFleet(this, random.split());
-        tally = new Tally(day.jobs, day.warmUp);
-        persistence = new Persistence(day.traffic, random.split());
-        spread = new Spread(day.dispatchers);
-        for (int i = 0; i < day.dispatchers; i++) {
+        tally = new RequestStatistics(day.workloads, day.warmUp);
+        persistence = new ClientRetryPolicy(day.traffic, random.split());
+        spread = new ShedSpread(day.dispatcherCount);
+        for (int i = 0; i < day.dispatcherCount; i++) {
             SimulatedNode node = new SimulatedNode(this, i, random.split());
             nodes.add(node);
             eventQueue.scheduleAt(Duration.ZERO, () -> node.start(dispatcherFactory));
@@ -78,10 +78,10 @@
         scheduleNextArrival(arrivals);
     }
 
-    private void scheduleNextArrival(Iterator<Ask> arrivals) {
+    private void scheduleNextArrival(Iterator<ClientRequest> arrivals) {
         if (arrivals.hasNext()) {
-            Ask ask = arrivals.next();
-            eventQueue.scheduleAt(ask.at(), () -> {
+            ClientRequest ask = arrivals.next();
+            eventQueue.scheduleAt(ask.intendedAt(), () -> {
                 new SimulatedClient(ask).sendTry();
                 scheduleNextArrival(arrivals);
             });
@@ -98,7 +98,7 @@
     /** Runs the day, and then on until every request has an answer or the time limit for that is reached. */
     public Simulation run() {
         eventQueue.runUntil(day.length);
-        Duration maxDrainTime = day.longestStay().plusSeconds(5);
+        Duration maxDrainTime = day.maxClientTime().plusSeconds(5);
         for (Duration end = day.length; openRequests > 0 && end.compareTo(day.length.plus(maxDrainTime)) < 0; ) {
             end = end.plusMillis(500);
             eventQueue.runUntil(end);
@@ -108,12 +108,12 @@
     }
 
     /** The results as seen by the clients. */
-    public Tally tally() {
+    public RequestStatistics tally() {
         return tally;
     }
 
     /** The shares of rejected requests by dispatcher. */
-    public Spread spread() {
+    public ShedSpread spread() {
         return spread;
     }
 
@@ -143,8 +143,8 @@
 
     /** A random latency of a message between these zones, given by number. */
     Duration latency(int from, int to) {
-        Duration baseLatency = from == to ? day.sameZone : day.crossZone;
-        return Duration.ofNanos((long) (baseLatency.toNanos() * (1 + day.netJitter * networkRandom.nextDouble())));
+        Duration baseLatency = from == to ? day.sameZoneLatency : day.crossZoneLatency;
+        return Duration.ofNanos((long) (baseLatency.toNanos() * (1 + day.networkJitter * networkRandom.nextDouble())));
     }
 
     int zoneOf(int number) {
@@ -200,9 +200,9 @@
 
     /** Selects dispatchers in turn; the first gets a multiple of the others' requests if the traffic says so. */
     private SimulatedNode selectNode() {
-        if (day.traffic.heavy() > 1
+        if (day.traffic.firstDispatcherWeight() > 1
                 && detectedDownNodes.isEmpty()
-                && weightedTurns++ % (nodes.size() - 1 + day.traffic.heavy()) >= nodes.size()) {
+                && weightedTurns++ % (nodes.size() - 1 + day.traffic.firstDispatcherWeight()) >= nodes.size()) {
             return nodes.get(0);
         }
         for (int i = 0; i < nodes.size(); i++) {
@@ -218,26 +218,26 @@
 
     /** The client of one arrival, over all its tries. */
     final class SimulatedClient {
-        final Ask ask;
+        final ClientRequest ask;
         private int tryCount;
         private ClientTry currentTry;
         private boolean finished;
 
-        SimulatedClient(Ask ask) {
+        SimulatedClient(ClientRequest ask) {
             this.ask = ask;
             openRequests++;
         }
 
         void sendTry() {
             if (tryCount == 0) {
-                persistence.firstTry();
+                persistence.recordFirstTry();
             }
             tryCount++;
             ClientTry clientTry = new ClientTry(this, tryCount);
             currentTry = clientTry;
             SimulatedNode node = selectNode();
             Duration latency = latency(0, 0);
-            if (tryCount == 1 && persistence.leaves()) {
+            if (tryCount == 1 && persistence.abandons()) {
                 eventQueue.scheduleAfter(clientTry.clientTimeout().dividedBy(2), () -> {
                     if (currentTry == clientTry && !finished) {
                         judge.clientLeft(eventQueue.now(), clientTry.id);
@@ -252,7 +252,11 @@
                     return;
                 }
                 judge.requestSent(
-                        eventQueue.now(), clientTry.id, ask.job().workload(), node.number, clientTry.clientTimeout());
+                        eventQueue.now(),
+                        clientTry.id,
+                        ask.plannedWorkload().workload(),
+                        node.number,
+                        clientTry.clientTimeout());
                 node.receive(clientTry);
                 clientTry.dispatcher = node.number;
                 eventQueue.scheduleAfter(
@@ -267,15 +271,16 @@
             }
             currentTry = null;
             if (ended.dispatcher >= 0) {
-                spread.ended(ended.dispatcher, ask.job().workload().importance, outcome == TryOutcome.SHED);
+                spread.recordTry(
+                        ended.dispatcher, ask.plannedWorkload().workload().importance, outcome == TryOutcome.SHED);
             }
-            Duration wait = persistence.next(
-                    ask.job().workload(),
+            Duration wait = persistence.nextDelay(
+                    ask.plannedWorkload().workload(),
                     tryCount,
                     outcome == TryOutcome.UNREACHABLE ? FinalAnswer.SHED : outcome.finalAnswer,
                     retryAfter,
                     eventQueue.now(),
-                    ask.at());
+                    ask.intendedAt());
             if (wait == null) {
                 finish(outcome.finalAnswer, false);
             } else {
@@ -286,7 +291,7 @@
         private void finish(FinalAnswer finalAnswer, boolean left) {
             finished = true;
             openRequests--;
-            tally.over(ask, finalAnswer, eventQueue.now(), tryCount, left);
+            tally.record(ask, finalAnswer, eventQueue.now(), tryCount, left);
         }
     }
 
@@ -318,7 +323,7 @@
             this.id = client.ask.number() + "." + number;
         }
 
-        Ask ask() {
+        ClientRequest ask() {
             return client.ask;
         }
 
@@ -327,7 +332,7 @@
         }
 
         Duration clientTimeout() {
-            return client.ask.job().workload().clientTimeout;
+            return client.ask.plannedWorkload().workload().clientTimeout;
         }
     }
 }
--- a/rig/src/main/java/saltdale/rig/standin/RunnerListServer.java
+++ b/rig/src/main/java/saltdale/rig/standin/RunnerListServer.java
@@ -22,7 +22,7 @@
 import saltdale.rig.fleet.LinkCondition;
 import saltdale.rig.judge.EventObserver;
 import saltdale.rig.judge.EventObserver.ListedHealth;
-import saltdale.rig.plan.Day;
+import saltdale.rig.plan.Scenario;
 import saltdale.transport.Connection;
 import saltdale.transport.Listener;
 
@@ -41,7 +41,7 @@
     }
 
     private final LoopThread loopThread;
-    private final Day day;
+    private final Scenario day;
     private final LoopbackAddresses places;
     private final Origin origin;
     private final EventObserver witness;
@@ -53,17 +53,17 @@
     private boolean mute;
 
     public RunnerListServer(
-            LoopThread loopThread, Day day, LoopbackAddresses places, Origin origin, EventObserver witness)
+            LoopThread loopThread, Scenario day, LoopbackAddresses places, Origin origin, EventObserver witness)
             throws IOException {
         this.loopThread = loopThread;
         this.day = day;
         this.places = places;
         this.origin = origin;
         this.witness = witness;
-        for (int i = 0; i < day.runners; i++) {
+        for (int i = 0; i < day.runnerCount; i++) {
             entries.add(new Entry());
         }
-        for (int j = 0; j < day.dispatchers; j++) {
+        for (int j = 0; j < day.dispatcherCount; j++) {
             int dispatcher = j;
             InetSocketAddress at = places.list(j);
             new Listener(
@@ -139,7 +139,7 @@
                     .put("host", "r" + i)
                     .put("dial", LoopbackAddresses.text(places.runner(i, dispatcher)))
                     .put("site", day.zone(i))
-                    .put("class", day.make(i).name())
+                    .put("class", day.runnerType(i).name())
                     .put("block", day.cell(i))
                     .put(
                             "health",
--- a/rig/src/main/java/saltdale/rig/standin/Served.java
+++ b/rig/src/main/java/saltdale/rig/standin/Served.java
@@ -56,9 +56,9 @@
             fleet.witness.attemptEnded(fleet.origin.now(), id, runner.number);
             runner.schedule();
             say(answer(204, "", ""));
-        } else if (path.equals("/alive") && fleet.day.orders.mayProbe) {
+        } else if (path.equals("/alive") && fleet.day.dispatcherSettings.mayProbe) {
             say(answer(200, "", ""));
-        } else if (path.equals("/metrics/load") && fleet.day.orders.mayProbe) {
+        } else if (path.equals("/metrics/load") && fleet.day.dispatcherSettings.mayProbe) {
             say(answer(200, "Content-Type: application/json\r\n", load(report())));
         } else {
             say(answer(404, "", ""));
@@ -68,7 +68,7 @@
     private LoadReport report() {
         LoadReport report = runner.model.report(fleet.origin.now());
         runner.schedule();
-        fleet.watch.told(runner.number, report);
+        fleet.watch.recordReport(runner.number, report);
         return report;
     }
 
--- a/rig/src/main/java/saltdale/rig/standin/StandInFleet.java
+++ b/rig/src/main/java/saltdale/rig/standin/StandInFleet.java
@@ -16,9 +16,9 @@
 import saltdale.rig.fleet.ReceiptStore;
 import saltdale.rig.fleet.TroubleSchedule;
 import saltdale.rig.judge.EventObserver;
-import saltdale.rig.load.Watch;
-import saltdale.rig.plan.Day;
-import saltdale.rig.plan.Job;
+import saltdale.rig.load.RunnerLoadHistory;
+import saltdale.rig.plan.PlannedWorkload;
+import saltdale.rig.plan.Scenario;
 import saltdale.rig.plan.Trouble;
 import saltdale.rig.ways.LinkRelay;
 import saltdale.transport.ConnectionPool;
@@ -36,13 +36,13 @@
     private record Links(LinkRelay there, LinkRelay back, ConnectionPool calls) {}
 
     final LoopThread loopThread;
-    final Day day;
+    final Scenario day;
     final LoopbackAddresses places;
     final Origin origin;
     final EventObserver witness;
     final ListWord list;
     final TroubleSchedule troubles;
-    final Watch watch;
+    final RunnerLoadHistory watch;
     private final SplittableRandom chance;
     final Map<String, Workload> workloads = new HashMap<>();
     private final List<StandInRunner> runners = new ArrayList<>();
@@ -56,7 +56,7 @@
 
     public StandInFleet(
             LoopThread loopThread,
-            Day day,
+            Scenario day,
             LoopbackAddresses places,
             Origin origin,
             EventObserver witness,
@@ -70,19 +70,19 @@
         this.witness = witness;
         this.list = list;
         this.troubles = new TroubleSchedule(day.troubles);
-        this.watch = new Watch(day.runners);
+        this.watch = new RunnerLoadHistory(day.runnerCount);
         this.chance = new SplittableRandom(seed);
-        for (Job job : day.jobs) {
+        for (PlannedWorkload job : day.workloads) {
             workloads.put(job.name(), job.workload());
         }
-        for (int j = 0; j < day.dispatchers; j++) {
+        for (int j = 0; j < day.dispatcherCount; j++) {
             callBacks.add(pool(places.dispatcher(j)));
         }
-        for (int i = 0; i < day.runners; i++) {
-            for (int j = 0; j < day.dispatchers; j++) {
+        for (int i = 0; i < day.runnerCount; i++) {
+            for (int j = 0; j < day.dispatcherCount; j++) {
                 int runner = i;
                 int dispatcher = j;
-                if (day.troubles.stream().anyMatch(t -> t.befalls(runner, dispatcher))) {
+                if (day.troubles.stream().anyMatch(t -> t.affectsPath(runner, dispatcher))) {
                     links.put(
                             new Pair(i, j),
                             new Links(
@@ -95,7 +95,7 @@
             }
         }
         List<ReceiptStore.ByScope> receipts = ReceiptStore.of(day);
-        for (int i = 0; i < day.runners; i++) {
+        for (int i = 0; i < day.runnerCount; i++) {
             runners.add(new StandInRunner(this, i, receipts.get(i), chance.split()));
         }
     }
@@ -143,7 +143,7 @@
         return requests;
     }
 
-    public Watch watch() {
+    public RunnerLoadHistory watch() {
         return watch;
     }
 
@@ -165,8 +165,8 @@
 
     /** Tells the witness between whom bytes may be held up from now on, by a link or cut zones, and where no longer. */
     private void tellDisturbed() {
-        for (int runner = 0; runner < day.runners; runner++) {
-            for (int dispatcher = 0; dispatcher < day.dispatchers; dispatcher++) {
+        for (int runner = 0; runner < day.runnerCount; runner++) {
+            for (int dispatcher = 0; dispatcher < day.dispatcherCount; dispatcher++) {
                 Pair pair = new Pair(runner, dispatcher);
                 Links own = links.get(pair);
                 boolean free = !isCut(runner, dispatcher)
@@ -203,7 +203,7 @@
             case CHANGE_LINK -> {
                 links.forEach((pair, own) -> passes(pair, own, turn.at()));
                 tellDisturbed();
-                for (int j = 0; j < day.dispatchers; j++) {
+                for (int j = 0; j < day.dispatcherCount; j++) {
                     list.way(j, troubles.listLinkCondition(j, turn.at()));
                 }
             }
--- a/rig/src/main/java/saltdale/rig/standin/StandInRunner.java
+++ b/rig/src/main/java/saltdale/rig/standin/StandInRunner.java
@@ -34,14 +34,14 @@
         this.fleet = fleet;
         this.number = number;
         model = new RunnerModel(
-                fleet.day.make(number),
+                fleet.day.runnerType(number),
                 receipts,
-                fleet.day.orders.coldLimitMultiple,
-                fleet.day.orders.coldLimitWindow,
-                fleet.day.meanSize(),
+                fleet.day.dispatcherSettings.coldLimitMultiple,
+                fleet.day.dispatcherSettings.coldLimitWindow,
+                fleet.day.meanWorkSeconds(),
                 chance,
                 this);
-        for (int j = 0; j < fleet.day.dispatchers; j++) {
+        for (int j = 0; j < fleet.day.dispatcherCount; j++) {
             endpoints.add(new RunnerEndpoint(this, j));
         }
     }
@@ -82,7 +82,7 @@
             case CRASH -> {
                 endpoints.forEach(RunnerEndpoint::shut);
                 model.stop(now);
-                lists(ListedHealth.GONE, fleet.day.silentNotice);
+                lists(ListedHealth.GONE, fleet.day.crashNoticeDelay);
             }
             case VANISH -> {
                 silent = true;
@@ -90,23 +90,23 @@
                 endpoints();
                 reports.clear();
                 model.stop(now);
-                lists(ListedHealth.GONE, fleet.day.silentNotice);
+                lists(ListedHealth.GONE, fleet.day.crashNoticeDelay);
             }
             case DRAIN, HAND_BACK -> {
                 model.drain(now, act == Action.HAND_BACK);
-                lists(ListedHealth.DRAINING, fleet.day.notice);
+                lists(ListedHealth.DRAINING, fleet.day.listUpdateDelay);
             }
             case REMOVE -> {
                 endpoints.forEach(RunnerEndpoint::shut);
                 model.stop(now);
-                lists(ListedHealth.GONE, fleet.day.notice);
+                lists(ListedHealth.GONE, fleet.day.listUpdateDelay);
             }
             case START -> {
                 silent = false;
                 model.start(now);
                 fleet.witness.runnerStarted(now, number, model.make);
                 endpoints.forEach(RunnerEndpoint::renew);
-                lists(ListedHealth.UP, fleet.day.notice);
+                lists(ListedHealth.UP, fleet.day.listUpdateDelay);
             }
             default -> {}
         }
@@ -139,7 +139,7 @@
 
     @Override
     public void started(Duration at, RunnerJob work) {
-        if (fleet.day.orders.reportsStart) {
+        if (fleet.day.dispatcherSettings.reportsStart) {
             telling(work).add("started", -1, null);
         }
     }
--- a/rig/src/test/java/saltdale/rig/experiment/ExpectationTest.java
+++ b/rig/src/test/java/saltdale/rig/experiment/ExpectationTest.java
@@ -7,28 +7,28 @@
 
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import saltdale.rig.plan.Misread;
+import saltdale.rig.plan.InvalidInputException;
 
 class ExpectationTest {
-    private static boolean kept(String line) {
+    private static boolean isMet(String line) {
         return new Expectation("f", line)
                 .judge(Map.of("service", 0.9, "now.p99_ms", 55.0, "before.p99_ms", 50.0))
-                .kept();
+                .met();
     }
 
     @Test
     void figuresAreComparedWithNumbersAndWithEachOther() {
-        assertTrue(kept("service >= 0.9"));
-        assertFalse(kept("service > 0.9"));
-        assertTrue(kept("now.p99_ms <= before.p99_ms * 1.1"));
-        assertFalse(kept("now.p99_ms <= before.p99_ms + 4.9"));
-        assertTrue(kept("service != -0.9"));
+        assertTrue(isMet("service >= 0.9"));
+        assertFalse(isMet("service > 0.9"));
+        assertTrue(isMet("now.p99_ms <= before.p99_ms * 1.1"));
+        assertFalse(isMet("now.p99_ms <= before.p99_ms + 4.9"));
+        assertTrue(isMet("service != -0.9"));
     }
 
     @Test
     void aFigureThatThereIsNotFailsAndABadLineIsRefused() {
-        assertFalse(kept("servise >= 0"));
-        assertThrows(Misread.class, () -> kept("service is good"));
+        assertFalse(isMet("servise >= 0"));
+        assertThrows(InvalidInputException.class, () -> isMet("service is good"));
     }
 
     @Test
--- a/rig/src/test/java/saltdale/rig/fleet/RunnerModelProperties.java
+++ b/rig/src/test/java/saltdale/rig/fleet/RunnerModelProperties.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.constraints.Size;
 import saltdale.model.Workload;
 import saltdale.rig.fleet.RunnerModel.OfferResult;
-import saltdale.rig.plan.Make;
+import saltdale.rig.plan.RunnerType;
 
 class RunnerModelProperties {
     /**
@@ -27,7 +27,7 @@
         Set<String> back = new HashSet<>();
         Duration[] last = {Duration.ZERO};
         RunnerModel runner = new RunnerModel(
-                Make.plain(cores, 3).warming(0.3, Duration.ofSeconds(2)),
+                RunnerType.plain(cores, 3).withWarmUp(0.3, Duration.ofSeconds(2)),
                 new ReceiptStore.ByScope(new ReceiptStore(), new ReceiptStore(), new ReceiptStore()),
                 2,
                 Duration.ofSeconds(1),
--- a/rig/src/test/java/saltdale/rig/fleet/RunnerModelTest.java
+++ b/rig/src/test/java/saltdale/rig/fleet/RunnerModelTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import saltdale.model.Workload;
 import saltdale.rig.fleet.RunnerModel.OfferResult;
-import saltdale.rig.plan.Make;
+import saltdale.rig.plan.RunnerType;
 
 class RunnerModelTest implements RunnerModel.JobListener {
     private final List<String> told = new ArrayList<>();
@@ -34,7 +34,7 @@
         told.add(work.id + " " + how + " " + at.toMillis());
     }
 
-    private RunnerModel runner(Make make) {
+    private RunnerModel runner(RunnerType make) {
         return new RunnerModel(make, receipts, 2, Duration.ofSeconds(1), 0.4, new SplittableRandom(1), this);
     }
 
@@ -53,7 +53,7 @@
         double[] sum = {0};
         int[] ended = {0};
         RunnerModel runner = new RunnerModel(
-                Make.plain(cores, 1 << 20),
+                RunnerType.plain(cores, 1 << 20),
                 null,
                 0,
                 Duration.ZERO,
@@ -102,7 +102,7 @@
     @Test
     void aColdRunnerIsSlowAndWarmsUpEvenly() {
         RunnerModel runner = new RunnerModel(
-                Make.plain(1, 4).warming(0.25, Duration.ofSeconds(4)),
+                RunnerType.plain(1, 4).withWarmUp(0.25, Duration.ofSeconds(4)),
                 null,
                 0,
                 Duration.ZERO,
@@ -119,7 +119,7 @@
 
     @Test
     void aColdRunnerFallsOverWhenPushedAndStaysDown() {
-        RunnerModel runner = runner(Make.plain(1, 100).warming(0.25, Duration.ofSeconds(4)));
+        RunnerModel runner = runner(RunnerType.plain(1, 100).withWarmUp(0.25, Duration.ofSeconds(4)));
         runner.start(ms(0));
         // N = 2 x 0.25 x 1 s / 0.4 s = 1.25, so that 7 are borne; a long one is one, as nobody was told its size
         for (int i = 0; i < 7; i++) {
@@ -134,14 +134,14 @@
 
     @Test
     void aWarmOneBearsTheSamePush() {
-        RunnerModel runner = runner(Make.plain(1, 100));
+        RunnerModel runner = runner(RunnerType.plain(1, 100));
         assertEquals(OfferResult.ACCEPTED, runner.offer(ms(1), work("a", 4)));
         assertEquals(OfferResult.ACCEPTED, runner.offer(ms(2), work("b", 4)));
     }
 
     @Test
     void itTurnsAwayBeyondItsQueue() {
-        RunnerModel runner = runner(Make.plain(1, 1));
+        RunnerModel runner = runner(RunnerType.plain(1, 1));
         runner.offer(ms(0), work("a", 1));
         runner.offer(ms(0), work("b", 1));
         assertEquals(OfferResult.FULL, runner.offer(ms(0), work("c", 1)));
@@ -151,14 +151,14 @@
 
     @Test
     void jobsBeyondItsCoresShareThem() {
-        Make make = new Make(
+        RunnerType make = new RunnerType(
                 "m",
                 1,
                 1,
                 1,
                 2,
                 4,
-                Make.Order.FIFO,
+                RunnerType.Order.FIFO,
                 0,
                 4,
                 1,
@@ -185,7 +185,7 @@
 
     @Test
     void slowedInTheMiddleItEndsLaterByThatMuch() {
-        RunnerModel runner = runner(Make.plain(1, 4));
+        RunnerModel runner = runner(RunnerType.plain(1, 4));
         runner.offer(ms(0), work("a", 1));
         runner.setCondition(ms(500), new RunnerCondition(4, false, 0, 0, 0, 1, 0, 0, 1));
         runner.advance(ms(5000));
@@ -194,7 +194,7 @@
 
     @Test
     void stalledItDoesNothingUntilItIsOver() {
-        RunnerModel runner = runner(Make.plain(1, 4));
+        RunnerModel runner = runner(RunnerType.plain(1, 4));
         runner.offer(ms(0), work("a", 1));
         runner.setCondition(ms(500), new RunnerCondition(1, true, 0, 0, 0, 1, 0, 0, 1));
         runner.offer(ms(600), work("b", 1));
@@ -205,7 +205,7 @@
 
     @Test
     void aDrainingRunnerHandsBackWhatHasNotBegun() {
-        RunnerModel runner = runner(Make.plain(1, 4));
+        RunnerModel runner = runner(RunnerType.plain(1, 4));
         runner.offer(ms(0), work("a", 1));
         runner.offer(ms(0), work("b", 1));
         runner.drain(ms(10), true);
@@ -217,7 +217,7 @@
     @Test
     void aReceiptDropsARepeatWithinItsWindowOnly() {
         workload.dedupWindow = Duration.ofSeconds(2);
-        RunnerModel runner = runner(Make.plain(1, 4));
+        RunnerModel runner = runner(RunnerType.plain(1, 4));
         RunnerJob first = new RunnerJob("a", "r", workload, 1, 0);
         RunnerJob repeat = new RunnerJob("b", "r", workload, 1, 0);
         RunnerJob late = new RunnerJob("c", "r", workload, 1, 0);
@@ -236,21 +236,21 @@
         workload.dedupScope = Workload.DedupScope.CELL;
         RunnerJob first = new RunnerJob("a", "r", workload, 0.1, 0);
         RunnerJob elsewhere = new RunnerJob("a", "r", workload, 0.1, 0);
-        runner(Make.plain(1, 4)).offer(ms(0), first);
+        runner(RunnerType.plain(1, 4)).offer(ms(0), first);
         receipts = new ReceiptStore.ByScope(all, new ReceiptStore(), new ReceiptStore());
-        runner(Make.plain(1, 4)).offer(ms(200), elsewhere);
+        runner(RunnerType.plain(1, 4)).offer(ms(200), elsewhere);
         assertFalse(elsewhere.isDuplicate());
         workload.dedupScope = Workload.DedupScope.ALL;
-        runner(Make.plain(1, 4)).offer(ms(0), new RunnerJob("b", "s", workload, 0.1, 0));
+        runner(RunnerType.plain(1, 4)).offer(ms(0), new RunnerJob("b", "s", workload, 0.1, 0));
         receipts = new ReceiptStore.ByScope(all, new ReceiptStore(), new ReceiptStore());
         RunnerJob again = new RunnerJob("b", "s", workload, 0.1, 0);
-        runner(Make.plain(1, 4)).offer(ms(200), again);
+        runner(RunnerType.plain(1, 4)).offer(ms(200), again);
         assertTrue(again.isDuplicate());
     }
 
     @Test
     void aReportIsAsOldAsItsDelay() {
-        RunnerModel runner = runner(Make.plain(1, 9).reporting(ms(100), ms(50)));
+        RunnerModel runner = runner(RunnerType.plain(1, 9).withReporting(ms(100), ms(50)));
         runner.offer(ms(110), work("a", 9));
         runner.offer(ms(110), work("b", 9));
         assertEquals(0, runner.report(ms(249)).queue());
@@ -262,7 +262,13 @@
         List<String> ends = new ArrayList<>();
         RunnerModel[] runner = new RunnerModel[1];
         runner[0] = new RunnerModel(
-                Make.plain(2, 4), null, 0, Duration.ZERO, 1, new SplittableRandom(1), new RunnerModel.JobListener() {
+                RunnerType.plain(2, 4),
+                null,
+                0,
+                Duration.ZERO,
+                1,
+                new SplittableRandom(1),
+                new RunnerModel.JobListener() {
                     @Override
                     public void started(Duration at, RunnerJob work) {}
 
@@ -283,7 +289,7 @@
 
     @Test
     void takenBackItGivesItsCoreToTheNext() {
-        RunnerModel runner = runner(Make.plain(1, 4));
+        RunnerModel runner = runner(RunnerType.plain(1, 4));
         runner.offer(ms(0), work("a", 1));
         runner.offer(ms(0), work("b", 1));
         assertTrue(runner.cancel(ms(100), "a", 0));
--- a/rig/src/test/java/saltdale/rig/load/GeneratorTest.java
+++ b/rig/src/test/java/saltdale/rig/load/GeneratorTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import saltdale.rig.judge.EventObserver;
-import saltdale.rig.plan.Day;
-import saltdale.rig.plan.Sheet;
+import saltdale.rig.plan.Scenario;
+import saltdale.rig.plan.TomlTable;
 import saltdale.rig.standin.LoopThread;
 import saltdale.rig.standin.LoopbackAddresses;
 import saltdale.rig.standin.Origin;
@@ -19,7 +19,7 @@
     @Test
     @Timeout(20)
     void starvedOfItsCoreItVoidsTheRunAndSaysByHowMuch() throws IOException {
-        Day day = new Day(Sheet.of(
+        Scenario scenario = new Scenario(TomlTable.of(
                 "day",
                 "length = \"400ms\"\nwarm_up = \"0s\"\n[load]\nrate = 100\n"
                         + "[[workload]]\nname = \"w\"\npatience = \"100ms\"\n"));
@@ -28,7 +28,7 @@
             Origin origin = new Origin();
             Generator generator = new Generator(
                     loopThread,
-                    day,
+                    scenario,
                     List.of(new LoopbackAddresses(9).dispatcher(0)),
                     origin,
                     EventObserver.NONE,
@@ -36,7 +36,7 @@
                     "t",
                     origin.now());
             loopThread.inside(() -> {
-                generator.begin(new Arrivals(day.traffic, day.jobs, day.length, 1));
+                generator.start(new Arrivals(scenario.traffic, scenario.workloads, scenario.length, 1));
                 while (origin.now().compareTo(Duration.ofMillis(500)) < 0) {
                     Thread.onSpinWait(); // another program has its core until all has been due
                 }
@@ -44,10 +44,10 @@
             while (!generator.isOver()) {
                 loopThread.inside(() -> {});
             }
-            assertNotNull(generator.isVoid());
-            assertTrue(generator.isVoid().contains("fell behind"), generator.isVoid());
-            assertTrue(generator.lag().getMaxValue() > 300_000, generator.isVoid());
-            assertTrue(generator.tally().offered() > 20);
+            assertNotNull(generator.voidReason());
+            assertTrue(generator.voidReason().contains("fell behind"), generator.voidReason());
+            assertTrue(generator.lag().getMaxValue() > 300_000, generator.voidReason());
+            assertTrue(generator.statistics().offered() > 20);
         }
     }
 }
--- a/rig/src/test/java/saltdale/rig/plan/SheetTest.java
+++ b/rig/src/test/java/saltdale/rig/plan/TomlTableTest.java
@@ -7,22 +7,22 @@
 import java.time.Duration;
 import org.junit.jupiter.api.Test;
 
-class SheetTest {
+class TomlTableTest {
     private static final String WORKLOAD = "[[workload]]\nname = \"w\"\n";
 
-    private static String told(String text) {
-        return assertThrows(Misread.class, () -> {
-                    Sheet sheet = Sheet.of("f.toml", text);
-                    Day day = new Day(sheet);
-                    sheet.close();
-                    assertTrue(day.runners > 0);
+    private static String errorOf(String text) {
+        return assertThrows(InvalidInputException.class, () -> {
+                    TomlTable table = TomlTable.of("f.toml", text);
+                    Scenario scenario = new Scenario(table);
+                    table.rejectUnknownKeys();
+                    assertTrue(scenario.runnerCount > 0);
                 })
                 .getMessage();
     }
 
     @Test
     void aKeyThatNobodyReadsIsNamedWithItsLine() {
-        assertTrue(told("[fleet]\nrunners = 3\nrunner = 4\n" + WORKLOAD)
+        assertTrue(errorOf("[fleet]\nrunners = 3\nrunner = 4\n" + WORKLOAD)
                 .startsWith("f.toml: line 3: fleet.runner: is no key that is known here; known: cells"));
     }
 
@@ -31,16 +31,16 @@
         assertEquals(
                 "f.toml: line 1: length: \"5 parsecs\" is not a span such as \"250ms\": a number with us, ms, s, "
                         + "min or h",
-                told("length = \"5 parsecs\"\n" + WORKLOAD));
+                errorOf("length = \"5 parsecs\"\n" + WORKLOAD));
         assertEquals(
                 "f.toml: line 2: fleet.runners: \"many\" is not a number from 1 to 100000",
-                told("[fleet]\nrunners = \"many\"\n" + WORKLOAD));
+                errorOf("[fleet]\nrunners = \"many\"\n" + WORKLOAD));
         assertEquals(
                 "f.toml: line 3: workload.0.repeat: \"sometimes\" is not one of pure, receipted, effectful",
-                told(WORKLOAD + "repeat = \"sometimes\"\n"));
+                errorOf(WORKLOAD + "repeat = \"sometimes\"\n"));
         assertEquals(
                 "f.toml: line 3: trouble.0.kind: is missing; wanted: a text in quotes",
-                told(WORKLOAD + "[[trouble]]\nat = \"1s\"\n")
+                errorOf(WORKLOAD + "[[trouble]]\nat = \"1s\"\n")
                         .replace("trouble.0.kind", "trouble.0.kind")
                         .replaceFirst("f.toml: trouble", "f.toml: line 3: trouble"));
     }
@@ -51,46 +51,51 @@
         assertEquals(
                 "f.toml: line 11: trouble.1.at: \"3s\" is not possible: it befalls a dispatcher that another "
                         + "trouble holds by then",
-                told(WORKLOAD + stop + "[[trouble]]\nkind = \"dispatcher-kill\"\n" + "runners = [0]\nat = \"3s\"\n")
+                errorOf(WORKLOAD + stop + "[[trouble]]\nkind = \"dispatcher-kill\"\n" + "runners = [0]\nat = \"3s\"\n")
                         .replaceFirst("line \\d+", "line 11"));
         String way = "[[trouble]]\nkind = \"way-late\"\n";
         assertTrue(
-                told(WORKLOAD + way + "list = true\n")
+                errorOf(WORKLOAD + way + "list = true\n")
                         .endsWith(
                                 "trouble.0.list: true is not possible with this kind; way-reset, way-silent and way-flaps are"));
-        assertTrue(told(WORKLOAD + way + "zone = \"z\"\n").endsWith("is not one of the fleet's zones, a"));
-        assertTrue(told(WORKLOAD + way + "zone = \"a\"\nrunners = [0]\n").endsWith("give one of them"));
-        assertTrue(told(WORKLOAD + way + "dispatchers = [2]\n").endsWith("a list of numbers from 0 to 1"));
+        assertTrue(errorOf(WORKLOAD + way + "zone = \"z\"\n").endsWith("is not one of the fleet's zones, a"));
+        assertTrue(errorOf(WORKLOAD + way + "zone = \"a\"\nrunners = [0]\n").endsWith("give one of them"));
+        assertTrue(errorOf(WORKLOAD + way + "dispatchers = [2]\n").endsWith("a list of numbers from 0 to 1"));
         assertEquals(
                 "f.toml: trouble.kind: dispatcher-stop can't be played in simulated time: it needs processes and "
                         + "sockets",
                 assertThrows(
-                                Misread.class,
-                                () -> new Day(Sheet.of("f.toml", WORKLOAD + stop)).mustBeSimulated("f.toml"))
+                                InvalidInputException.class,
+                                () -> new Scenario(TomlTable.of("f.toml", WORKLOAD + stop))
+                                        .requireSimulatable("f.toml"))
                         .getMessage());
     }
 
     @Test
     void whatIsNoTomlNamesTheLine() {
-        assertTrue(told("length = \"5s\"\n[fleet\n").startsWith("f.toml: line 2: is no TOML: "));
+        assertTrue(errorOf("length = \"5s\"\n[fleet\n").startsWith("f.toml: line 2: is no TOML: "));
     }
 
     @Test
     void aSweepReplacesAFigureAnywhere() {
-        Sheet sheet = Sheet.of("f.toml", "[load]\nrate = 5\n" + WORKLOAD);
-        assertEquals(9, new Day(sheet.with("load.rate", 9)).traffic.rate());
+        TomlTable table = TomlTable.of("f.toml", "[load]\nrate = 5\n" + WORKLOAD);
+        assertEquals(9, new Scenario(table.with("load.rate", 9)).traffic.rate());
         assertEquals(
                 Duration.ofMillis(70),
-                new Day(sheet.with("workload.0.patience", "70ms")).jobs.get(0).workload().clientTimeout);
-        assertThrows(Misread.class, () -> sheet.with("workload.7.patience", "70ms"));
+                new Scenario(table.with("workload.0.patience", "70ms"))
+                        .workloads
+                        .get(0)
+                        .workload()
+                        .clientTimeout);
+        assertThrows(InvalidInputException.class, () -> table.with("workload.7.patience", "70ms"));
     }
 
     @Test
     void theRateFollowsFromTheUtilisation() {
-        Day day = new Day(Sheet.of(
+        Scenario scenario = new Scenario(TomlTable.of(
                 "f.toml",
                 "[fleet]\nrunners = 4\n[[fleet.make]]\ncores = 2\n[load]\n" + "utilisation = 0.5\n" + WORKLOAD
                         + "size = {mean = \"20ms\"}\n"));
-        assertEquals(200, day.traffic.rate(), 1e-9);
+        assertEquals(200, scenario.traffic.rate(), 1e-9);
     }
 }
--- a/rig/src/test/java/saltdale/rig/simulate/SimulationTest.java
+++ b/rig/src/test/java/saltdale/rig/simulate/SimulationTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 import saltdale.rig.experiment.Run;
 import saltdale.rig.load.Arrivals;
-import saltdale.rig.plan.Day;
-import saltdale.rig.plan.Sheet;
+import saltdale.rig.plan.Scenario;
+import saltdale.rig.plan.TomlTable;
 
 class SimulationTest {
     private static final String ROUGH = """
@@ -27,8 +27,9 @@
             """;
 
     private static Simulation play(String text) {
-        Day day = new Day(Sheet.of("day", text));
-        return new Simulation(day, ModuleDispatcher::new, new Arrivals(day.traffic, day.jobs, day.length, day.seed))
+        Scenario day = new Scenario(TomlTable.of("day", text));
+        return new Simulation(
+                        day, ModuleDispatcher::new, new Arrivals(day.traffic, day.workloads, day.length, day.seed))
                 .run();
     }
 
@@ -81,8 +82,9 @@
     }
 
     private static Map<String, Double> figures(String text) {
-        Day day = new Day(Sheet.of("day", text));
-        return Run.simulated(day, "now", "", 0, Run.asks(day, null), null).figures();
+        Scenario day = new Scenario(TomlTable.of("day", text));
+        return Run.runSimulated(day, "now", "", 0, Run.clientRequests(day, null), null)
+                .figures();
     }
 
     @Test
@@ -135,7 +137,7 @@
         String day = trouble("slow", "part = 0.4\nsize = 10")
                 .replace("rate = 300", "rate = 350\nswing = 0")
                 .replace("name = \"w\"", "name = \"w\"\npromised = \"60ms\"");
-        Day read = new Day(Sheet.of("day", day));
+        Scenario read = new Scenario(TomlTable.of("day", day));
         Simulation random = new Simulation(
                         read,
                         (orders, door, chance) -> new BaselineDispatcher(
@@ -144,7 +146,7 @@
                                 chance,
                                 BaselineDispatcher.SelectionPolicy.RANDOM,
                                 BaselineDispatcher.Defect.NONE),
-                        new Arrivals(read.traffic, read.jobs, read.length, read.seed))
+                        new Arrivals(read.traffic, read.workloads, read.length, read.seed))
                 .run();
         double module = play(day).tally().service();
         assertTrue(
--- a/rig/src/test/java/saltdale/rig/standin/StandInFleetTest.java
+++ b/rig/src/test/java/saltdale/rig/standin/StandInFleetTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import saltdale.rig.judge.EventObserver;
-import saltdale.rig.plan.Day;
-import saltdale.rig.plan.Sheet;
+import saltdale.rig.plan.Scenario;
+import saltdale.rig.plan.TomlTable;
 
 @Timeout(20)
 class StandInFleetTest {
@@ -57,7 +57,7 @@
         String text = kind == null
                 ? DAY
                 : DAY + "[[trouble]]\nkind = \"" + kind + "\"\nlength = \"" + length + "\"\nrunners = [0]\n" + more;
-        Day day = new Day(Sheet.of("day", text));
+        Scenario day = new Scenario(TomlTable.of("day", text));
         loopThread = new LoopThread("test");
         Origin origin = new Origin();
         RunnerListServer list = new RunnerListServer(loopThread, day, places, origin, EventObserver.NONE);
--- a/tools/src/main/java/saltdale/tools/Ceiling.java
+++ b/tools/src/main/java/saltdale/tools/Ceiling.java
@@ -14,8 +14,8 @@
 import saltdale.rig.experiment.Run;
 import saltdale.rig.judge.EventObserver;
 import saltdale.rig.load.Generator;
-import saltdale.rig.plan.Day;
-import saltdale.rig.plan.Sheet;
+import saltdale.rig.plan.Scenario;
+import saltdale.rig.plan.TomlTable;
 import saltdale.rig.standin.LoopThread;
 import saltdale.rig.standin.LoopbackAddresses;
 import saltdale.rig.standin.Origin;
@@ -46,7 +46,7 @@
     }
 
     private static String play(int rate) throws IOException, InterruptedException {
-        Day day = new Day(Sheet.of(
+        Scenario day = new Scenario(TomlTable.of(
                 "ceiling",
                 "length = \"4s\"\nwarm_up = \"2s\"\n[load]\nrate = " + rate + "\n[[workload]]\nname = \"w\"\n"));
         Origin origin = new Origin();
@@ -63,7 +63,7 @@
             Duration start = origin.now();
             Generator generator = new Generator(
                     clients, day, List.of(places.dispatcher(0)), origin, EventObserver.NONE, 1, "c" + rate, start);
-            clients.inside(() -> generator.begin(Run.asks(day, Path.of("."), start)));
+            clients.inside(() -> generator.start(Run.clientRequests(day, Path.of("."), start)));
             Duration last = start.plus(day.length).plusSeconds(4);
             while (!generator.isOver() && origin.now().compareTo(last) < 0) {
                 Thread.sleep(20);
@@ -75,7 +75,7 @@
                     throw new UncheckedIOException(e);
                 }
             });
-            return generator.isVoid();
+            return generator.voidReason();
         }
     }
 
--- a/tools/src/main/java/saltdale/tools/Cost.java
+++ b/tools/src/main/java/saltdale/tools/Cost.java
@@ -12,11 +12,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import saltdale.rig.cost.Relay;
-import saltdale.rig.experiment.Outcome;
 import saltdale.rig.experiment.Run;
+import saltdale.rig.experiment.RunResult;
 import saltdale.rig.experiment.Version;
-import saltdale.rig.plan.Day;
-import saltdale.rig.plan.Sheet;
+import saltdale.rig.plan.Scenario;
+import saltdale.rig.plan.TomlTable;
 
 @Command(
         name = "cost",
@@ -71,7 +71,7 @@
 
     @Override
     public Integer call() throws IOException {
-        Version own = Version.own("dispatcher", Main.home());
+        Version own = Version.current("dispatcher", Main.home());
         System.out.printf("%-12s %8s %10s %10s %10s %10s%n", "", "jobs/s", "us/job", "p50 ms", "p99 ms", "1000 in s");
         for (int rate : rates) {
             List<Double> ratios = new ArrayList<>();
@@ -105,16 +105,16 @@
      * taken.
      */
     private void systemCalls(Version version, int rate) throws IOException {
-        Day day = day(rate, 0);
+        Scenario day = day(rate, 0);
         Path counts = out.resolve("system-calls-" + version.name() + "-" + rate + ".txt");
         Files.createDirectories(out);
         Process[] watching = new Process[1];
-        Run.onSockets(
+        Run.runOnSockets(
                 day,
                 version,
                 "",
                 0,
-                Run.asks(day, Path.of(".")),
+                Run.clientRequests(day, Path.of(".")),
                 out.resolve("watched"),
                 core,
                 (share, dispatchers) -> {
@@ -156,8 +156,8 @@
         }
     }
 
-    private static Day day(int rate, int repeat) {
-        return new Day(Sheet.of("cost", DAY).with("load.rate", rate).with("seed", repeat + 1));
+    private static Scenario day(int rate, int repeat) {
+        return new Scenario(TomlTable.of("cost", DAY).with("load.rate", rate).with("seed", repeat + 1));
     }
 
     private int most(Version version) throws IOException {
@@ -173,11 +173,18 @@
     }
 
     private Map<String, Double> play(Version version, int rate, int repeat) throws IOException {
-        Day day = day(rate, repeat);
+        Scenario day = day(rate, repeat);
         Path folder = out.resolve(version.name() + "-" + rate + "-" + repeat);
         Files.createDirectories(folder);
-        Outcome outcome = Run.onSockets(
-                day, version, "", repeat, Run.asks(day, Path.of(".")), folder, core, (share, dispatchers) -> {});
+        RunResult outcome = Run.runOnSockets(
+                day,
+                version,
+                "",
+                repeat,
+                Run.clientRequests(day, Path.of(".")),
+                folder,
+                core,
+                (share, dispatchers) -> {});
         Map<String, Double> f = outcome.figures();
         System.out.printf(
                 Locale.ROOT,
@@ -188,7 +195,7 @@
                 f.get("p50_ms"),
                 f.get("p99_ms"),
                 f.get("first_1000_answers_s"),
-                outcome.isVoid() == null ? "" : "  void: " + outcome.isVoid());
+                outcome.voidReason() == null ? "" : "  void: " + outcome.voidReason());
         return f;
     }
 }
--- a/tools/src/main/java/saltdale/tools/Experimenting.java
+++ b/tools/src/main/java/saltdale/tools/Experimenting.java
@@ -25,7 +25,7 @@
     public Integer call() throws Exception {
         Experiment experiment = Experiment.read(file, Main.home());
         Path folder = out == null ? Path.of("out").resolve(experiment.name().replaceAll("[^A-Za-z0-9._-]+", "-")) : out;
-        boolean good = experiment.play(quick, folder, System.out);
+        boolean good = experiment.run(quick, folder, System.out);
         System.out.println("results and report: " + folder);
         return good ? 0 : 1;
     }
--- a/tools/src/main/java/saltdale/tools/Load.java
+++ b/tools/src/main/java/saltdale/tools/Load.java
@@ -13,7 +13,7 @@
 import saltdale.rig.experiment.Run;
 import saltdale.rig.judge.EventObserver;
 import saltdale.rig.load.Generator;
-import saltdale.rig.plan.Day;
+import saltdale.rig.plan.Scenario;
 import saltdale.rig.standin.LoopThread;
 import saltdale.rig.standin.Origin;
 
@@ -35,7 +35,7 @@
 
     @Override
     public Integer call() throws Exception {
-        Day day = Day.read(file);
+        Scenario day = Scenario.read(file);
         List<InetSocketAddress> addresses = new ArrayList<>();
         to.forEach(each -> addresses.add(StandInNodes.loopback("--to", each)));
         Origin origin = new Origin();
@@ -51,19 +51,20 @@
                     day.seed + 3,
                     "l" + origin.unixMillis,
                     start);
-            loopThread.inside(
-                    () -> generator.begin(Run.asks(day, file.toAbsolutePath().getParent(), start)));
-            Duration last =
-                    start.plus(day.length).plus(day.orders.maxClientTimeout()).plusSeconds(5);
+            loopThread.inside(() -> generator.start(
+                    Run.clientRequests(day, file.toAbsolutePath().getParent(), start)));
+            Duration last = start.plus(day.length)
+                    .plus(day.dispatcherSettings.maxClientTimeout())
+                    .plusSeconds(5);
             while (origin.now().compareTo(last) < 0 && !generator.isOver()) {
                 Thread.sleep(50);
             }
             loopThread.inside(() -> generator
-                    .tally()
+                    .statistics()
                     .figures()
                     .forEach((name, value) -> System.out.printf(Locale.ROOT, "%-34s %.6g%n", name, value)));
-            if (generator.isVoid() != null) {
-                System.err.println("saltdale: void: " + generator.isVoid());
+            if (generator.voidReason() != null) {
+                System.err.println("saltdale: void: " + generator.voidReason());
                 return 1;
             }
         }
--- a/tools/src/main/java/saltdale/tools/Main.java
+++ b/tools/src/main/java/saltdale/tools/Main.java
@@ -9,7 +9,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.ScopeType;
-import saltdale.rig.plan.Misread;
+import saltdale.rig.plan.InvalidInputException;
 
 /**
  * The command line of the tools. Exit status: 0 done, 1 a verdict failed, 2 wrong usage or a file that can't
@@ -64,7 +64,7 @@
     static CommandLine commandLine() {
         CommandLine line = new CommandLine(new Main());
         line.setExecutionExceptionHandler((failure, command, parsed) -> {
-            if (failure instanceof Misread) {
+            if (failure instanceof InvalidInputException) {
                 command.getErr().println("saltdale: " + failure.getMessage());
                 return 2;
             } else if (failure instanceof IOException || failure instanceof UncheckedIOException) {
