--- a/tools/src/main/java/saltdale/tools/Platform.java
+++ b/tools/src/main/java/saltdale/tools/Platform.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Option;
-import saltdale.rig.plan.Misread;
+import saltdale.rig.plan.InvalidInputException;
 import saltdale.rig.platform.Machine;
 import saltdale.rig.platform.Site;
 import saltdale.rig.platform.live.Faults;
@@ -61,7 +61,7 @@
             try {
                 return Site.small(net + offset, proxies, controlNodes);
             } catch (IllegalArgumentException e) {
-                throw new Misread(e.getMessage());
+                throw new InvalidInputException(e.getMessage());
             }
         }
     }
@@ -82,7 +82,7 @@
         Path jar() {
             Path file = jar == null ? Main.home().resolve(DEFAULT) : jar;
             if (!Files.isReadable(file)) {
-                throw new Misread("--jar: there is no " + file + "; build it or name another");
+                throw new InvalidInputException("--jar: there is no " + file + "; build it or name another");
             }
             return file;
         }
@@ -124,7 +124,7 @@
         @Override
         public Integer call() throws Exception {
             if (seconds < 1 || !(rate > 0)) {
-                throw new Misread("--seconds and --rate: wanted over 0");
+                throw new InvalidInputException("--seconds and --rate: wanted over 0");
             }
             Path jar = build.jar();
             Trial.Day day = new Trial.Day(seconds, rate, drain, crash);
@@ -137,7 +137,7 @@
                 try {
                     kinds.put(Faults.Kind.valueOf(name.toUpperCase(java.util.Locale.ROOT)), share);
                 } catch (IllegalArgumentException e) {
-                    throw new Misread("--fault: there is no " + name);
+                    throw new InvalidInputException("--fault: there is no " + name);
                 }
             });
             return kinds;
@@ -169,7 +169,7 @@
         @Override
         public Integer call() throws Exception {
             if (seeds < 1 || seeds > MOST_SEEDS || bouts < 1) {
-                throw new Misread("--seeds: wanted 1 to " + MOST_SEEDS + "; --bouts: wanted over 0");
+                throw new InvalidInputException("--seeds: wanted 1 to " + MOST_SEEDS + "; --bouts: wanted over 0");
             }
             List<String> program = List.of("-jar", build.jar().toAbsolutePath().toString());
             int failed = 0;
--- a/tools/src/main/java/saltdale/tools/Register.java
+++ b/tools/src/main/java/saltdale/tools/Register.java
@@ -13,7 +13,7 @@
 import saltdale.nodes.list.Registration;
 import saltdale.nodes.membership.Box;
 import saltdale.nodes.wire.Paths;
-import saltdale.rig.plan.Misread;
+import saltdale.rig.plan.InvalidInputException;
 import saltdale.transport.Address;
 import saltdale.transport.EventLoop;
 import saltdale.transport.SocketBudget;
@@ -59,9 +59,9 @@
     @Override
     public Integer call() throws Exception {
         if (Address.parse(dial) == null) {
-            throw new Misread("--dial: " + dial + " is no numeric address with a port");
+            throw new InvalidInputException("--dial: " + dial + " is no numeric address with a port");
         } else if (Paths.fault(node) != null) {
-            throw new Misread("--node: a path that " + Paths.fault(node));
+            throw new InvalidInputException("--node: a path that " + Paths.fault(node));
         }
         List<InetSocketAddress> servers = new ArrayList<>();
         to.forEach(each -> servers.add(StandInNodes.loopback("--to", each)));
--- a/tools/src/main/java/saltdale/tools/Reporting.java
+++ b/tools/src/main/java/saltdale/tools/Reporting.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Parameters;
-import saltdale.rig.plan.Misread;
+import saltdale.rig.plan.InvalidInputException;
 import saltdale.rig.report.Report;
 
 @Command(
@@ -23,7 +23,7 @@
     public Integer call() throws Exception {
         Path results = folder.resolve("results.json");
         if (!Files.isReadable(results)) {
-            throw new Misread(folder + ": holds no results.json of an experiment");
+            throw new InvalidInputException(folder + ": holds no results.json of an experiment");
         }
         JsonNode root = new ObjectMapper().readTree(results.toFile());
         for (JsonNode run : root.path("runs")) {
--- a/tools/src/main/java/saltdale/tools/Simulate.java
+++ b/tools/src/main/java/saltdale/tools/Simulate.java
@@ -7,11 +7,11 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
-import saltdale.rig.experiment.Outcome;
 import saltdale.rig.experiment.Run;
-import saltdale.rig.plan.Day;
-import saltdale.rig.plan.Misread;
-import saltdale.rig.plan.Sheet;
+import saltdale.rig.experiment.RunResult;
+import saltdale.rig.plan.InvalidInputException;
+import saltdale.rig.plan.Scenario;
+import saltdale.rig.plan.TomlTable;
 import saltdale.rig.simulate.BaselineDispatcher;
 import saltdale.rig.simulate.Simulation;
 
@@ -34,12 +34,12 @@
 
     @Override
     public Integer call() {
-        Sheet sheet = Sheet.read(file);
+        TomlTable sheet = TomlTable.read(file);
         for (Map.Entry<String, String> each : set.entrySet()) {
             sheet = sheet.with(each.getKey(), value(each.getValue()));
         }
-        Day day = new Day(sheet);
-        day.mustBeSimulated(sheet.file());
+        Scenario day = new Scenario(sheet);
+        day.requireSimulatable(sheet.file());
         Simulation.DispatcherFactory minds = null;
         if (baseline != null) {
             BaselineDispatcher.SelectionPolicy choice = choice(baseline);
@@ -48,10 +48,10 @@
         }
         long began = System.nanoTime();
         Path beside = file.toAbsolutePath().getParent();
-        Outcome outcome = Run.simulated(day, "now", "", 0, Run.asks(day, beside), minds);
+        RunResult outcome = Run.runSimulated(day, "now", "", 0, Run.clientRequests(day, beside), minds);
         double took = (System.nanoTime() - began) / 1e9;
         outcome.figures().forEach((name, value) -> System.out.printf(Locale.ROOT, "%-34s %.6g%n", name, value));
-        outcome.breaches().stream().limit(20).forEach(System.out::println);
+        outcome.violations().stream().limit(20).forEach(System.out::println);
         // Apart, on standard error: the figures above are the same for the same day and seed, these are not.
         System.err.printf(
                 Locale.ROOT,
@@ -59,7 +59,7 @@
                 took,
                 outcome.figures().get("events") / took,
                 (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) >> 20);
-        return outcome.breaches().isEmpty() ? 0 : 1;
+        return outcome.violations().isEmpty() ? 0 : 1;
     }
 
     private static Object value(String text) {
@@ -77,6 +77,6 @@
                 return each;
             }
         }
-        throw new Misread("--baseline: wanted random, round-robin or least-out");
+        throw new InvalidInputException("--baseline: wanted random, round-robin or least-out");
     }
 }
--- a/tools/src/main/java/saltdale/tools/StandIn.java
+++ b/tools/src/main/java/saltdale/tools/StandIn.java
@@ -12,7 +12,7 @@
 import saltdale.rig.fleet.LinkCondition;
 import saltdale.rig.fleet.TroubleSchedule;
 import saltdale.rig.judge.EventObserver;
-import saltdale.rig.plan.Day;
+import saltdale.rig.plan.Scenario;
 import saltdale.rig.standin.ListWord;
 import saltdale.rig.standin.LoopThread;
 import saltdale.rig.standin.LoopbackAddresses;
@@ -55,7 +55,7 @@
 
     @Override
     public Integer call() throws Exception {
-        Day day = Day.read(file);
+        Scenario day = Scenario.read(file);
         Duration span = StandInNodes.span("--for", length);
         Origin origin = new Origin();
         LoopbackAddresses places = new LoopbackAddresses(port);
@@ -76,7 +76,7 @@
                     tell(loopThread, day, origin, list);
                 }
             });
-            for (int i = 0; i < day.dispatchers; i++) {
+            for (int i = 0; i < day.dispatcherCount; i++) {
                 Path config = out.resolve("config-" + i + ".json");
                 Files.writeString(config, DispatcherProcesses.configuration(day, i));
                 System.out.println("EDGE_NAME=d" + i + " EDGE_LISTEN=" + LoopbackAddresses.text(places.dispatcher(i))
@@ -91,7 +91,7 @@
     }
 
     /** Without runners of its own, the list tells what the day's troubles would make it tell. */
-    private static void tell(LoopThread loopThread, Day day, Origin origin, ListWord list) {
+    private static void tell(LoopThread loopThread, Scenario day, Origin origin, ListWord list) {
         for (TroubleSchedule.ScheduledAction turn : new TroubleSchedule(day.troubles).scheduledActions()) {
             boolean silent =
                     turn.action() == TroubleSchedule.Action.CRASH || turn.action() == TroubleSchedule.Action.VANISH;
@@ -107,7 +107,7 @@
                         turn.at(), () -> list.mute(turn.action() == TroubleSchedule.Action.SILENCE_LIST));
             } else if (health != null) {
                 loopThread.loop.schedule(
-                        turn.at().plus(silent ? day.silentNotice : day.notice),
+                        turn.at().plus(silent ? day.crashNoticeDelay : day.listUpdateDelay),
                         () -> turn.trouble()
                                 .runners()
                                 .forEach(i -> list.changed(
--- a/tools/src/main/java/saltdale/tools/StandInNodes.java
+++ b/tools/src/main/java/saltdale/tools/StandInNodes.java
@@ -7,8 +7,8 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 import saltdale.nodes.standin.NodeServer;
-import saltdale.rig.plan.Misread;
-import saltdale.rig.plan.Sheet;
+import saltdale.rig.plan.InvalidInputException;
+import saltdale.rig.plan.TomlTable;
 import saltdale.rig.standin.LoopbackAddresses;
 import saltdale.transport.Address;
 import saltdale.transport.EventLoop;
@@ -70,9 +70,9 @@
     }
 
     static Duration span(String option, String text) {
-        Duration span = Sheet.span(text);
+        Duration span = TomlTable.parseDuration(text);
         if (span == null || span.isZero()) {
-            throw new Misread(option + ": wanted a span such as 250ms, 90s or 1h");
+            throw new InvalidInputException(option + ": wanted a span such as 250ms, 90s or 1h");
         }
         return span;
     }
@@ -80,7 +80,7 @@
     static InetSocketAddress loopback(String option, String text) {
         InetSocketAddress address = Address.parse(text);
         if (address == null || !address.getAddress().isLoopbackAddress()) {
-            throw new Misread(option + ": " + text + " is no numeric loopback address with a port");
+            throw new InvalidInputException(option + ": " + text + " is no numeric loopback address with a port");
         }
         return address;
     }
--- a/tools/src/main/java/saltdale/tools/Try.java
+++ b/tools/src/main/java/saltdale/tools/Try.java
@@ -18,7 +18,7 @@
     public Integer call() throws Exception {
         Path home = Main.home();
         boolean good =
-                Experiment.read(home.resolve("experiments/try.toml"), home).play(true, out, System.out);
+                Experiment.read(home.resolve("experiments/try.toml"), home).run(true, out, System.out);
         return good ? 0 : 1;
     }
 }
--- a/tools/src/test/java/saltdale/tools/FaultsTest.java
+++ b/tools/src/test/java/saltdale/tools/FaultsTest.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
-import saltdale.rig.experiment.Outcome;
 import saltdale.rig.experiment.Run;
+import saltdale.rig.experiment.RunResult;
 import saltdale.rig.experiment.Version;
 import saltdale.rig.judge.Violation;
-import saltdale.rig.plan.Day;
-import saltdale.rig.plan.Sheet;
+import saltdale.rig.plan.Scenario;
+import saltdale.rig.plan.TomlTable;
 
 /**
  * Real processes of the dispatcher before stand-in runners, with faults of the processes and of the ways between. The
@@ -66,17 +66,17 @@
     }
 
     private Map<String, Double> played(String text, String more) throws IOException {
-        Day day = new Day(Sheet.of("faults", text + more));
-        Outcome outcome = Run.onSockets(
+        Scenario day = new Scenario(TomlTable.of("faults", text + more));
+        RunResult outcome = Run.runOnSockets(
                 day,
-                Version.own("now", Path.of("..")),
+                Version.current("now", Path.of("..")),
                 "",
                 0,
-                Run.asks(day, folder),
+                Run.clientRequests(day, folder),
                 folder,
                 null,
                 (share, dispatchers) -> {});
-        assertEquals(List.<Violation>of(), outcome.breaches());
+        assertEquals(List.<Violation>of(), outcome.violations());
         assertEquals(0, outcome.figures().get("dispatchers_died"));
         return outcome.figures();
     }
--- a/tools/src/test/java/saltdale/tools/OverloadTest.java
+++ b/tools/src/test/java/saltdale/tools/OverloadTest.java
@@ -12,12 +12,12 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import saltdale.rig.experiment.Outcome;
 import saltdale.rig.experiment.Run;
+import saltdale.rig.experiment.RunResult;
 import saltdale.rig.experiment.Version;
 import saltdale.rig.judge.Violation;
-import saltdale.rig.plan.Day;
-import saltdale.rig.plan.Sheet;
+import saltdale.rig.plan.Scenario;
+import saltdale.rig.plan.TomlTable;
 
 /**
  * Overloads met by levels, in real processes with faults between them, as clients, runners and the list see them. What
@@ -87,17 +87,17 @@
         for (String each : troubles.replace('\'', '"').split(" & ")) {
             text.append(trouble(each));
         }
-        Day day = new Day(Sheet.of(name, text.toString()));
-        Outcome outcome = Run.onSockets(
+        Scenario day = new Scenario(TomlTable.of(name, text.toString()));
+        RunResult outcome = Run.runOnSockets(
                 day,
-                Version.own("now", Path.of("..")),
+                Version.current("now", Path.of("..")),
                 "",
                 0,
-                Run.asks(day, folder),
+                Run.clientRequests(day, folder),
                 folder,
                 null,
                 (share, dispatchers) -> {});
-        assertEquals(List.<Violation>of(), outcome.breaches());
+        assertEquals(List.<Violation>of(), outcome.violations());
         Map<String, Double> figures = outcome.figures();
         assertEquals(0, figures.get("dispatchers_died"));
         assertTrue(figures.get("fulfilled") > 0);
@@ -107,6 +107,6 @@
                 .mapToLong(line -> Long.parseLong(line.split(" ")[1]))
                 .findFirst()
                 .orElse(0);
-        assertTrue(changes <= 10 * (day.length.toSeconds() + day.longestStay().toSeconds()), "changes: " + changes);
+        assertTrue(changes <= 10 * (day.length.toSeconds() + day.maxClientTime().toSeconds()), "changes: " + changes);
     }
 }
