--- a/rig/src/main/java/saltdale/rig/experiment/Bootstrap.java
+++ b/rig/src/main/java/saltdale/rig/experiment/Bootstrap.java
@@ -3,11 +3,16 @@
 import java.util.Arrays;
 import java.util.SplittableRandom;
 
-/** The mean of paired differences with its 95% interval, by drawing the pairs anew many times. */
+/**
+ * The mean of paired differences with its 95% bootstrap confidence interval.
+ *
+ * @param low lower bound of the interval
+ * @param high upper bound of the interval
+ */
 public record Bootstrap(double mean, double low, double high) {
     private static final int RESAMPLES = 4000;
 
-    /** Pair by pair; the seed keeps the interval the same for the same figures. */
+    /** Resamples the differences; the seed makes the interval reproducible. */
     public static Bootstrap of(double[] differences, long seed) {
         double mean = Arrays.stream(differences).average().orElse(0);
         SplittableRandom random = new SplittableRandom(seed);
--- a/rig/src/main/java/saltdale/rig/experiment/DispatcherProcesses.java
+++ b/rig/src/main/java/saltdale/rig/experiment/DispatcherProcesses.java
@@ -27,13 +27,13 @@
 import saltdale.rig.standin.LoopbackAddresses;
 import saltdale.rig.standin.Origin;
 
-/** The dispatchers of a run: child processes of one build, each with its configuration and its log. */
+/** The dispatcher processes of a run: child processes of one build, each with its configuration and log file. */
 public final class DispatcherProcesses implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(DispatcherProcesses.class);
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final Duration START_TIMEOUT = Duration.ofSeconds(30);
     private static final Duration STOP_TIMEOUT = Duration.ofSeconds(6);
-    private static final double CLOCK_TICKS_PER_SECOND = 100; // of /proc, a second
+    private static final double CLOCK_TICKS_PER_SECOND = 100; // unit of the CPU times in /proc
 
     private static final class Member {
         volatile Process process;
@@ -52,10 +52,10 @@
     private final String cpus;
     private final List<Member> members = new ArrayList<>();
     private volatile boolean closing;
-    // Guards against dispatchers that outlive a rig which was told to end.
-    private final Thread shutdownHook = new Thread(this::destroy, "end of the dispatchers");
+    // Stops the dispatchers when the rig is terminated.
+    private final Thread shutdownHook = new Thread(this::destroy, "dispatcher shutdown");
 
-    /** {@code cpus}: the cores that they share, as taskset names them; null for all. */
+    /** {@code cpus} is the list of cores for the dispatchers in the format of taskset; null for all cores. */
     public DispatcherProcesses(
             Scenario scenario,
             Version version,
@@ -84,7 +84,7 @@
         return all;
     }
 
-    /** Starts all of them, and returns when each answers that it is up. */
+    /** Starts all dispatchers and waits until each one reports that it is up. */
     public void startAll() throws IOException {
         Runtime.getRuntime().addShutdownHook(shutdownHook);
         for (int i = 0; i < members.size(); i++) {
@@ -96,11 +96,11 @@
             while (!isUp(i)) {
                 if (!members.get(i).process.isAlive()) {
                     throw new IOException("dispatcher " + i + " of " + version.name()
-                            + " ended at its start, with "
+                            + " exited during its start with status "
                             + members.get(i).process.exitValue() + ": " + lastLine(i));
                 } else if (System.nanoTime() > end) {
                     throw new IOException("dispatcher " + i + " of " + version.name()
-                            + " did not come up within "
+                            + " did not start within "
                             + START_TIMEOUT.toSeconds() + " s: " + lastLine(i));
                 }
                 sleep(20);
@@ -111,7 +111,7 @@
     private String lastLine(int i) {
         try {
             List<String> lines = Files.readAllLines(directory.resolve("dispatcher-" + i + ".log"));
-            return lines.isEmpty() ? "it said nothing" : lines.get(lines.size() - 1);
+            return lines.isEmpty() ? "its log is empty" : lines.get(lines.size() - 1);
         } catch (IOException e) {
             return "its log can't be read";
         }
@@ -146,7 +146,7 @@
         return get(i, "/up").startsWith("HTTP/1.1 200");
     }
 
-    /** What it answers to this; nothing where it does not. */
+    /** The response of a dispatcher to a GET request, with its head; empty if there is none. */
     public String get(int i, String path) {
         InetSocketAddress at = loopback.dispatcher(i);
         try (Socket socket = new Socket()) {
@@ -170,7 +170,7 @@
         }
     }
 
-    /** Kills one outright. */
+    /** Kills a dispatcher with SIGKILL. */
     public void kill(int i) {
         Member member = members.get(i);
         member.expectedToExit = true;
@@ -182,17 +182,18 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        observer.dispatcherKilled(origin.now(), i); // what it took between the two is its clients' too
+        observer.dispatcherKilled(
+                origin.now(), i); // again, so that requests accepted since the first call count as affected too
     }
 
-    /** Tells one to end in order. */
+    /** Asks a dispatcher to shut down with SIGTERM. */
     public void shutDown(int i) {
         Member member = members.get(i);
         member.expectedToExit = true;
         member.process.destroy();
     }
 
-    /** Stops processes where they stand; each is judged as stopped from before the signal. */
+    /** Pauses processes with SIGSTOP; the judge treats each as paused from before the signal. */
     public void pause(List<Integer> which) {
         which.forEach(i -> {
             members.get(i).paused = true;
@@ -201,6 +202,7 @@
         signal("STOP", which);
     }
 
+    /** Resumes paused processes with SIGCONT. */
     public void resume(List<Integer> which) {
         signal("CONT", which);
         which.forEach(i -> {
@@ -209,7 +211,7 @@
         });
     }
 
-    /** A signal to processes of ours, by their ids. */
+    /** Sends a signal to dispatcher processes by their process ids. */
     private void signal(String name, List<Integer> which) {
         List<String> command = new ArrayList<>(List.of("kill", "-" + name));
         which.stream()
@@ -222,22 +224,24 @@
         try {
             Process kill = new ProcessBuilder(command).redirectErrorStream(true).start();
             if (!kill.waitFor(5, TimeUnit.SECONDS) || kill.exitValue() != 0) {
-                LOG.warn("{} did not work", command);
+                LOG.warn("{} failed", command);
             }
         } catch (IOException e) {
-            LOG.error("no {} can be sent: {}", name, e.getMessage());
+            LOG.error("signal {} can't be sent: {}", name, e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Starts one again; one that was told to end and has not is waited for, as a platform would before it kills. */
+    /**
+     * Restarts a dispatcher. One that is still shutting down gets some time to exit before it is killed, as on a platform.
+     */
     public void restart(int i) {
         Member member = members.get(i);
         try {
             if (!closing) {
                 if (!member.process.waitFor(STOP_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)) {
-                    LOG.warn("dispatcher {} did not end within {} s: killed", i, STOP_TIMEOUT.toSeconds());
+                    LOG.warn("dispatcher {} did not exit within {} s; killing it", i, STOP_TIMEOUT.toSeconds());
                     kill(i);
                 }
                 member.expectedToExit = false;
@@ -246,11 +250,11 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            LOG.error("dispatcher {} can't be started again: {}", i, e.getMessage());
+            LOG.error("dispatcher {} can't be restarted: {}", i, e.getMessage());
         }
     }
 
-    /** From now on the CPU counts. */
+    /** Starts the measurement of CPU time. */
     public void resetCpu() {
         for (Member member : members) {
             member.cpuAtReset = cpuSeconds(member.process);
@@ -258,7 +262,7 @@
         }
     }
 
-    /** Seconds of CPU that all of them have used since. */
+    /** CPU time of all dispatchers since {@link #resetCpu()}, in seconds. */
     public double cpuSeconds() {
         double all = 0;
         for (Member member : members) {
@@ -275,11 +279,11 @@
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
             return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / CLOCK_TICKS_PER_SECOND;
         } catch (IOException e) {
-            return 0; // it has ended
+            return 0; // the process has exited
         }
     }
 
-    /** The most memory that any of them held, MiB. */
+    /** The largest peak resident memory of a dispatcher, in MiB. */
     public double maxMemoryMb() {
         double most = 0;
         for (Member member : members) {
@@ -290,7 +294,7 @@
                     }
                 }
             } catch (IOException e) {
-                // it has ended
+                // the process has exited
             }
         }
         return most;
@@ -300,7 +304,7 @@
         return members.get(i).process.pid();
     }
 
-    /** Those that have ended and were not told to. */
+    /** The dispatchers that exited unexpectedly. */
     public List<Integer> crashed() {
         List<Integer> all = new ArrayList<>();
         for (int i = 0; i < members.size(); i++) {
@@ -317,7 +321,7 @@
         members.stream().filter(m -> m.process != null).forEach(m -> m.process.destroy());
     }
 
-    /** Guards against processes that stay for ever: one that is stopped hears of no signal to end. */
+    /** Resumes paused processes before the shutdown, since a paused one does not react to SIGTERM and would stay. */
     private void resumeAll() {
         signal(
                 "CONT",
@@ -343,11 +347,11 @@
         try {
             Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
-            // it is on its way
+            // the JVM is already shutting down
         }
     }
 
-    /** What a dispatcher of this day is told, in the words of the platform. */
+    /** The configuration file of a dispatcher in this scenario, in the format of the platform. */
     public static String configuration(Scenario scenario, int i) throws IOException {
         DispatcherSettings o = scenario.dispatcherSettings(i);
         ObjectNode root = JSON.createObjectNode();
--- a/rig/src/main/java/saltdale/rig/experiment/Expectation.java
+++ b/rig/src/main/java/saltdale/rig/experiment/Expectation.java
@@ -6,13 +6,13 @@
 import java.util.regex.Pattern;
 import saltdale.rig.plan.InvalidInputException;
 
-/** One line that turns figures into a verdict, such as {@code now.service >= before.service - 0.02}. */
+/** A condition on figures, such as {@code now.service >= before.service - 0.02}. */
 public final class Expectation {
     private static final Pattern LINE_PATTERN = Pattern.compile(
             "\\s*([A-Za-z][\\w.%-]*)\\s*(<=|>=|==|!=|<|>)\\s*([A-Za-z][\\w.%-]*|-?[\\d.]+)\\s*(?:([*+-])\\s*([\\d.]+))?\\s*");
 
-    /** What came of it, in words. */
-    public record Verdict(boolean met, String words) {}
+    /** Whether a condition is met, with a line of text for the user. */
+    public record Verdict(boolean met, String text) {}
 
     private final String line;
     private final Matcher parts;
@@ -31,8 +31,7 @@
         boolean plain = parts.group(3).matches("-?[\\d.]+");
         Double right = plain ? Double.valueOf(parts.group(3)) : figures.get(parts.group(3));
         if (left == null || right == null) {
-            return new Verdict(
-                    false, line + ": there is no figure " + (left == null ? parts.group(1) : parts.group(3)));
+            return new Verdict(false, line + ": unknown figure " + (left == null ? parts.group(1) : parts.group(3)));
         }
         if (parts.group(4) != null) {
             double by = Double.parseDouble(parts.group(5));
--- a/rig/src/main/java/saltdale/rig/experiment/Experiment.java
+++ b/rig/src/main/java/saltdale/rig/experiment/Experiment.java
@@ -23,11 +23,11 @@
 import saltdale.rig.simulate.Simulation;
 
 /**
- * An experiment as its file has it: a day, the builds that play it, what is swept, how often, and what is
- * expected. Builds play in turn, A B A B, so that what drifts meanwhile meets both.
+ * An experiment as its file describes it: a scenario, the builds that run it, the swept parameters, the number of
+ * repetitions and the expectations. Builds alternate (A B A B), so that a drift of the machine affects both.
  */
 public final class Experiment {
-    /** Where a day is played. */
+    /** How a scenario is run. */
     public enum ExecutionMode {
         SOCKETS,
         SIMULATED,
@@ -35,7 +35,7 @@
     }
 
     private record Point(String name, TomlTable table) {
-        /** What an expectation says behind a figure of this point alone: .at. and the values that are swept. */
+        /** The suffix that selects a figure of this point in an expectation: {@code .at.} and the swept values. */
         String suffix() {
             return ".at." + name.replaceAll("\\S+=", "").replace(' ', '.');
         }
@@ -66,8 +66,8 @@
                                 ? Version.read(row, home, baseDirectory())
                                 : Version.readSimulated(row)));
         if (mode == ExecutionMode.BOTH && !versions.isEmpty()) {
-            throw table.invalid("version", "wanted where a day is played on both faces, with this build's module");
-        } else if (mode == ExecutionMode.BOTH) { // the same day on both, paired as two builds are
+            throw table.invalid("version", "allowed with face = \"both\", which always runs the module of this build");
+        } else if (mode == ExecutionMode.BOTH) { // pairs the sockets with the simulation like two builds
             versions.add(Version.current("sockets", home));
             versions.add(new Version("simulated", List.of(), List.of()));
         } else if (versions.isEmpty()) {
@@ -93,11 +93,11 @@
         points.stream()
                 .map(point -> scenarioAt(point, 0))
                 .filter(scenario -> mode != ExecutionMode.SOCKETS)
-                .forEach(scenario -> scenario.requireSimulatable(
-                        table.file())); // so that a bad figure is told before anything is started
+                .forEach(scenario ->
+                        scenario.requireSimulatable(table.file())); // reports a bad value before anything starts
     }
 
-    /** Reads one with all its days, and checks it; {@code home}: the checkout whose build it plays. */
+    /** Reads an experiment and checks all its scenarios; {@code home} is the checkout whose build it runs. */
     public static Experiment read(Path file, Path home) {
         TomlTable table = TomlTable.read(file);
         Experiment experiment = new Experiment(file, table, home);
@@ -139,9 +139,9 @@
     }
 
     /**
-     * Plays it all, says how it goes, and leaves results and a report in the folder.
+     * Runs the experiment, prints its progress, and writes the results and a report.
      *
-     * @return whether all that is expected was met, with no run void
+     * @return whether all expectations are met and no run is void
      */
     public boolean run(boolean quick, Path outputDirectory, PrintStream console) throws IOException {
         Files.createDirectories(outputDirectory);
@@ -167,7 +167,7 @@
                 }
             }
         } finally {
-            // Guards against losing what was measured when a later run can't be played, or when the disk is full.
+            // Keeps the measured results when a later run fails or the disk is full.
             printTable(results, console);
             try {
                 write(outputDirectory, results);
@@ -232,8 +232,8 @@
     }
 
     /**
-     * Means over the runs of each build, the worst run, and paired differences of the first build to the
-     * second.
+     * Means, minima and maxima over the runs of each build, and the paired differences between the first build and the
+     * second one.
      */
     Map<String, Double> aggregate(List<RunResult> results) {
         Map<String, Double> all = new LinkedHashMap<>();
@@ -320,7 +320,7 @@
         }
         for (Expectation each : expectations) {
             Expectation.Verdict verdict = each.judge(aggregated);
-            console.println((verdict.met() ? "kept:   " : "FAILED: ") + verdict.words());
+            console.println((verdict.met() ? "kept:   " : "FAILED: ") + verdict.text());
             good &= verdict.met();
         }
         double broken = results.stream()
@@ -370,13 +370,13 @@
         Files.writeString(outputDirectory.resolve("report.html"), Report.of(root));
     }
 
-    /** Reads the file only to check it. */
+    /** Checks the file without running it. */
     public static void check(Path file, Path home) {
         try {
             read(file, home);
         } catch (InvalidInputException e) {
             if (!e.getMessage().contains("no jar at")) {
-                throw e; // a build may be missing where a file is only checked
+                throw e; // a missing build is allowed here
             }
         }
     }
--- a/rig/src/main/java/saltdale/rig/experiment/RunResult.java
+++ b/rig/src/main/java/saltdale/rig/experiment/RunResult.java
@@ -8,10 +8,14 @@
 import saltdale.rig.load.RunnerLoadHistory;
 
 /**
- * What one run gave.
+ * The result of one run.
  *
- * @param figures by name; times in ms
- * @param isVoid why it does not count; null where it does
+ * @param version name of the dispatcher build
+ * @param point the values of the swept parameters
+ * @param repeat index of the repetition
+ * @param figures by name; times in milliseconds
+ * @param violations the rules that were broken
+ * @param voidReason why the run is void; null if it is valid
  */
 public record RunResult(
         String version,
--- a/rig/src/main/java/saltdale/rig/experiment/Series.java
+++ b/rig/src/main/java/saltdale/rig/experiment/Series.java
@@ -6,9 +6,9 @@
 import saltdale.rig.load.RequestStatistics;
 import saltdale.rig.load.RunnerLoadHistory;
 
-/** What a run was like over time, as its results keep it for the report. */
+/** Writes the time series of a run into the results file, for the report. */
 final class Series {
-    /** The percentiles of latency that are kept for each second; 100 is the most. */
+    /** The latency percentiles that are written for each second; 100 is the maximum. */
     private static final double[] PERCENTILES = {50, 90, 99, 100};
 
     private Series() {}
--- a/rig/src/main/java/saltdale/rig/experiment/Version.java
+++ b/rig/src/main/java/saltdale/rig/experiment/Version.java
@@ -8,12 +8,13 @@
 import saltdale.rig.simulate.BaselineDispatcher;
 
 /**
- * A build of the dispatcher that is played.
+ * A build of the dispatcher that an experiment runs.
  *
- * @param flags of its JVM
- * @param program what follows them on its command line; none in simulated time
- * @param choice in simulated time, the baseline that decides; null for the module
- * @param levels whether it meets overloads as the day's table says; else as if there was none
+ * @param name its name in figures and reports
+ * @param flags JVM flags
+ * @param program the command line after the flags; empty in a simulation
+ * @param baseline in a simulation, the baseline policy that replaces the module; null for the module
+ * @param overloadAware whether it uses the overload settings of the scenario; otherwise they are left out
  */
 public record Version(
         String name,
@@ -25,19 +26,19 @@
         this(name, flags, program, null, true);
     }
 
-    /** As the platform runs it, but for what its archive of classes adds. */
+    /** The JVM flags of the platform, without those for its class data archive. */
     static final List<String> FLAGS = List.of(
             "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-Xms24m", "-Xmx112m", "-Xss512k");
 
     private static String name(TomlTable row) {
         String name = row.required("name");
         if (!name.matches("[A-Za-z0-9_-]+") || name.equals("difference")) {
-            throw row.invalid("name", "a name of letters, figures, _ and -");
+            throw row.invalid("name", "a name of letters, digits, _ and -");
         }
         return name;
     }
 
-    /** One that is played in simulated time: this build's module, or a baseline. */
+    /** Reads a version for a simulation: the module of this build or a baseline. */
     static Version readSimulated(TomlTable row) {
         String name = name(row);
         BaselineDispatcher.SelectionPolicy baseline =
@@ -45,6 +46,7 @@
         return new Version(name, List.of(), List.of(), baseline, row.bool("levels", true));
     }
 
+    /** Reads a version that runs as processes; {@code baseDirectory} resolves the path of its jar. */
     static Version read(TomlTable row, Path home, Path baseDirectory) {
         String name = name(row);
         String jar = row.string("jar", null);
--- a/rig/src/main/java/saltdale/rig/load/ClientRetryPolicy.java
+++ b/rig/src/main/java/saltdale/rig/load/ClientRetryPolicy.java
@@ -6,9 +6,9 @@
 import saltdale.rig.judge.EventObserver.FinalAnswer;
 import saltdale.rig.plan.Traffic;
 
-/** Whether and when clients try again: waits that double, with jitter, and a budget over all of them. */
+/** Whether and when clients retry: exponential backoff with jitter and a retry budget over all clients. */
 public final class ClientRetryPolicy {
-    private static final double INITIAL_RETRY_CREDIT = 10; // of the budget, so that a quiet time is no ban
+    private static final double INITIAL_RETRY_CREDIT = 10; // allows retries while there are few first tries
 
     private final Traffic traffic;
     private final SplittableRandom random;
@@ -19,23 +19,23 @@
         this.random = random;
     }
 
-    /** A first try has been sent: it earns its part of a further one. */
+    /** Records that a first try was sent, which adds its share of a retry to the budget. */
     public void recordFirstTry() {
         credit = Math.min(INITIAL_RETRY_CREDIT * 100, credit + traffic.retryBudget());
     }
 
-    /** Whether the client of this first try goes away before its answer. */
+    /** Draws whether the client of this first try disconnects before its response. */
     public boolean abandons() {
         return traffic.abandonShare() > 0 && random.nextDouble() < traffic.abandonShare();
     }
 
     /**
-     * How long a client waits before its next try; null where it gives up.
+     * The delay before the next try of a client; null if it gives up.
      *
-     * @param tries that it has made
-     * @param how its last one ended; null where no answer came
-     * @param pause that the answer asked for; null for none
-     * @param firstAt when the first try was sent, for the window of receipts
+     * @param tries number of tries so far
+     * @param answer the response to the last try; null if there was none
+     * @param retryAfter the delay that the response asked for; null for none
+     * @param firstTryAt when the first try was sent; limits retries to the deduplication window
      */
     public Duration nextDelay(
             Workload workload, int tries, FinalAnswer answer, Duration retryAfter, Duration now, Duration firstTryAt) {
@@ -58,7 +58,7 @@
         return Duration.ofNanos((long) wait);
     }
 
-    /** A shed one did not run; else only what drops repeats anywhere may be asked for again. */
+    /** A shed request did not run; otherwise only requests that are safe to repeat at any runner may be retried. */
     private boolean mayRetry(Workload workload, FinalAnswer answer, Duration now, Duration firstTryAt) {
         return answer == FinalAnswer.SHED
                 || workload.repeatSafety == Workload.RepeatSafety.PURE
--- a/rig/src/main/java/saltdale/rig/load/Generator.java
+++ b/rig/src/main/java/saltdale/rig/load/Generator.java
@@ -24,16 +24,16 @@
 import saltdale.transport.Timer;
 
 /**
- * An open loop on sockets: each ask is sent at the time that was fixed for it, whatever became of those
- * before. How far it falls behind its own times is measured, and voids a run.
+ * An open-loop load generator on sockets: each request is sent at its intended time, however earlier ones ended. The lag
+ * behind the intended times is measured; a run with too much lag is void.
  */
 public final class Generator {
     private static final Duration CONNECT_LIMIT = Duration.ofSeconds(1);
     private static final Duration LATE_ANSWER_WAIT =
-            Duration.ofMillis(500); // so late an answer is seen, and judged as late
+            Duration.ofMillis(500); // later responses are still received, and judged as late
     private static final Duration IDLE_LIMIT = Duration.ofSeconds(20);
     private static final Duration UNREACHABLE_AVOIDANCE = Duration.ofSeconds(1);
-    // Beyond these the figures would be the generator's own.
+    // With more lag the figures would reflect the generator rather than the dispatchers.
     private static final long MAX_LAG_P99_US = 10_000;
     private static final long MAX_LAG_US = 100_000;
 
@@ -58,8 +58,10 @@
     private Duration thousandthAnswerAt;
 
     /**
-     * {@code run}: makes the ids of this run differ from those of any other; {@code start}: when the day
-     * begins, on the clock of the run, by which the asks' times are given.
+     * Creates a generator.
+     *
+     * @param run prefix that makes the request ids of this run unique
+     * @param start start of the scenario on the clock of the run, which the intended times refer to
      */
     public Generator(
             LoopThread loopThread,
@@ -86,7 +88,7 @@
         }
     }
 
-    /** Begins to send; called on the loop. */
+    /** Starts to send; called on the loop thread. */
     public void start(Iterator<ClientRequest> requests) {
         if (!requests.hasNext()) {
             allSent = true;
@@ -95,8 +97,8 @@
         ClientRequest request = requests.next();
         loopThread.loop.schedule(request.intendedAt().minus(origin.now()).minus(turnTimeOffset()), () -> {
             long late = Math.max(0, origin.now().minus(request.intendedAt()).toNanos() / 1000);
-            if (request.intendedAt().minus(start).compareTo(scenario.warmUp)
-                    >= 0) { // as the figures do that it might spoil
+            // Lag counts after the warm-up only, like the figures that it would distort.
+            if (request.intendedAt().minus(start).compareTo(scenario.warmUp) >= 0) {
                 lag.recordValue(Math.min(late, 3_600_000_000L));
             }
             new Client(request).sendTry();
@@ -104,12 +106,12 @@
         });
     }
 
-    /** The turn's time beside the clock: at most nothing. */
+    /** The time of the current loop turn minus the clock; never positive. */
     private Duration turnTimeOffset() {
         return loopThread.loop.now().minus(loopThread.loop.elapsed());
     }
 
-    /** Closes what rests: dispatchers that are told to end wait for clients that might still send. */
+    /** Closes idle connections, since dispatchers that shut down wait for clients that might still send. */
     public void closeIdleConnections() {
         for (ConnectionPool pool : pools) {
             pool.closeIdle();
@@ -124,12 +126,12 @@
         return statistics;
     }
 
-    /** True send against intended send, us. */
+    /** Lag of the actual behind the intended send times, in microseconds. */
     public Histogram lag() {
         return lag;
     }
 
-    /** Why the run is void; null where it counts. */
+    /** Why the run is void; null if it is valid. */
     public String voidReason() {
         long p99 = lag.getValueAtPercentile(99);
         if (p99 <= MAX_LAG_P99_US && lag.getMaxValue() <= MAX_LAG_US) {
@@ -137,15 +139,15 @@
         }
         return String.format(
                 java.util.Locale.ROOT,
-                "the load fell behind its intended times: by %.1f ms at the 99th "
-                        + "percentile, %.1f ms at the most (allowed: %d and %d ms)",
+                "the load fell behind its intended times by %.1f ms at the 99th "
+                        + "percentile and %.1f ms at most (allowed: %d and %d ms)",
                 p99 / 1e3,
                 lag.getMaxValue() / 1e3,
                 MAX_LAG_P99_US / 1000,
                 MAX_LAG_US / 1000);
     }
 
-    /** When the thousandth answer had come, on the run's clock; null before. */
+    /** When the thousandth response arrived, on the clock of the run; null before. */
     public Duration thousandthAnswerAt() {
         return thousandthAnswerAt;
     }
@@ -169,14 +171,14 @@
         return next;
     }
 
-    /** A front takes no notice at once, and gives it another chance after a while. */
+    /** Avoids the dispatcher for a while, as a load balancer in front of it would. */
     private void markUnreachable(int dispatcher) {
         if (avoided.add(dispatcher)) {
             loopThread.loop.schedule(UNREACHABLE_AVOIDANCE, () -> avoided.remove(dispatcher));
         }
     }
 
-    /** The client of one ask, over all its tries. */
+    /** The client of one request, over all its tries. */
     private final class Client {
         private final ClientRequest request;
         private int tries;
@@ -230,7 +232,7 @@
         }
     }
 
-    /** One request and its answer. */
+    /** One try of a request and its response. */
     private final class Try implements Connection.Handler {
         private final Client client;
         private final String id;
@@ -254,7 +256,7 @@
                 loopThread.loop.defer(() -> end(null, null, true));
                 return;
             }
-            if (!isResend) { // before it is written: the answer may be here before this thread is on again
+            if (!isResend) { // recorded before the write, since the response may arrive before this thread continues
                 observer.requestSent(
                         origin.now(),
                         id,
@@ -276,7 +278,8 @@
                             + "\r\nContent-Length: 0\r\n\r\n")
                     .getBytes(StandardCharsets.US_ASCII)));
             if (!isResend) {
-                // By the clock, not the turn's time: a first turn is long, and its limits would come before they are
+                // Relative to the clock rather than the turn: the first turn is long, and its timeouts would fire
+                // before they are
                 // due.
                 limit = loopThread.loop.schedule(
                         clientTimeout
@@ -303,7 +306,7 @@
             parser.parse(bytes);
             if (parser.isMalformed()) {
                 connection.close();
-                disconnected("no answer that can be read");
+                disconnected("the response can't be parsed");
             } else if (parser.isComplete()) {
                 Head head = parser.head();
                 String body = new String(parser.body(), StandardCharsets.UTF_8);
@@ -330,7 +333,7 @@
             try {
                 return text == null ? null : Duration.ofNanos((long) (Double.parseDouble(text) * 1e9));
             } catch (NumberFormatException e) {
-                return null; // a date, which nobody here sends
+                return null; // a date, which dispatchers don't send
             }
         }
 
@@ -339,14 +342,14 @@
             if (over) {
                 return;
             }
-            if (reused && parser.isAtStart()) { // it crossed the closing of an idle connection: once more
+            if (reused && parser.isAtStart()) { // the dispatcher closed the idle connection meanwhile: send again
                 reused = false;
                 send(true);
                 return;
             }
             boolean unsent = connection.sendProgress().isIncomplete();
             if (unsent) {
-                observer.clientLeft(origin.now(), id); // no dispatcher has taken it
+                observer.clientLeft(origin.now(), id); // no dispatcher has received it
                 markUnreachable(dispatcher);
             } else if (!connection.isReused() && parser.isAtStart()) {
                 observer.newConnectionClosed(origin.now(), id);
--- a/rig/src/main/java/saltdale/rig/load/OverloadFigures.java
+++ b/rig/src/main/java/saltdale/rig/load/OverloadFigures.java
@@ -8,11 +8,13 @@
 import saltdale.rig.plan.Peak;
 import saltdale.rig.plan.Scenario;
 
-/** What an overload did to a day: beside what could be had, after its cause's end, and over the dispatchers. */
+/**
+ * Figures on the effects of an overload: the service compared with the attainable one, the recovery after the end of the
+ * cause, and the balance among dispatchers.
+ */
 public final class OverloadFigures {
-    private static final double RECOVERED_SHARE = 0.98; // of what was served before
-    private static final int RECOVERY_WINDOW_SECONDS =
-            5; // seconds that are looked at together: fewer hold too few asks to tell
+    private static final double RECOVERED_SHARE = 0.98; // of the service before the peak
+    private static final int RECOVERY_WINDOW_SECONDS = 5; // shorter windows hold too few requests
 
     private OverloadFigures() {}
 
@@ -42,8 +44,8 @@
     }
 
     /**
-     * The part of the importance that would be served if the dearest work for its size went first and nothing
-     * was lost.
+     * The share of the offered importance that would be served if the work with the most importance per second ran first
+     * and no capacity was lost.
      */
     static double attainableShare(RequestStatistics statistics, double workCapacity) {
         List<RequestStatistics.Row> rows = new ArrayList<>();
@@ -70,7 +72,7 @@
         return (int) Math.ceil(span.toNanos() / 1e9);
     }
 
-    /** Of what was asked for from this second on and before that one; NaN where that is nothing. */
+    /** Service of the requests due from one second until before another; NaN if none were offered. */
     private static double serviceBetween(List<RequestStatistics.Second> seconds, int from, int to) {
         double offered = 0;
         double served = 0;
@@ -82,8 +84,8 @@
     }
 
     /**
-     * Seconds after the cause's end, the peak's and any trouble's, from which on some seconds together are
-     * served as well as this; NaN for never.
+     * Seconds from the end of the cause (of the peak and all faults) to the first window whose service reaches the
+     * target; NaN if none does.
      */
     private static double recoverySeconds(List<RequestStatistics.Second> seconds, int end, int last, double target) {
         for (int from = end; from + RECOVERY_WINDOW_SECONDS <= last; from++) {
--- a/rig/src/main/java/saltdale/rig/load/RequestStatistics.java
+++ b/rig/src/main/java/saltdale/rig/load/RequestStatistics.java
@@ -10,14 +10,14 @@
 import saltdale.rig.judge.EventObserver.FinalAnswer;
 import saltdale.rig.plan.PlannedWorkload;
 
-/** What became of the asks of a day, counted from their intended times. Not safe for more than one thread. */
+/** Results of the client requests of a run, with latencies from their intended times. Not thread-safe. */
 public final class RequestStatistics {
-    private static final long MAX_LATENCY_US = 3_600_000_000L; // us
+    private static final long MAX_LATENCY_US = 3_600_000_000L;
 
-    /** One workload's figures, of all asks whose intended time lies after the warming up. */
+    /** Statistics of one workload, over all requests that are due after the warm-up. */
     public static final class Row {
         public long offered;
-        /** Seconds of work that were asked for. */
+        /** Offered work, in seconds. */
         public double work;
 
         public long fulfilled;
@@ -27,25 +27,27 @@
         public long unanswered;
         public long abandoned;
         public long tries;
-        /** From the intended time to the answer, us, of what was fulfilled. */
+        /** Latency of fulfilled requests from the intended time to the response, in microseconds. */
         public final Histogram latency = new Histogram(MAX_LATENCY_US, 3);
 
-        /** The part of what was asked for that was fulfilled in the promised time. */
+        /** The share of offered requests that were fulfilled within their latency limit. */
         public double service() {
             return offered == 0 ? 1 : (double) inTime / offered;
         }
     }
 
-    /** One second of the day, by intended times. */
+    /** Statistics of the requests whose intended time lies in one second of the run. */
     public static final class Second {
         public long offered;
         public long inTime;
-        /** Importance asked for, and fulfilled in the promised time. */
+        /** Sum of the importance of the offered requests. */
         public double offeredImportance;
 
+        /** Sum of the importance of the requests that were fulfilled within their latency limit. */
         public double servedImportance;
+
         public final Histogram latency = new Histogram(MAX_LATENCY_US, 2);
-        public final Map<String, long[]> byWorkload = new LinkedHashMap<>(); // offered, in time
+        public final Map<String, long[]> byWorkload = new LinkedHashMap<>(); // offered and fulfilled in time
     }
 
     private final Duration warmUp;
@@ -60,11 +62,11 @@
         this(workloads, warmUp, Duration.ZERO);
     }
 
-    /** {@code start}: when the day begins, on the clock by which the asks' times are given. */
+    /** {@code start} is the start of the scenario on the clock of the intended times. */
     public RequestStatistics(List<PlannedWorkload> workloads, Duration warmUp, Duration start) {
         this.warmUp = warmUp;
         this.start = start;
-        workloads.forEach(job -> rows.put(job.workload(), new Row()));
+        workloads.forEach(planned -> rows.put(planned.workload(), new Row()));
     }
 
     public Map<Workload, Row> rows() {
@@ -75,17 +77,17 @@
         return seconds;
     }
 
-    /** When an answer to this ask is worth something no more, since its intended time. */
+    /** The time since the intended time after which a response no longer counts as in time. */
     public static Duration latencyLimit(ClientRequest request) {
         Workload w = request.plannedWorkload().workload();
         return w.targetLatency.plusNanos((long) (w.latencyStretch * request.workSeconds() * 1e9));
     }
 
     /**
-     * All is over with this ask.
+     * Records the end of a request.
      *
-     * @param how null where no answer came
-     * @param tries that its client made; 0 where it went away
+     * @param answer null if there was no response
+     * @param tries number of tries of its client; 0 if it disconnected
      */
     public void record(ClientRequest request, FinalAnswer answer, Duration at, int tries, boolean abandoned) {
         Duration took = at.minus(request.intendedAt());
@@ -141,7 +143,7 @@
         return seconds.get(number);
     }
 
-    /** The importance fulfilled in the promised time over the importance asked for. */
+    /** The share of the offered importance that was fulfilled within the latency limits. */
     public double service() {
         return offeredImportance == 0 ? 1 : servedImportance / offeredImportance;
     }
@@ -156,14 +158,14 @@
                 .sum();
     }
 
-    /** All workloads together. */
+    /** The latencies of all workloads. */
     public Histogram latency() {
         Histogram all = new Histogram(MAX_LATENCY_US, 3);
         rows.values().forEach(row -> all.add(row.latency));
         return all;
     }
 
-    /** The figures by their names, as experiments' lines and reports have them; times in ms. */
+    /** The figures by the names that expectations and reports use; times in milliseconds. */
     public Map<String, Double> figures() {
         Map<String, Double> all = new LinkedHashMap<>();
         long offered = Math.max(1, offered());
--- a/rig/src/main/java/saltdale/rig/load/RunnerLoadHistory.java
+++ b/rig/src/main/java/saltdale/rig/load/RunnerLoadHistory.java
@@ -5,11 +5,13 @@
 import java.util.List;
 import saltdale.model.LoadReport;
 
-/** What each runner held over time, beside what it had last told anybody of it. */
+/** The load of each runner over time, with the load that it last reported. */
 public final class RunnerLoadHistory {
     /**
-     * @param held assignments in work and waiting
-     * @param told the same by its last report; NaN before the first
+     * @param at when the sample was taken
+     * @param inFlight number of running and waiting assignments
+     * @param reported the same number by the last load report; NaN before the first one
+     * @param up whether the runner was up
      */
     public record Sample(Duration at, int inFlight, double reported, boolean up) {}
 
--- a/rig/src/main/java/saltdale/rig/load/ShedSpread.java
+++ b/rig/src/main/java/saltdale/rig/load/ShedSpread.java
@@ -1,8 +1,10 @@
 package saltdale.rig.load;
 
-/** How evenly the dispatchers shed: whose client asks where should not matter. Not safe for more than one thread. */
+/**
+ * How evenly the dispatchers shed load: the dispatcher that a client uses should not matter. Not thread-safe.
+ */
 public final class ShedSpread {
-    private static final double MIN_TRIES = 50; // tries below which a share says nothing
+    private static final double MIN_TRIES = 50; // with fewer tries a share is not significant
 
     private final double[] tries;
     private final double[] offered;
@@ -14,7 +16,7 @@
         shed = new double[dispatchers];
     }
 
-    /** This try ended so at this dispatcher. */
+    /** Records the end of a try at a dispatcher. */
     public void recordTry(int dispatcher, double importance, boolean wasShed) {
         tries[dispatcher]++;
         offered[dispatcher] += importance;
@@ -22,8 +24,7 @@
     }
 
     /**
-     * The greatest share of the importance that a dispatcher shed beside the least; 1 where nothing is shed
-     * anywhere.
+     * The largest share of the importance that a dispatcher shed, divided by the smallest one; 1 if nothing was shed.
      */
     public double ratio() {
         double least = Double.POSITIVE_INFINITY;
--- a/rig/src/main/java/saltdale/rig/load/Trace.java
+++ b/rig/src/main/java/saltdale/rig/load/Trace.java
@@ -15,12 +15,13 @@
 import saltdale.rig.plan.TomlTable;
 
 /**
- * Recorded arrivals. CSV with the head {@code at,workload,size}, or JSON lines with these names: {@code at}
- * in seconds since the trace's start, the workload's name, {@code size} in seconds of work.
+ * Recorded arrivals, as CSV with the header {@code at,workload,size} or as JSON lines with these fields: {@code at} in
+ * seconds since the start of the trace, the name of the workload, {@code size} in seconds of work.
  *
- * <p>Scaling by 2 sends twice as many in the same time: each is sent as often as the factor says, in thinned
- * places for the part that is no whole number, spread over the gap to the next. Splicing takes a part from
- * here and sets it at another time: {@code "10s..20s@5s"}.
+ * <p>Scaling by 2 sends twice as many requests in the same time: each arrival is repeated as the factor says, and the
+ * repetitions are spread over the gap to the next arrival. The fraction of a factor that is not whole is carried over, so
+ * that only some arrivals get one more. Splicing moves a section to another time: {@code "10s..20s@5s"} moves the
+ * arrivals from 10 s to 20 s to 5 s.
  */
 public final class Trace {
     private record Line(double at, String workload, double size) {}
@@ -52,7 +53,7 @@
             trace.lines.add(read);
         }
         if (trace.lines.isEmpty()) {
-            throw new InvalidInputException(name + ": holds no arrival");
+            throw new InvalidInputException(name + ": contains no arrivals");
         }
         trace.lines.sort(Comparator.comparingDouble(Line::at));
         return trace;
@@ -66,9 +67,9 @@
                         Double.parseDouble(cells[0].strip()), cells[1].strip(), Double.parseDouble(cells[2].strip()));
             }
         } catch (NumberFormatException e) {
-            // told below
+            // reported below
         }
-        throw invalid(number, "wanted: at,workload,size with seconds, a name, seconds");
+        throw invalid(number, "expected at,workload,size with seconds, a name, seconds");
     }
 
     private Line json(ObjectMapper mapper, String line, int number) {
@@ -83,16 +84,16 @@
                         node.get("size").doubleValue());
             }
         } catch (JsonProcessingException e) {
-            // told below
+            // reported below
         }
-        throw invalid(number, "wanted: {\"at\":seconds,\"workload\":\"name\",\"size\":seconds}");
+        throw invalid(number, "expected {\"at\":seconds,\"workload\":\"name\",\"size\":seconds}");
     }
 
     private InvalidInputException invalid(int line, String what) {
         return new InvalidInputException(file + ": line " + line + ": " + what);
     }
 
-    /** Takes parts out of it, each set at another time; with none it stays as it is. */
+    /** Returns a trace of the given sections, each moved to another time; without sections this trace. */
     public Trace spliced(List<String> parts) {
         if (parts.isEmpty()) {
             return this;
@@ -119,7 +120,7 @@
         return made;
     }
 
-    /** The asks of this trace, as many times as {@code scale} says. */
+    /** The client requests of this trace, with the number of arrivals scaled by {@code scale}. */
     public List<ClientRequest> requests(List<PlannedWorkload> workloads, double scale, Duration length) {
         Map<String, PlannedWorkload> byName = new HashMap<>();
         workloads.forEach(job -> byName.put(job.name(), job));
@@ -129,7 +130,7 @@
             Line line = lines.get(i);
             PlannedWorkload job = byName.get(line.workload);
             if (job == null) {
-                throw new InvalidInputException(file + ": workload " + line.workload + " is none of the day's: "
+                throw new InvalidInputException(file + ": workload " + line.workload + " is not one of the scenario: "
                         + String.join(", ", new java.util.TreeSet<>(byName.keySet())));
             }
             double gap = i + 1 < lines.size() ? lines.get(i + 1).at - line.at : 0;
--- a/rig/src/main/java/saltdale/rig/plan/InvalidInputException.java
+++ b/rig/src/main/java/saltdale/rig/plan/InvalidInputException.java
@@ -1,6 +1,6 @@
 package saltdale.rig.plan;
 
-/** What a file holds that can't be used: one line that names the file, the place and what is wanted there. */
+/** Invalid input of a user; the message is one line that names the file or option, the place and what is expected. */
 public final class InvalidInputException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/rig/src/main/java/saltdale/rig/plan/Peak.java
+++ b/rig/src/main/java/saltdale/rig/plan/Peak.java
@@ -2,7 +2,13 @@
 
 import java.time.Duration;
 
-/** A time in which so many times more is asked for. */
+/**
+ * A load peak: an interval in which the request rate is multiplied.
+ *
+ * @param at start of the peak, since the start of the scenario
+ * @param length duration of the peak
+ * @param factor multiplier of the request rate
+ */
 public record Peak(Duration at, Duration length, double factor) {
     static Peak read(TomlTable table) {
         return new Peak(
@@ -15,7 +21,7 @@
         return at.plus(length);
     }
 
-    /** How many times more is asked for at this time, in seconds since the start. */
+    /** The multiplier of the request rate at this time, in seconds since the start. */
     public double factorAt(double seconds) {
         return seconds >= at.toNanos() / 1e9 && seconds < end().toNanos() / 1e9 ? factor : 1;
     }
--- a/rig/src/main/java/saltdale/rig/plan/RunnerType.java
+++ b/rig/src/main/java/saltdale/rig/plan/RunnerType.java
@@ -3,20 +3,23 @@
 import java.time.Duration;
 
 /**
- * A make of runners.
+ * The model of a type of runner.
  *
- * @param share of the fleet
- * @param cores that work at once
- * @param speed seconds of work a core does in a second
- * @param slots assignments in work at once; with more slots than cores they share the cores
- * @param queue assignments that wait beyond them; what comes then is turned away
- * @param order in which they wait
- * @param thrash time that each assignment costs more for each one held a core beyond {@code thrashAt}
- * @param coldFrom share of the full capacity right after a start
- * @param warmWithin until the full capacity, evenly
- * @param reportEvery load reports are made anew this often
- * @param reportDelay and are this old then
- * @param cancelStops whether a job that is taken back stops when it runs already
+ * @param name name of the type, as dispatchers know it
+ * @param share weight of this type in the fleet
+ * @param cores number of cores
+ * @param speed seconds of work that a core does per second
+ * @param slots maximum number of running assignments; with more slots than cores they share the cores
+ * @param queue maximum number of waiting assignments; further ones are rejected
+ * @param order the order in which waiting assignments start
+ * @param thrashFactor relative slowdown for each assignment per core beyond {@code thrashThreshold}
+ * @param thrashThreshold assignments per core, running and waiting, above which the runner slows down
+ * @param coldCapacityShare share of the full capacity right after a start
+ * @param warmUpTime time from a start to the full capacity; the capacity grows linearly
+ * @param reportInterval time between new load reports
+ * @param reportDelay age of a load report when it is published
+ * @param progressInterval time between progress reports of a running assignment; zero for none
+ * @param cancelStopsRunning whether a cancellation also stops an assignment that is running already
  */
 public record RunnerType(
         String name,
@@ -34,7 +37,7 @@
         Duration reportDelay,
         Duration progressInterval,
         boolean cancelStopsRunning) {
-    /** The order in which waiting jobs begin. */
+    /** The order in which waiting assignments start. */
     public enum Order {
         FIFO,
         LIFO,
@@ -62,7 +65,7 @@
                 table.bool("cancel_stops", true));
     }
 
-    /** One core, one slot, first come first served, always warm, reports at once: for closed forms. */
+    /** A type without queueing discipline other than FIFO, warm-up or report delay, for tests against closed formulas. */
     public static RunnerType plain(int cores, int queue) {
         return new RunnerType(
                 "plain",
@@ -120,7 +123,7 @@
                 cancelStopsRunning);
     }
 
-    /** Seconds of work a second, warm and undisturbed. */
+    /** Capacity when warm and without faults, in seconds of work per second. */
     public double capacity() {
         return Math.min(cores, slots) * speed;
     }
--- a/rig/src/main/java/saltdale/rig/plan/Scenario.java
+++ b/rig/src/main/java/saltdale/rig/plan/Scenario.java
@@ -9,7 +9,10 @@
 import saltdale.model.OverloadSettings;
 import saltdale.model.Workload;
 
-/** One day to be played: the dispatchers, what they are told, the fleet, the load and the troubles. */
+/**
+ * A test scenario as a plan file describes it: the dispatchers and their settings, the runner fleet, the network, the
+ * load and the faults.
+ */
 public final class Scenario {
     public final String name;
     public final long seed;
@@ -28,11 +31,12 @@
     public final Duration sameZoneLatency;
     public final Duration crossZoneLatency;
     public final double networkJitter;
-    /** How long the list takes to tell of a change: of a drain or a start, and of a process that died. */
+    /** Delay until the runner list reports that a runner drains or starts. */
     public final Duration listUpdateDelay;
 
+    /** Delay until the runner list reports that a runner process died. */
     public final Duration crashNoticeDelay;
-    /** What a probe costs its runner: counted, not charged. */
+    /** Work that a probe costs its runner: counted in the figures, not added to the load of the runner. */
     public final Duration probeCost;
 
     public final boolean mustSubscribe;
@@ -45,7 +49,7 @@
         length = table.duration("length", Duration.ofSeconds(20));
         warmUp = table.duration("warm_up", Duration.ofSeconds(1));
         if (warmUp.compareTo(length) >= 0) {
-            throw table.invalid("warm_up", "a span under the length of the day, " + length.toMillis() + " ms");
+            throw table.invalid("warm_up", "a duration shorter than the scenario, " + length.toMillis() + " ms");
         }
         dispatcherCount = table.integer("dispatchers", 2, 1, 10_000);
 
@@ -53,7 +57,7 @@
         runnerCount = fleet.integer("runners", 8, 1, 100_000);
         zones = fleet.strings("zones", List.of("a"));
         if (zones.isEmpty()) {
-            throw fleet.invalid("zones", "a list of at least one text in quotes");
+            throw fleet.invalid("zones", "a list of at least one quoted string");
         }
         cells = fleet.integer("cells", 1, 1, 100_000);
         fleet.tables("make").forEach(row -> runnerTypes.add(RunnerType.read(row)));
@@ -84,7 +88,7 @@
         dispatcherSettings.maxAttempts = settingsTable.integer("most_dispatches", 4, 1, 1000);
         dispatcherSettings.connectTimeout = settingsTable.duration("connect_time", Duration.ofMillis(250));
         if (dispatcherSettings.connectTimeout.isZero()) {
-            throw settingsTable.invalid("connect_time", "a span over 0");
+            throw settingsTable.invalid("connect_time", "a duration over 0");
         }
         dispatcherSettings.reportsStart = settingsTable.bool("tells_start", true);
         dispatcherSettings.progressInterval = runnerTypes.stream()
@@ -132,32 +136,33 @@
                         && next.at().compareTo(other.end()) <= 0
                         && other.at().compareTo(next.end()) <= 0
                         && next.runners().stream().anyMatch(other.runners()::contains)) {
-                    throw row.invalid("at", "possible: it befalls a dispatcher that another trouble holds by then");
+                    throw row.invalid("at", "possible: another trouble affects the same dispatcher at that time");
                 }
             }
             troubles.add(next);
         }
     }
 
+    /** Reads a plan file; keys that belong to an experiment are allowed and ignored. */
     public static Scenario read(Path file) {
         TomlTable table = TomlTable.read(file);
         Scenario scenario = new Scenario(table);
-        // an experiment's
+        // read by Experiment
         table.ignore("face", "repeats", "quick_repeats", "cpus", "expect", "version", "sweep");
         table.rejectUnknownKeys();
         return scenario;
     }
 
-    /** Guards against a day whose faults nothing would cause: there are no processes in simulated time. */
+    /** Rejects faults of processes and sockets, which would have no effect in a simulation. */
     public void requireSimulatable(String file) {
         troubles.stream().filter(Trouble::requiresSockets).findFirst().ifPresent(t -> {
             throw new InvalidInputException(
                     file + ": trouble.kind: " + t.kind().name().toLowerCase().replace('_', '-')
-                            + " can't be played in simulated time: it needs processes and sockets");
+                            + " can't be simulated: it needs processes and sockets");
         });
     }
 
-    /** What one dispatcher is told: the same as all, but for its number and its zone. */
+    /** The settings of one dispatcher: those of all dispatchers, with its own index and zone. */
     public DispatcherSettings dispatcherSettings(int dispatcher) {
         DispatcherSettings one = new DispatcherSettings();
         one.workloads.addAll(dispatcherSettings.workloads);
@@ -186,7 +191,7 @@
         return one;
     }
 
-    /** As the daemon reads its own table of this name. */
+    /** Reads the table {@code overload}, with the keys of the table of this name in the settings of the daemon. */
     private static OverloadSettings readOverload(TomlTable table) {
         OverloadSettings usual = OverloadSettings.DEFAULTS;
         OverloadSettings overloadSettings = new OverloadSettings(
@@ -206,7 +211,7 @@
         Workload w = new Workload();
         w.name = row.required("name");
         if (!w.name.matches("[A-Za-z0-9._~-]+")) {
-            throw row.invalid("name", "a name of letters, figures and . _ ~ -");
+            throw row.invalid("name", "a name of letters, digits and . _ ~ -");
         }
         w.targetLatency = row.duration("promised", Duration.ofMillis(400));
         w.latencyStretch = row.number("stretch", 2, 0, 1000);
@@ -229,10 +234,10 @@
         return names;
     }
 
-    /** The make of the runner of this number: makes go round by their shares. */
+    /** The type of the runner with this index; types are distributed over the fleet by their shares. */
     public RunnerType runnerType(int runner) {
         double all = runnerTypes.stream().mapToDouble(RunnerType::share).sum();
-        // spread evenly, whatever the fleet's size
+        // The golden ratio spreads the types evenly at any fleet size.
         double at = (runner + 0.5) * 0.6180339887498949 % 1 * all;
         for (RunnerType runnerType : runnerTypes) {
             at -= runnerType.share();
@@ -252,8 +257,8 @@
     }
 
     /**
-     * How long a client may stay at the most: all its tries, each with its patience, and the waits between. Before
-     * that a request without an answer is not lost.
+     * The longest time that a client can take: all its tries, each with the client timeout, and the delays between them.
+     * A request counts as unanswered only after this time.
      */
     public Duration maxClientTime() {
         int tries = traffic.retries() + 1;
@@ -264,7 +269,7 @@
         return each.multipliedBy(tries).plus(traffic.initialBackoff().multipliedBy(1L << Math.min(20, tries)));
     }
 
-    /** Seconds of work a second that the whole fleet does. */
+    /** Capacity of the whole fleet, in seconds of work per second. */
     public double capacity() {
         double all = 0;
         for (int i = 0; i < runnerCount; i++) {
@@ -273,7 +278,7 @@
         return all;
     }
 
-    /** Seconds of work of an assignment, on average. */
+    /** Mean work of an assignment over all workloads, in seconds. */
     public double meanWorkSeconds() {
         double share = workloads.stream().mapToDouble(PlannedWorkload::share).sum();
         return workloads.stream()
--- a/rig/src/main/java/saltdale/rig/plan/SizeDistribution.java
+++ b/rig/src/main/java/saltdale/rig/plan/SizeDistribution.java
@@ -8,9 +8,9 @@
 import org.apache.commons.math3.distribution.RealDistribution;
 import saltdale.model.Durations;
 
-/** How sizes are spread: the running time of an assignment on one free core of speed 1, in seconds. */
+/** Distribution of the size of assignments: the running time on one idle core of speed 1, in seconds. */
 public final class SizeDistribution {
-    /** The spreads that can be named. */
+    /** The distributions that a plan can name. */
     public enum Kind {
         CONSTANT,
         EXPONENTIAL,
@@ -22,12 +22,12 @@
     private final double mean;
     private final RealDistribution distribution;
 
-    /** {@code cv}: standard deviation over mean, of lognormal and Pareto. */
+    /** {@code cv} is the coefficient of variation; only the lognormal and Pareto distributions use it. */
     public SizeDistribution(Kind kind, Duration mean, double cv) {
         this.kind = kind;
         this.mean = Durations.seconds(mean);
         double logVariance = Math.log(1 + cv * cv);
-        double shape = 1 + Math.sqrt(1 + 1 / (cv * cv)); // gives this cv
+        double shape = 1 + Math.sqrt(1 + 1 / (cv * cv)); // the Pareto shape that has this coefficient of variation
         distribution = switch (kind) {
             case CONSTANT -> null;
             case EXPONENTIAL -> new ExponentialDistribution(null, this.mean);
@@ -41,7 +41,7 @@
         Kind kind = table.enumValue("kind", Kind.LOGNORMAL);
         Duration mean = table.duration("mean", Duration.ofMillis(40));
         if (mean.isZero()) {
-            throw table.invalid("mean", "a span over 0");
+            throw table.invalid("mean", "a duration over 0");
         }
         return new SizeDistribution(kind, mean, table.number("cv", 0.8, 0.01, 20));
     }
--- a/rig/src/main/java/saltdale/rig/plan/TomlTable.java
+++ b/rig/src/main/java/saltdale/rig/plan/TomlTable.java
@@ -22,7 +22,9 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** One table of a TOML file, read with checks: what nobody has read when the file is closed was not meant. */
+/**
+ * A table of a TOML file with checked access. Keys that were never read are rejected by {@link #rejectUnknownKeys()}.
+ */
 public final class TomlTable {
     private static final TomlMapper TOML = new TomlMapper();
     private static final Pattern DURATION = Pattern.compile("(\\d+(?:\\.\\d+)?)\\s*(us|ms|s|min|h)");
@@ -45,7 +47,7 @@
         return of(file.toString(), readText(file));
     }
 
-    /** The text of a file that a user has named. */
+    /** Reads a UTF-8 file that a user has named. */
     public static String readText(Path file) {
         try {
             return Files.readString(file);
@@ -61,13 +63,15 @@
             return new TomlTable(name, text.lines().toList(), "", TOML.readTree(text));
         } catch (JsonProcessingException e) {
             JsonLocation at = e.getLocation();
-            throw new InvalidInputException(name + (at == null ? "" : ": line " + at.getLineNr()) + ": is no TOML: "
+            throw new InvalidInputException(name + (at == null ? "" : ": line " + at.getLineNr()) + ": invalid TOML: "
                     + e.getOriginalMessage().lines().findFirst().orElse(""));
         }
     }
 
     /**
-     * The same file with one figure replaced, by its dotted path; rows of tables go by their number from 0.
+     * Returns a copy with one value replaced.
+     *
+     * @param figure dotted path of the value; the elements of an array of tables are numbered from 0
      */
     public TomlTable with(String figure, Object value) {
         ObjectNode root = node.deepCopy();
@@ -83,7 +87,7 @@
             at = next;
         }
         if (!(at instanceof ObjectNode table)) {
-            throw new InvalidInputException(file + ": sweep: " + figure + " names no figure of this file");
+            throw new InvalidInputException(file + ": sweep: " + figure + " is not the path of a value in this file");
         }
         table.set(segments[segments.length - 1], TOML.valueToTree(value));
         return new TomlTable(file, lines, path, root);
@@ -97,7 +101,7 @@
         return node.has(key);
     }
 
-    /** The table of this name; an empty one where there is none. */
+    /** The subtable of this name; empty if it is absent. */
     public TomlTable table(String key) {
         JsonNode found = read(key);
         if (found != null && !found.isObject()) {
@@ -108,6 +112,7 @@
         return part;
     }
 
+    /** The array of tables of this name; empty if it is absent. */
     public List<TomlTable> tables(String key) {
         JsonNode found = read(key);
         List<TomlTable> rows = new ArrayList<>();
@@ -129,7 +134,7 @@
         if (found == null) {
             return fallback;
         } else if (!found.isTextual()) {
-            throw invalid(key, found, "a text in quotes");
+            throw invalid(key, found, "a quoted string");
         }
         return found.textValue();
     }
@@ -137,7 +142,7 @@
     public String required(String key) {
         String text = string(key, null);
         if (text == null) {
-            throw missing(key, "a text in quotes");
+            throw missing(key, "a quoted string");
         }
         return text;
     }
@@ -193,7 +198,7 @@
         }
         Duration span = found.isTextual() ? parseDuration(found.textValue()) : null;
         if (span == null) {
-            throw invalid(key, found, "a span such as \"250ms\": a number with us, ms, s, min or h");
+            throw invalid(key, found, "a duration such as \"250ms\": a number with us, ms, s, min or h");
         }
         return span;
     }
@@ -220,12 +225,12 @@
         List<String> all = new ArrayList<>();
         found.forEach(each -> all.add(each.textValue()));
         if (!found.isArray() || all.contains(null)) {
-            throw invalid(key, found, "a list of texts in quotes");
+            throw invalid(key, found, "a list of quoted strings");
         }
         return all;
     }
 
-    /** The keys of this table, each with its list of plain values. */
+    /** All keys of this table, each with its list of scalar values. */
     public Map<String, List<Object>> valueLists() {
         Map<String, List<Object>> all = new TreeMap<>();
         node.fieldNames().forEachRemaining(key -> {
@@ -247,7 +252,7 @@
         return all;
     }
 
-    /** Reads a span; null where the text is none. */
+    /** Parses a duration such as {@code 250ms}; null if the text is not one. */
     public static Duration parseDuration(String text) {
         Matcher m = DURATION.matcher(text.strip());
         if (!m.matches()) {
@@ -263,24 +268,24 @@
         return Duration.ofNanos(Math.round(Double.parseDouble(m.group(1)) * nanos));
     }
 
-    /** These keys are somebody else's: neither read nor unknown. */
+    /** Marks keys as known that another reader of the file evaluates. */
     public void ignore(String... keys) {
         read.addAll(List.of(keys));
     }
 
-    /** All has been read: guards against a key that is misspelt and so silently has no effect. */
+    /** Rejects keys that were never read, so that a misspelt key does not silently have no effect. */
     public void rejectUnknownKeys() {
         node.fieldNames().forEachRemaining(key -> {
             if (!read.contains(key)) {
-                throw new InvalidInputException(location(key) + ": is no key that is known here"
-                        + (read.isEmpty() ? "" : "; known: " + String.join(", ", new TreeSet<>(read))));
+                throw new InvalidInputException(location(key) + ": unknown key"
+                        + (read.isEmpty() ? "" : "; known keys: " + String.join(", ", new TreeSet<>(read))));
             }
         });
         tables.forEach(TomlTable::rejectUnknownKeys);
     }
 
     public InvalidInputException missing(String key, String wanted) {
-        return new InvalidInputException(location(key) + ": is missing; wanted: " + wanted);
+        return new InvalidInputException(location(key) + ": missing; expected " + wanted);
     }
 
     public InvalidInputException invalid(String key, String wanted) {
@@ -301,7 +306,7 @@
         return file + (line == 0 ? "" : ": line " + line) + ": " + path + key;
     }
 
-    /** The line on which the key stands, by its table's header and its name; 0 where that can't be told. */
+    /** The line of the key, found by the header of its table and its name; 0 if it is not found. */
     private int line(String key) {
         String[] segments = path.isEmpty()
                 ? new String[0]
--- a/rig/src/main/java/saltdale/rig/plan/Traffic.java
+++ b/rig/src/main/java/saltdale/rig/plan/Traffic.java
@@ -4,22 +4,26 @@
 import java.util.List;
 
 /**
- * What clients send and how they behave. {@code rate} is first tries a second on average.
+ * The load that clients generate and their behaviour.
  *
- * @param utilisation where over 0, the rate is this share of what the fleet can do
- * @param swing of a shape: 0 is flat, 1 goes from nothing to twice the mean
- * @param period of a burst, swell or day
- * @param trace a file of recorded arrivals in place of the shape; null for none
- * @param retries further tries of a client after a failure
- * @param firstWait before the first further try; doubles with each
- * @param jitter share of the wait that is drawn at random
- * @param budget further tries may be this share of first tries at the most, over all clients; 1 means no
- *     bound
- * @param leave share of tries whose client goes away halfway through its patience
- * @param clients connections that stay open where there is nothing to do; 0: as many as needed
- * @param marks whether clients mark their repeats
- * @param heavy of the first dispatcher, so many times as much as of each other
- * @param peak null where there is none
+ * @param shape the shape of the rate over time
+ * @param rate mean number of first tries per second
+ * @param utilisation if over 0, the rate is computed as this share of the capacity of the fleet
+ * @param swing amplitude of the shape: 0 is constant, 1 varies from nothing to twice the mean
+ * @param period period of a burst or swell, and the time of a step
+ * @param trace file of recorded arrivals that replaces the shape; null for none
+ * @param scale factor for the number of arrivals of the trace
+ * @param splice sections of the trace to use and their new start times; empty for the whole trace
+ * @param retries maximum number of retries of a client after a failure
+ * @param initialBackoff delay before the first retry; doubles with each further one
+ * @param jitter share of the delay that is random
+ * @param retryBudget maximum ratio of retries to first tries over all clients; 1 means no limit
+ * @param honoursRetryAfter whether clients wait at least as long as {@code Retry-After} asks for
+ * @param abandonShare share of first tries whose client disconnects after half of its timeout
+ * @param clients number of connections that stay open when idle; 0: as many as needed
+ * @param marksRetries whether clients mark their retries
+ * @param firstDispatcherWeight requests to the first dispatcher relative to each other dispatcher
+ * @param peak load peak; null for none
  */
 public record Traffic(
         Shape shape,
@@ -40,7 +44,7 @@
         boolean marksRetries,
         int firstDispatcherWeight,
         Peak peak) {
-    /** How the rate goes over time. */
+    /** The shape of the request rate over time. */
     public enum Shape {
         STEADY,
         BURST,
@@ -51,7 +55,7 @@
 
     static Traffic read(TomlTable table) {
         if (table.has("rate") && table.has("utilisation")) {
-            throw table.invalid("rate", "wanted beside utilisation; give one of the two");
+            throw table.invalid("rate", "allowed together with utilisation; give one of the two");
         }
         return new Traffic(
                 table.enumValue("shape", Shape.STEADY),
--- a/rig/src/main/java/saltdale/rig/plan/Trouble.java
+++ b/rig/src/main/java/saltdale/rig/plan/Trouble.java
@@ -8,13 +8,16 @@
 import java.util.stream.IntStream;
 
 /**
- * What goes wrong, from when, for how long, and where.
+ * A fault that a scenario injects.
  *
- * @param runners by their number in the fleet; of a dispatcher's trouble, dispatchers by theirs
- * @param size what the kind says it is
- * @param extra likewise
- * @param dispatchers of a way's trouble: whose ways to these runners, or to the list
- * @param list whether the way is that to the list
+ * @param kind what fails
+ * @param at start, since the start of the scenario
+ * @param length duration
+ * @param runners indexes of the affected runners; for a fault of dispatcher processes, indexes of dispatchers
+ * @param size parameter whose meaning depends on the kind
+ * @param extra second parameter whose meaning depends on the kind
+ * @param dispatchers for a fault of network paths: the dispatchers whose paths to the runners or the list are affected
+ * @param runnerList whether the affected path is the one to the runner list
  */
 public record Trouble(
         Kind kind,
@@ -25,67 +28,70 @@
         double extra,
         List<Integer> dispatchers,
         boolean runnerList) {
-    /** The kinds, and what {@code size} and {@code extra} are for each. */
+    /** The kinds of faults, with the meaning of {@code size} and {@code extra} for each. */
     public enum Kind {
-        /** So many times slower. */
+        /** The runner is slower by the factor {@code size}. */
         SLOW(4, 1, 1000, 0),
-        /** Does nothing at all, and says nothing of it. */
+        /** The runner hangs: it makes no progress and reports no error. */
         STALL(0, 0, 0, 0),
-        /** Fails this share quickly. */
+        /** The runner quickly fails the share {@code size} of its assignments. */
         ERRORS(1, 0, 1, 0),
-        /** This share runs, and is told as turned away; only where that proves nothing. */
+        /**
+         * The share {@code size} of assignments runs but is reported as rejected; only allowed where a rejection does
+         * not prove that nothing ran.
+         */
         LATE_SHED(0.2, 0, 1, 0),
-        /** Jobs cost so many times the work; extra: the share of jobs. */
+        /** Assignments cost {@code size} times the work; extra: the share of assignments. */
         DEARER(10, 1, 1000, 0.02),
-        /** The process dies, its connections are reset; it comes back cold when the time is over. */
+        /** The runner process dies and its connections are reset; it restarts cold at the end of the fault. */
         CRASH(0, 0, 0, 0),
-        /** The machine falls silent, open connections stay; it comes back cold. */
+        /** The machine stops responding while connections stay open; it restarts cold. */
         VANISH(0, 0, 0, 0),
-        /** Drains for this long and is gone then; size 1: comes back cold after as long again. */
+        /** The runner drains for the length of the fault and then ends; size 1: it restarts cold after the same time. */
         DRAIN(0, 0, 1, 0),
-        /** As drain, and hands back what has not begun. */
+        /** As {@link #DRAIN}, and the runner returns assignments that have not started. */
         HAND_BACK(0, 0, 1, 0),
-        /** The zone (size, by number) is cut off from the others. */
+        /** The zone with the index {@code size} is partitioned from the others. */
         ZONE_CUT(0, 0, 1000, 0),
-        /** Load reports are so many seconds older. */
+        /** Load reports are older by {@code size} seconds. */
         LATE_REPORTS(1, 0, 60, 0),
-        /** Load reports tell so many times the load. */
+        /** Load reports state {@code size} times the load. */
         WRONG_REPORTS(0, 0, 1000, 0),
-        /** Another program takes this share of the cores; extra: seconds on and off, 0 for always. */
+        /** Another program uses the share {@code size} of the cores; extra: seconds on and off, 0 for always. */
         NEIGHBOUR(0.5, 0, 1, 0),
-        /** Answers are cut off at byte {@code size}. */
+        /** Responses are truncated at byte {@code size}. */
         CUT_ANSWERS(20, 0, 65536, 0),
-        /** Answers come byte by byte, {@code size} ms apart. */
+        /** Responses arrive byte by byte, {@code size} ms apart. */
         DRIP_ANSWERS(1, 0, 1000, 0),
-        /** Call-backs come before the 202. */
+        /** Callbacks arrive before the 202 response. */
         EARLY_NEWS(0, 0, 0, 0),
-        /** Call-backs come twice. */
+        /** Callbacks are sent twice. */
         TWICE_NEWS(0, 0, 0, 0),
-        /** Call-backs of a job come in the wrong order. */
+        /** Callbacks of an assignment arrive in the wrong order. */
         SHUFFLED_NEWS(0, 0, 0, 0),
-        /** Call-backs never come. */
+        /** Callbacks are never sent. */
         NO_NEWS(0, 0, 0, 0),
-        /** A dispatcher (the numbers are theirs) is killed and starts again when the time is over. */
+        /** A dispatcher process is killed and restarted at the end of the fault. */
         DISPATCHER_KILL(0, 0, 0, 0),
-        /** The list falls silent. */
+        /** The runner list stops responding. */
         LIST_SILENT(0, 0, 0, 0),
-        /** A dispatcher's process is stopped, and goes on when the time is over; sockets only, as all that follow. */
+        /** A dispatcher process is paused until the end of the fault; this and all later kinds need sockets. */
         DISPATCHER_STOP(0, 0, 0, 0),
-        /** A dispatcher's process is stopped for this share of short turns; extra: seconds of a turn. */
+        /** A dispatcher process is paused for the share {@code size} of each period; extra: the period in seconds. */
         DISPATCHER_SLOW(0.5, 0.01, 0.95, 0.1),
-        /** A dispatcher is told to end, in order, and is started again when the time is over. */
+        /** A dispatcher shuts down orderly and is restarted at the end of the fault. */
         DISPATCHER_RESTART(0, 0, 0, 0),
-        /** What is open on a way is reset, and what comes is refused. */
+        /** Open connections on a network path are reset and new ones are refused. */
         WAY_RESET(0, 0, 0, 0),
-        /** Nothing passes a way, and nothing tells of it. */
+        /** A network path drops all traffic silently. */
         WAY_SILENT(0, 0, 0, 0),
-        /** Nothing passes one way: size 0: to the runner, 1: from the runner. */
+        /** A network path drops traffic in one direction; size 0: to the runner, 1: from the runner. */
         WAY_ONE_SIDED(0, 0, 1, 0),
-        /** All takes so many ms longer; extra: with so much jitter, as a share. */
+        /** A network path adds {@code size} ms of latency; extra: jitter as a share of it. */
         WAY_LATE(50, 0, 60_000, 0.5),
-        /** So many bytes a second pass, each way. */
+        /** A network path carries at most {@code size} bytes per second in each direction. */
         WAY_SLOW(1000, 1, 1e9, 0),
-        /** Silent for this share of turns; extra: seconds of a turn. */
+        /** A network path drops all traffic for the share {@code size} of each period; extra: the period in seconds. */
         WAY_FLAPS(0.5, 0.01, 0.99, 1);
 
         public final double size;
@@ -100,12 +106,12 @@
             this.extra = extra;
         }
 
-        /** Whether it befalls dispatchers' processes. */
+        /** Whether this kind affects dispatcher processes. */
         boolean isProcessFault() {
             return this == DISPATCHER_KILL || compareTo(DISPATCHER_STOP) >= 0 && compareTo(DISPATCHER_RESTART) <= 0;
         }
 
-        /** Whether it befalls ways between dispatchers and runners, or the list. */
+        /** Whether this kind affects network paths between dispatchers and runners or the runner list. */
         boolean isPathFault() {
             return compareTo(WAY_RESET) >= 0;
         }
@@ -115,7 +121,7 @@
         return at.plus(length);
     }
 
-    /** Whether it disturbs the wire to this runner rather than the runner. */
+    /** Whether this fault changes the messages of a runner rather than the runner itself. */
     public boolean isWireFault() {
         return kind.compareTo(Kind.CUT_ANSWERS) >= 0 && kind.compareTo(Kind.NO_NEWS) <= 0;
     }
@@ -128,12 +134,12 @@
         return kind.isPathFault();
     }
 
-    /** Whether it can be played only where there are processes and sockets. */
+    /** Whether this fault needs processes and sockets, so that it can't be simulated. */
     public boolean requiresSockets() {
         return kind.compareTo(Kind.DISPATCHER_STOP) >= 0;
     }
 
-    /** Whether it befalls the way between these two. */
+    /** Whether this fault affects the network path between this runner and this dispatcher. */
     public boolean affectsPath(int runner, int dispatcher) {
         return isPathFault() && !runnerList && runners.contains(runner) && dispatchers.contains(dispatcher);
     }
@@ -152,18 +158,18 @@
         }
         double part = table.number("part", 0, 0, 1);
         if (table.has("part") && table.has("runners")) {
-            throw table.invalid("part", "wanted beside runners; give one of the two");
+            throw table.invalid("part", "allowed together with runners; give one of the two");
         }
         boolean runnerList = onPath && table.bool("list", false);
         String zone = onPath ? table.string("zone", null) : null;
         if (runnerList && (table.has("runners") || table.has("part") || zone != null)) {
-            throw table.invalid("list", "wanted beside runners, part or zone; give one of them");
+            throw table.invalid("list", "allowed together with runners, part or zone; give one of them");
         } else if (runnerList && kind != Kind.WAY_RESET && kind != Kind.WAY_SILENT && kind != Kind.WAY_FLAPS) {
             throw table.invalid("list", "possible with this kind; way-reset, way-silent and way-flaps are");
         } else if (zone != null && !zones.contains(zone)) {
             throw table.invalid("zone", "one of the fleet's zones, " + String.join(", ", zones));
         } else if (zone != null && (table.has("runners") || table.has("part"))) {
-            throw table.invalid("zone", "wanted beside runners or part; give one of them");
+            throw table.invalid("zone", "allowed together with runners or part; give one of them");
         }
         List<Integer> pathDispatchers = onPath ? table.integers("dispatchers") : List.of();
         for (int each : pathDispatchers) {
--- a/rig/src/main/java/saltdale/rig/report/Report.java
+++ b/rig/src/main/java/saltdale/rig/report/Report.java
@@ -20,16 +20,16 @@
 import org.knowm.xchart.style.Styler.LegendPosition;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** One page of HTML with its plots inside, to be opened without a network. */
+/** The report of an experiment: a self-contained HTML page with embedded plots. */
 public final class Report {
-    private static final int MAX_PLOTTED_RUNNERS = 12; // drawn one by one
-    private static final int MAX_PLOTTED_RUNS = 6; // runs with plots of their own: a sweep's page would not open
+    private static final int MAX_PLOTTED_RUNNERS = 12; // each has its own line
+    private static final int MAX_PLOTTED_RUNS = 6; // more plots, as of a sweep, make the page too large to open
     private static final double OVERLOAD_THRESHOLD = 0.99;
     private static final Pattern LOAD_PATTERN = Pattern.compile("load\\.utilisation=([0-9.]+)");
 
     private Report() {}
 
-    /** The page of an experiment's results, as results.json has them. */
+    /** Renders the results of an experiment, in the format of results.json. */
     public static String of(JsonNode results) throws IOException {
         String name = results.path("name").asText();
         StringBuilder page = new StringBuilder();
@@ -50,7 +50,7 @@
             }
         }
         if (drawn > MAX_PLOTTED_RUNS) {
-            page.append("<p>").append(drawn - MAX_PLOTTED_RUNS).append(" more runs stand in results.json.</p>");
+            page.append("<p>").append(drawn - MAX_PLOTTED_RUNS).append(" more runs are in results.json.</p>");
         }
         return page.append("</body></html>\n").toString();
     }
@@ -77,10 +77,11 @@
         page.append("</table>");
     }
 
-    /** Where more was asked for than could be had, or a peak was played: what that did. */
+    /** Renders the overload figures, if the load exceeded the capacity or had a peak. */
     private static void overload(StringBuilder page, JsonNode runs) throws IOException {
         boolean any = false;
-        Map<String, Map<Double, List<Double>>> byLoad = new LinkedHashMap<>(); // worth in time, by version and load
+        Map<String, Map<Double, List<Double>>> byLoad =
+                new LinkedHashMap<>(); // importance served in time, by version and load
         for (JsonNode run : runs) {
             JsonNode f = run.path("figures");
             any |= f.path("could_be_had").asDouble(1) < OVERLOAD_THRESHOLD || f.has("in_peak");
@@ -185,7 +186,7 @@
         reportAccuracy(page, series.path("runners"));
     }
 
-    /** The runner whose reports lay furthest from the truth. */
+    /** Plots the runner whose load reports deviated most from its actual load. */
     private static void reportAccuracy(StringBuilder page, JsonNode runners) throws IOException {
         int worst = -1;
         double most = -1;
@@ -204,14 +205,14 @@
             }
         }
         if (worst >= 0) {
-            XYChart chart = chart("What r" + worst + " held, beside what it had last told", "s", "assignments");
+            XYChart chart = chart("Actual and last reported load of r" + worst, "s", "assignments");
             add(chart, "held", runners.get(worst), 1, 0);
             add(chart, "told", runners.get(worst), 2, 0);
             draw(page, chart);
         }
     }
 
-    /** A line of samples, each an array that begins with its time; the value stands in this column. */
+    /** Adds a line of samples, each an array whose first element is the time; {@code column} is the index of the value. */
     private static void add(XYChart chart, String name, JsonNode samples, int column, double least) {
         List<Double> x = new ArrayList<>();
         List<Double> y = new ArrayList<>();
--- a/rig/src/test/java/saltdale/rig/experiment/ExpectationTest.java
+++ b/rig/src/test/java/saltdale/rig/experiment/ExpectationTest.java
@@ -26,13 +26,13 @@
     }
 
     @Test
-    void aFigureThatThereIsNotFailsAndABadLineIsRefused() {
+    void anUnknownFigureFailsAndAnInvalidLineIsRejected() {
         assertFalse(isMet("servise >= 0"));
         assertThrows(InvalidInputException.class, () -> isMet("service is good"));
     }
 
     @Test
-    void theIntervalHoldsTheMeanAndTightensWithTheSpread() {
+    void theIntervalContainsTheMeanAndNarrowsWithTheVariance() {
         Bootstrap wide = Bootstrap.of(new double[] {1, 2, 3, 4, 5}, 1);
         Bootstrap narrow = Bootstrap.of(new double[] {2.9, 3, 3.1, 3, 3}, 1);
         assertEquals(3, wide.mean(), 1e-9);
--- a/rig/src/test/java/saltdale/rig/load/GeneratorTest.java
+++ b/rig/src/test/java/saltdale/rig/load/GeneratorTest.java
@@ -18,7 +18,7 @@
 class GeneratorTest {
     @Test
     @Timeout(20)
-    void starvedOfItsCoreItVoidsTheRunAndSaysByHowMuch() throws IOException {
+    void aBlockedLoopThreadVoidsTheRunAndReportsTheLag() throws IOException {
         Scenario scenario = new Scenario(TomlTable.of(
                 "day",
                 "length = \"400ms\"\nwarm_up = \"0s\"\n[load]\nrate = 100\n"
@@ -38,7 +38,7 @@
             loopThread.inside(() -> {
                 generator.start(new Arrivals(scenario.traffic, scenario.workloads, scenario.length, 1));
                 while (origin.now().compareTo(Duration.ofMillis(500)) < 0) {
-                    Thread.onSpinWait(); // another program has its core until all has been due
+                    Thread.onSpinWait(); // blocks the loop until all requests have been due
                 }
             });
             while (!generator.isOver()) {
--- a/rig/src/test/java/saltdale/rig/load/LoadTest.java
+++ b/rig/src/test/java/saltdale/rig/load/LoadTest.java
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void steadyArrivalsComeAtTheirRateWithGapsThatAreExponential() {
+    void steadyArrivalsHaveTheirRateAndExponentialGaps() {
         List<ClientRequest> all = requests(Traffic.steady(200));
         assertEquals(20_000, all.size(), 500);
         double squares = 0;
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void eachShapeKeepsTheMeanRateOfItsDay() {
+    void eachShapeKeepsTheMeanRate() {
         for (Shape shape : Shape.values()) {
             List<ClientRequest> all = requests(
                     Traffic.steady(100).withShape(shape, 0.8, Duration.ofSeconds(shape == Shape.STEP ? 50 : 10)));
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void aBurstComesInItsFifthOfThePeriod() {
+    void aBurstTakesAFifthOfThePeriod() {
         List<ClientRequest> all = requests(Traffic.steady(100).withShape(Shape.BURST, 1, Duration.ofSeconds(10)));
         long within = all.stream()
                 .filter(a -> a.intendedAt().toMillis() % 10_000 < 2000)
@@ -76,7 +76,7 @@
     }
 
     @Test
-    void aTraceIsReadInBothFormsScaledAndSpliced() {
+    void tracesAreReadInBothFormatsScaledAndSpliced() {
         Trace csv = Trace.of("t.csv", "at,workload,size\n0.5,w,0.02\n1.5,w,0.04\n2.5,w,0.01\n");
         Trace json = Trace.of(
                 "t.jsonl",
@@ -97,9 +97,9 @@
     }
 
     @Test
-    void aBadTraceNamesItsLine() {
+    void anInvalidTraceIsReportedWithItsLine() {
         assertEquals(
-                "t: line 2: wanted: at,workload,size with seconds, a name, seconds",
+                "t: line 2: expected at,workload,size with seconds, a name, seconds",
                 assertThrows(InvalidInputException.class, () -> Trace.of("t", "0.5,w,0.02\n0.6;w\n"))
                         .getMessage());
         assertThrows(InvalidInputException.class, () -> Trace.of("t", "{\"at\":1}\n"));
@@ -110,7 +110,7 @@
     }
 
     @Test
-    void clientsTryAgainOnlyWhereItIsHarmlessAndWithinTheirBudget() {
+    void clientsRetryOnlyWhereItIsSafeAndAtMostTheMaximum() {
         ClientRetryPolicy retryPolicy =
                 new ClientRetryPolicy(Traffic.steady(1).withRetries(2, ms(50), 1), new SplittableRandom(1));
         assertNull(retryPolicy.nextDelay(workload, 1, FinalAnswer.FULFILLED, null, ms(0), ms(0)));
@@ -130,22 +130,21 @@
     }
 
     @Test
-    void theBudgetBoundsFurtherTriesOverAllClients() {
+    void theRetryBudgetLimitsRetriesOverAllClients() {
         ClientRetryPolicy retryPolicy =
                 new ClientRetryPolicy(Traffic.steady(1).withRetries(9, ms(5), 0.1), new SplittableRandom(1));
-        int further = 0;
+        int retries = 0;
         for (int i = 0; i < 1000; i++) {
             retryPolicy.recordFirstTry();
-            further += retryPolicy.nextDelay(workload, 1, FinalAnswer.SHED, null, ms(0), ms(0)) == null ? 0 : 1;
+            retries += retryPolicy.nextDelay(workload, 1, FinalAnswer.SHED, null, ms(0), ms(0)) == null ? 0 : 1;
         }
-        assertEquals(110, further, 1); // ten free ones, then one in ten
+        assertEquals(110, retries, 1); // the initial credit of ten, then one in ten
     }
 
     @Test
-    void aStallIsCountedFromIntendedTimes() {
+    void latenciesDuringAStallCountFromIntendedTimes() {
         RequestStatistics statistics = new RequestStatistics(workloads, Duration.ZERO);
-        // One ask each 10 ms, each served in 1 ms, but for a stall from 1 s to 2 s: all of it is answered at
-        // 2 s.
+        // A request every 10 ms, each served in 1 ms, except during a stall from 1 s to 2 s: those are answered at 2 s.
         for (int i = 0; i < 300; i++) {
             Duration at = ms(10L * i);
             boolean stalled = at.compareTo(ms(1000)) >= 0 && at.compareTo(ms(2000)) < 0;
@@ -156,7 +155,7 @@
                     1,
                     false);
         }
-        // By hand: a third waits 10, 20, ... 1000 ms; 200 take 1 ms.
+        // Expected: a third takes 10, 20, ... 1000 ms; the other 200 take 1 ms.
         assertEquals(1000, statistics.figures().get("max_ms"), 1);
         assertEquals(700, statistics.latency().getValueAtPercentile(90) / 1e3, 11);
         assertEquals(1, statistics.figures().get("p50_ms"), 0.01);
--- a/rig/src/test/java/saltdale/rig/plan/TomlTableTest.java
+++ b/rig/src/test/java/saltdale/rig/plan/TomlTableTest.java
@@ -21,15 +21,15 @@
     }
 
     @Test
-    void aKeyThatNobodyReadsIsNamedWithItsLine() {
+    void anUnknownKeyIsReportedWithItsLine() {
         assertTrue(errorOf("[fleet]\nrunners = 3\nrunner = 4\n" + WORKLOAD)
-                .startsWith("f.toml: line 3: fleet.runner: is no key that is known here; known: cells"));
+                .startsWith("f.toml: line 3: fleet.runner: unknown key; known keys: cells"));
     }
 
     @Test
-    void aWrongUnitTypeOrWordSaysWhatIsWanted() {
+    void anInvalidUnitTypeOrEnumValueReportsWhatIsExpected() {
         assertEquals(
-                "f.toml: line 1: length: \"5 parsecs\" is not a span such as \"250ms\": a number with us, ms, s, "
+                "f.toml: line 1: length: \"5 parsecs\" is not a duration such as \"250ms\": a number with us, ms, s, "
                         + "min or h",
                 errorOf("length = \"5 parsecs\"\n" + WORKLOAD));
         assertEquals(
@@ -39,18 +39,18 @@
                 "f.toml: line 3: workload.0.repeat: \"sometimes\" is not one of pure, receipted, effectful",
                 errorOf(WORKLOAD + "repeat = \"sometimes\"\n"));
         assertEquals(
-                "f.toml: line 3: trouble.0.kind: is missing; wanted: a text in quotes",
+                "f.toml: line 3: trouble.0.kind: missing; expected a quoted string",
                 errorOf(WORKLOAD + "[[trouble]]\nat = \"1s\"\n")
                         .replace("trouble.0.kind", "trouble.0.kind")
                         .replaceFirst("f.toml: trouble", "f.toml: line 3: trouble"));
     }
 
     @Test
-    void faultsThatCannotBeAreNamedWithFileAndKey() {
+    void impossibleFaultsAreReportedWithFileAndKey() {
         String stop = "[[trouble]]\nkind = \"dispatcher-stop\"\nat = \"1s\"\nlength = \"2s\"\nrunners = [0]\n";
         assertEquals(
-                "f.toml: line 11: trouble.1.at: \"3s\" is not possible: it befalls a dispatcher that another "
-                        + "trouble holds by then",
+                "f.toml: line 11: trouble.1.at: \"3s\" is not possible: another trouble affects the same "
+                        + "dispatcher at that time",
                 errorOf(WORKLOAD + stop + "[[trouble]]\nkind = \"dispatcher-kill\"\n" + "runners = [0]\nat = \"3s\"\n")
                         .replaceFirst("line \\d+", "line 11"));
         String way = "[[trouble]]\nkind = \"way-late\"\n";
@@ -62,8 +62,7 @@
         assertTrue(errorOf(WORKLOAD + way + "zone = \"a\"\nrunners = [0]\n").endsWith("give one of them"));
         assertTrue(errorOf(WORKLOAD + way + "dispatchers = [2]\n").endsWith("a list of numbers from 0 to 1"));
         assertEquals(
-                "f.toml: trouble.kind: dispatcher-stop can't be played in simulated time: it needs processes and "
-                        + "sockets",
+                "f.toml: trouble.kind: dispatcher-stop can't be simulated: it needs processes and " + "sockets",
                 assertThrows(
                                 InvalidInputException.class,
                                 () -> new Scenario(TomlTable.of("f.toml", WORKLOAD + stop))
@@ -72,12 +71,12 @@
     }
 
     @Test
-    void whatIsNoTomlNamesTheLine() {
-        assertTrue(errorOf("length = \"5s\"\n[fleet\n").startsWith("f.toml: line 2: is no TOML: "));
+    void invalidTomlIsReportedWithItsLine() {
+        assertTrue(errorOf("length = \"5s\"\n[fleet\n").startsWith("f.toml: line 2: invalid TOML: "));
     }
 
     @Test
-    void aSweepReplacesAFigureAnywhere() {
+    void withReplacesAValueAtAnyDepth() {
         TomlTable table = TomlTable.of("f.toml", "[load]\nrate = 5\n" + WORKLOAD);
         assertEquals(9, new Scenario(table.with("load.rate", 9)).traffic.rate());
         assertEquals(
@@ -91,7 +90,7 @@
     }
 
     @Test
-    void theRateFollowsFromTheUtilisation() {
+    void theRateIsComputedFromTheUtilisation() {
         Scenario scenario = new Scenario(TomlTable.of(
                 "f.toml",
                 "[fleet]\nrunners = 4\n[[fleet.make]]\ncores = 2\n[load]\n" + "utilisation = 0.5\n" + WORKLOAD
