--- a/rig/src/main/java/saltdale/rig/experiment/DispatcherProcesses.java
+++ b/rig/src/main/java/saltdale/rig/experiment/DispatcherProcesses.java
@@ -35,7 +35,7 @@
     private static final Duration STOP_TIMEOUT = Duration.ofSeconds(6);
     private static final double CLOCK_TICKS_PER_SECOND = 100; // unit of the CPU times in /proc
 
-    private static final class Member {
+    private static final class Dispatcher {
         volatile Process process;
         volatile boolean expectedToExit;
         volatile boolean paused;
@@ -50,7 +50,7 @@
     private final Origin origin;
     private final EventObserver observer;
     private final String cpus;
-    private final List<Member> members = new ArrayList<>();
+    private final List<Dispatcher> dispatchers = new ArrayList<>();
     private volatile boolean closing;
     // Stops the dispatchers when the rig is terminated.
     private final Thread shutdownHook = new Thread(this::destroy, "dispatcher shutdown");
@@ -72,13 +72,14 @@
         this.observer = observer;
         this.cpus = cpus;
         for (int i = 0; i < scenario.dispatcherCount; i++) {
-            members.add(new Member());
+            dispatchers.add(new Dispatcher());
         }
     }
 
+    /** The listen addresses of the dispatchers by index. */
     public List<InetSocketAddress> addresses() {
         List<InetSocketAddress> all = new ArrayList<>();
-        for (int i = 0; i < members.size(); i++) {
+        for (int i = 0; i < dispatchers.size(); i++) {
             all.add(loopback.dispatcher(i));
         }
         return all;
@@ -87,17 +88,17 @@
     /** Starts all dispatchers and waits until each one reports that it is up. */
     public void startAll() throws IOException {
         Runtime.getRuntime().addShutdownHook(shutdownHook);
-        for (int i = 0; i < members.size(); i++) {
+        for (int i = 0; i < dispatchers.size(); i++) {
             Files.writeString(directory.resolve("config-" + i + ".json"), configuration(scenario, i));
             start(i);
         }
         long end = System.nanoTime() + START_TIMEOUT.toNanos();
-        for (int i = 0; i < members.size(); i++) {
+        for (int i = 0; i < dispatchers.size(); i++) {
             while (!isUp(i)) {
-                if (!members.get(i).process.isAlive()) {
+                if (!dispatchers.get(i).process.isAlive()) {
                     throw new IOException("dispatcher " + i + " of " + version.name()
                             + " exited during its start with status "
-                            + members.get(i).process.exitValue() + ": " + lastLine(i));
+                            + dispatchers.get(i).process.exitValue() + ": " + lastLine(i));
                 } else if (System.nanoTime() > end) {
                     throw new IOException("dispatcher " + i + " of " + version.name()
                             + " did not start within "
@@ -139,7 +140,7 @@
                         LoopbackAddresses.text(loopback.list(i)),
                         "EDGE_CONFIG",
                         directory.resolve("config-" + i + ".json").toString()));
-        members.get(i).process = builder.start();
+        dispatchers.get(i).process = builder.start();
     }
 
     private boolean isUp(int i) {
@@ -172,13 +173,13 @@
 
     /** Kills a dispatcher with SIGKILL. */
     public void kill(int i) {
-        Member member = members.get(i);
-        member.expectedToExit = true;
-        member.cpuOfEarlierProcesses += cpuSeconds(member.process);
+        Dispatcher dispatcher = dispatchers.get(i);
+        dispatcher.expectedToExit = true;
+        dispatcher.cpuOfEarlierProcesses += cpuSeconds(dispatcher.process);
         observer.dispatcherKilled(origin.now(), i);
-        member.process.destroyForcibly();
+        dispatcher.process.destroyForcibly();
         try {
-            member.process.waitFor(5, TimeUnit.SECONDS);
+            dispatcher.process.waitFor(5, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -188,34 +189,34 @@
 
     /** Asks a dispatcher to shut down with SIGTERM. */
     public void shutDown(int i) {
-        Member member = members.get(i);
-        member.expectedToExit = true;
-        member.process.destroy();
+        Dispatcher dispatcher = dispatchers.get(i);
+        dispatcher.expectedToExit = true;
+        dispatcher.process.destroy();
     }
 
     /** Pauses processes with SIGSTOP; the judge treats each as paused from before the signal. */
-    public void pause(List<Integer> which) {
-        which.forEach(i -> {
-            members.get(i).paused = true;
+    public void pause(List<Integer> indexes) {
+        indexes.forEach(i -> {
+            dispatchers.get(i).paused = true;
             observer.dispatcherPaused(origin.now(), i);
         });
-        signal("STOP", which);
+        signal("STOP", indexes);
     }
 
     /** Resumes paused processes with SIGCONT. */
-    public void resume(List<Integer> which) {
-        signal("CONT", which);
-        which.forEach(i -> {
-            members.get(i).paused = false;
+    public void resume(List<Integer> indexes) {
+        signal("CONT", indexes);
+        indexes.forEach(i -> {
+            dispatchers.get(i).paused = false;
             observer.dispatcherResumed(origin.now(), i);
         });
     }
 
     /** Sends a signal to dispatcher processes by their process ids. */
-    private void signal(String name, List<Integer> which) {
+    private void signal(String name, List<Integer> indexes) {
         List<String> command = new ArrayList<>(List.of("kill", "-" + name));
-        which.stream()
-                .map(i -> members.get(i).process)
+        indexes.stream()
+                .map(i -> dispatchers.get(i).process)
                 .filter(Process::isAlive)
                 .forEach(process -> command.add(Long.toString(process.pid())));
         if (command.size() == 2) {
@@ -237,14 +238,14 @@
      * Restarts a dispatcher. One that is still shutting down gets some time to exit before it is killed, as on a platform.
      */
     public void restart(int i) {
-        Member member = members.get(i);
+        Dispatcher dispatcher = dispatchers.get(i);
         try {
             if (!closing) {
-                if (!member.process.waitFor(STOP_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)) {
+                if (!dispatcher.process.waitFor(STOP_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)) {
                     LOG.warn("dispatcher {} did not exit within {} s; killing it", i, STOP_TIMEOUT.toSeconds());
                     kill(i);
                 }
-                member.expectedToExit = false;
+                dispatcher.expectedToExit = false;
                 start(i);
             }
         } catch (InterruptedException e) {
@@ -256,19 +257,19 @@
 
     /** Starts the measurement of CPU time. */
     public void resetCpu() {
-        for (Member member : members) {
-            member.cpuAtReset = cpuSeconds(member.process);
-            member.cpuOfEarlierProcesses = 0;
+        for (Dispatcher dispatcher : dispatchers) {
+            dispatcher.cpuAtReset = cpuSeconds(dispatcher.process);
+            dispatcher.cpuOfEarlierProcesses = 0;
         }
     }
 
     /** CPU time of all dispatchers since {@link #resetCpu()}, in seconds. */
     public double cpuSeconds() {
         double all = 0;
-        for (Member member : members) {
-            all += member.cpuOfEarlierProcesses
-                    + cpuSeconds(member.process)
-                    - (member.cpuOfEarlierProcesses == 0 ? member.cpuAtReset : 0);
+        for (Dispatcher dispatcher : dispatchers) {
+            all += dispatcher.cpuOfEarlierProcesses
+                    + cpuSeconds(dispatcher.process)
+                    - (dispatcher.cpuOfEarlierProcesses == 0 ? dispatcher.cpuAtReset : 0);
         }
         return all;
     }
@@ -286,9 +287,9 @@
     /** The largest peak resident memory of a dispatcher, in MiB. */
     public double maxMemoryMb() {
         double most = 0;
-        for (Member member : members) {
+        for (Dispatcher dispatcher : dispatchers) {
             try {
-                for (String line : Files.readAllLines(Path.of("/proc/" + member.process.pid() + "/status"))) {
+                for (String line : Files.readAllLines(Path.of("/proc/" + dispatcher.process.pid() + "/status"))) {
                     if (line.startsWith("VmHWM:")) {
                         most = Math.max(most, Double.parseDouble(line.replaceAll("[^0-9]", "")) / 1024);
                     }
@@ -300,15 +301,16 @@
         return most;
     }
 
+    /** The process id of a dispatcher. */
     public long pid(int i) {
-        return members.get(i).process.pid();
+        return dispatchers.get(i).process.pid();
     }
 
     /** The dispatchers that exited unexpectedly. */
     public List<Integer> crashed() {
         List<Integer> all = new ArrayList<>();
-        for (int i = 0; i < members.size(); i++) {
-            if (!members.get(i).process.isAlive() && !members.get(i).expectedToExit) {
+        for (int i = 0; i < dispatchers.size(); i++) {
+            if (!dispatchers.get(i).process.isAlive() && !dispatchers.get(i).expectedToExit) {
                 all.add(i);
             }
         }
@@ -318,15 +320,15 @@
     private void destroy() {
         closing = true;
         resumeAll();
-        members.stream().filter(m -> m.process != null).forEach(m -> m.process.destroy());
+        dispatchers.stream().filter(m -> m.process != null).forEach(m -> m.process.destroy());
     }
 
     /** Resumes paused processes before the shutdown, since a paused one does not react to SIGTERM and would stay. */
     private void resumeAll() {
         signal(
                 "CONT",
-                IntStream.range(0, members.size())
-                        .filter(i -> members.get(i).paused)
+                IntStream.range(0, dispatchers.size())
+                        .filter(i -> dispatchers.get(i).paused)
                         .boxed()
                         .toList());
     }
@@ -334,13 +336,13 @@
     @Override
     public void close() {
         destroy();
-        for (Member member : members) {
+        for (Dispatcher dispatcher : dispatchers) {
             try {
-                if (member.process != null && !member.process.waitFor(6, TimeUnit.SECONDS)) {
-                    member.process.destroyForcibly();
+                if (dispatcher.process != null && !dispatcher.process.waitFor(6, TimeUnit.SECONDS)) {
+                    dispatcher.process.destroyForcibly();
                 }
             } catch (InterruptedException e) {
-                member.process.destroyForcibly();
+                dispatcher.process.destroyForcibly();
                 Thread.currentThread().interrupt();
             }
         }
@@ -353,46 +355,46 @@
 
     /** The configuration file of a dispatcher in this scenario, in the format of the platform. */
     public static String configuration(Scenario scenario, int i) throws IOException {
-        DispatcherSettings o = scenario.dispatcherSettings(i);
+        DispatcherSettings dispatcherSettings = scenario.dispatcherSettings(i);
         ObjectNode root = JSON.createObjectNode();
         root.put("name", "d" + i).put("seed", Long.toHexString(scenario.seed * 1000 + i + 1));
         root.putObject("limits").put("sockets", 4096).put("memory_mb", 192).put("cores", 1.0);
-        if (o.overload != null) {
+        if (dispatcherSettings.overload != null) {
             root.putObject("overload")
-                    .put("low", o.overload.lowWaitShare())
-                    .put("high", o.overload.highWaitShare())
-                    .put("borne", o.overload.slackShare())
-                    .put("missed", o.overload.tolerableMissShare())
-                    .put("step", us(o.overload.minChangeInterval()))
-                    .put("known", o.overload.minCompletions());
+                    .put("low", dispatcherSettings.overload.lowWaitShare())
+                    .put("high", dispatcherSettings.overload.highWaitShare())
+                    .put("borne", dispatcherSettings.overload.slackShare())
+                    .put("missed", dispatcherSettings.overload.tolerableMissShare())
+                    .put("step", micros(dispatcherSettings.overload.minChangeInterval()))
+                    .put("known", dispatcherSettings.overload.minCompletions());
         }
         ObjectNode settings = root.putObject("settings");
         settings.put("Index", i)
-                .put("NInstances", o.dispatcherCount)
-                .put("Locality", o.zone)
-                .put("Round", us(o.roundInterval))
-                .put("MembershipMode", o.subscribes ? "ask" : "push");
+                .put("NInstances", dispatcherSettings.dispatcherCount)
+                .put("Locality", dispatcherSettings.zone)
+                .put("Round", micros(dispatcherSettings.roundInterval))
+                .put("MembershipMode", dispatcherSettings.subscribes ? "ask" : "push");
         settings.putObject("Limits")
-                .put("Probes", o.mayProbe)
-                .put("MayCancel", o.mayCancel)
-                .put("ParallelTries", o.parallelAttempts)
-                .put("RetryAfter", o.sendsRetryAfter)
-                .put("MostDispatches", o.maxAttempts)
-                .put("MaxRetryAfter", us(o.maxRetryAfter))
-                .put("DialTimeout", us(o.connectTimeout))
-                .put("IdleClose", us(scenario.idleClose));
+                .put("Probes", dispatcherSettings.mayProbe)
+                .put("MayCancel", dispatcherSettings.mayCancel)
+                .put("ParallelTries", dispatcherSettings.parallelAttempts)
+                .put("RetryAfter", dispatcherSettings.sendsRetryAfter)
+                .put("MostDispatches", dispatcherSettings.maxAttempts)
+                .put("MaxRetryAfter", micros(dispatcherSettings.maxRetryAfter))
+                .put("DialTimeout", micros(dispatcherSettings.connectTimeout))
+                .put("IdleClose", micros(scenario.idleClose));
         settings.putObject("Contract")
-                .put("ColdFrom", o.coldCapacity)
-                .put("WarmWithin", us(o.warmUpTime))
-                .put("TipMultiple", o.coldLimitMultiple)
-                .put("Fall", us(o.coldLimitWindow))
-                .put("DrainGrace", us(scenario.drainGrace))
-                .put("LateShedding", o.lateRejections);
-        settings.putObject("Callers").put("MarksRetry", o.retriesMarked);
-        settings.putObject("Tariffs").put("CrossZone", o.crossZonePrice);
+                .put("ColdFrom", dispatcherSettings.coldCapacity)
+                .put("WarmWithin", micros(dispatcherSettings.warmUpTime))
+                .put("TipMultiple", dispatcherSettings.coldLimitMultiple)
+                .put("Fall", micros(dispatcherSettings.coldLimitWindow))
+                .put("DrainGrace", micros(scenario.drainGrace))
+                .put("LateShedding", dispatcherSettings.lateRejections);
+        settings.putObject("Callers").put("MarksRetry", dispatcherSettings.retriesMarked);
+        settings.putObject("Tariffs").put("CrossZone", dispatcherSettings.crossZonePrice);
         ObjectNode family = settings.putObject("FamilyInfo")
-                .put("TellsStart", o.reportsStart)
-                .put("Progress", us(o.progressInterval));
+                .put("TellsStart", dispatcherSettings.reportsStart)
+                .put("Progress", micros(dispatcherSettings.progressInterval));
         settings.putObject("LoadReport")
                 .put("How", "piggyback")
                 .putArray("Columns")
@@ -404,17 +406,17 @@
         scenario.runnerTypes.stream().map(RunnerType::name).forEach(kinds::add);
         scenario.zones.forEach(settings.putArray("Zones")::add);
         ArrayNode workloads = settings.putArray("Workloads");
-        for (Workload w : o.workloads) {
+        for (Workload w : dispatcherSettings.workloads) {
             ObjectNode row = workloads.addObject();
             w.zones.forEach(row.withArray("/ZonesOpen")::add);
             w.machineTypes.forEach(row.withArray("/ServedOn")::add);
             row.put("Name", w.name)
-                    .put("PromisedTime", us(w.targetLatency))
-                    .put("Patience", us(w.clientTimeout))
+                    .put("PromisedTime", micros(w.targetLatency))
+                    .put("Patience", micros(w.clientTimeout))
                     .put("Importance", w.importance)
                     .put("AimStretch", w.latencyStretch)
                     .put("TardyImportance", w.lateImportance)
-                    .put("Window", us(w.dedupWindow))
+                    .put("Window", micros(w.dedupWindow))
                     .put(
                             "Repeat",
                             switch (w.repeatSafety) {
@@ -427,7 +429,7 @@
         return JSON.writerWithDefaultPrettyPrinter().writeValueAsString(root);
     }
 
-    private static long us(Duration span) {
+    private static long micros(Duration span) {
         return span.toNanos() / 1000;
     }
 }
--- a/rig/src/main/java/saltdale/rig/experiment/Expectation.java
+++ b/rig/src/main/java/saltdale/rig/experiment/Expectation.java
@@ -17,6 +17,11 @@
     private final String line;
     private final Matcher parts;
 
+    /**
+     * Parses a condition.
+     *
+     * @param file name of the experiment file, for error messages
+     */
     public Expectation(String file, String line) {
         this.line = line;
         parts = LINE_PATTERN.matcher(line);
@@ -26,19 +31,20 @@
         }
     }
 
+    /** Evaluates the condition; it is not met if a figure is unknown. */
     public Verdict judge(Map<String, Double> figures) {
         Double left = figures.get(parts.group(1));
-        boolean plain = parts.group(3).matches("-?[\\d.]+");
-        Double right = plain ? Double.valueOf(parts.group(3)) : figures.get(parts.group(3));
+        boolean isNumber = parts.group(3).matches("-?[\\d.]+");
+        Double right = isNumber ? Double.valueOf(parts.group(3)) : figures.get(parts.group(3));
         if (left == null || right == null) {
             return new Verdict(false, line + ": unknown figure " + (left == null ? parts.group(1) : parts.group(3)));
         }
         if (parts.group(4) != null) {
-            double by = Double.parseDouble(parts.group(5));
+            double operand = Double.parseDouble(parts.group(5));
             right = switch (parts.group(4)) {
-                case "*" -> right * by;
-                case "+" -> right + by;
-                default -> right - by;
+                case "*" -> right * operand;
+                case "+" -> right + operand;
+                default -> right - operand;
             };
         }
         boolean met = switch (parts.group(2)) {
--- a/rig/src/main/java/saltdale/rig/experiment/Experiment.java
+++ b/rig/src/main/java/saltdale/rig/experiment/Experiment.java
@@ -246,21 +246,27 @@
                     "most." + figure,
                     results.stream().mapToDouble(o -> figure(o, figure)).max().orElse(0));
             for (Version version : versions) {
-                List<RunResult> its = results.stream()
+                List<RunResult> versionResults = results.stream()
                         .filter(o -> o.version().equals(version.name()))
                         .toList();
-                all.put(version.name() + "." + figure, mean(its, figure));
+                all.put(version.name() + "." + figure, mean(versionResults, figure));
                 all.put(
                         "least." + version.name() + "." + figure,
-                        its.stream().mapToDouble(o -> figure(o, figure)).min().orElse(0));
+                        versionResults.stream()
+                                .mapToDouble(o -> figure(o, figure))
+                                .min()
+                                .orElse(0));
                 all.put(
                         "most." + version.name() + "." + figure,
-                        its.stream().mapToDouble(o -> figure(o, figure)).max().orElse(0));
+                        versionResults.stream()
+                                .mapToDouble(o -> figure(o, figure))
+                                .max()
+                                .orElse(0));
                 if (points.size() > 1) {
                     points.forEach(point -> all.put(
                             version.name() + "." + figure + point.suffix(),
                             mean(
-                                    its.stream()
+                                    versionResults.stream()
                                             .filter(o -> o.point().equals(point.name))
                                             .toList(),
                                     figure)));
@@ -314,14 +320,14 @@
                 }
             }
         }
-        boolean good = results.stream().noneMatch(o -> o.voidReason() != null);
-        if (!good) {
+        boolean passed = results.stream().noneMatch(o -> o.voidReason() != null);
+        if (!passed) {
             console.println("FAILED: a run is void, so no figure counts");
         }
         for (Expectation each : expectations) {
             Expectation.Verdict verdict = each.judge(aggregated);
             console.println((verdict.met() ? "kept:   " : "FAILED: ") + verdict.text());
-            good &= verdict.met();
+            passed &= verdict.met();
         }
         double broken = results.stream()
                 .mapToDouble(o -> o.figures().get("rules_broken"))
@@ -332,7 +338,7 @@
                 .mapToDouble(o -> o.figures().get("requests_answered"))
                 .sum();
         console.printf(Locale.ROOT, "rules broken: %.0f, answered %.0f of %.0f%n", broken, answered, requests);
-        return good;
+        return passed;
     }
 
     private void write(Path outputDirectory, List<RunResult> results) throws IOException {
--- a/rig/src/main/java/saltdale/rig/experiment/Run.java
+++ b/rig/src/main/java/saltdale/rig/experiment/Run.java
@@ -52,7 +52,7 @@
 
     /** The client requests of a scenario, with times relative to the given start of the clients. */
     public static Iterator<ClientRequest> clientRequests(Scenario scenario, Path baseDirectory, Duration start) {
-        return new Shifted(clientRequests(scenario, baseDirectory), start);
+        return new ShiftedRequests(clientRequests(scenario, baseDirectory), start);
     }
 
     /** Runs a simulation; without a factory with the dispatcher module of this build. */
@@ -91,7 +91,9 @@
     /**
      * Runs a scenario on sockets with dispatcher processes.
      *
-     * @param directory for the logs and configurations of the dispatchers
+     * @param requests with times relative to the start of the scenario
+     * @param directory where the logs and configurations of the dispatchers are written
+     * @param cpus list of cores for the dispatchers; null for all cores
      */
     public static RunResult runOnSockets(
             Scenario scenario,
@@ -122,7 +124,7 @@
                     new DispatcherProcesses(scenario, version, addresses, directory, origin, recorder, cpus)) {
                 dispatchers.startAll();
                 Duration start = origin.now();
-                Shifted shifted = new Shifted(requests, start);
+                ShiftedRequests shiftedRequests = new ShiftedRequests(requests, start);
                 Generator generator = new Generator(
                         clients,
                         scenario,
@@ -135,7 +137,7 @@
                 runners.inside(runners::watchItself);
                 clients.inside(clients::watchItself);
                 runners.inside(() -> fleet.get().begin(start));
-                clients.inside(() -> generator.start(shifted));
+                clients.inside(() -> generator.start(shiftedRequests));
                 dispatchers.resetCpu();
                 Thread faults = new Thread(
                         () -> injectProcessFaults(scenario, dispatchers, origin, start), "dispatcher faults");
@@ -209,13 +211,13 @@
             } catch (InterruptedException e) {
                 return;
             }
-            List<Integer> which = step.trouble().runners();
+            List<Integer> dispatcherIndexes = step.trouble().runners();
             switch (step.action()) {
-                case KILL_DISPATCHER -> which.forEach(dispatchers::kill);
-                case SHUT_DOWN_DISPATCHER -> which.forEach(dispatchers::shutDown);
-                case PAUSE_DISPATCHER -> dispatchers.pause(which);
-                case RESUME_DISPATCHER -> dispatchers.resume(which);
-                default -> which.forEach(dispatchers::restart);
+                case KILL_DISPATCHER -> dispatcherIndexes.forEach(dispatchers::kill);
+                case SHUT_DOWN_DISPATCHER -> dispatcherIndexes.forEach(dispatchers::shutDown);
+                case PAUSE_DISPATCHER -> dispatchers.pause(dispatcherIndexes);
+                case RESUME_DISPATCHER -> dispatchers.resume(dispatcherIndexes);
+                default -> dispatcherIndexes.forEach(dispatchers::restart);
             }
         }
     }
@@ -228,7 +230,8 @@
     }
 
     /** Client requests with times relative to the start of the clients. */
-    private record Shifted(Iterator<ClientRequest> requests, Duration start) implements Iterator<ClientRequest> {
+    private record ShiftedRequests(Iterator<ClientRequest> requests, Duration start)
+            implements Iterator<ClientRequest> {
         @Override
         public boolean hasNext() {
             return requests.hasNext();
--- a/rig/src/main/java/saltdale/rig/experiment/RunResult.java
+++ b/rig/src/main/java/saltdale/rig/experiment/RunResult.java
@@ -14,7 +14,7 @@
  * @param point the values of the swept parameters
  * @param repeat index of the repetition
  * @param figures by name; times in milliseconds
- * @param violations the rules that were broken
+ * @param violations the violations of the rules that the judge checks
  * @param voidReason why the run is void; null if it is valid
  */
 public record RunResult(
@@ -26,6 +26,7 @@
         String voidReason,
         RequestStatistics statistics,
         RunnerLoadHistory loadHistory) {
+    /** The figures that a run on sockets and a simulation have in common. */
     static Map<String, Double> figures(
             RequestStatistics statistics, long violations, long requests, long answered, long dispatches) {
         Map<String, Double> all = new LinkedHashMap<>(statistics.figures());
--- a/rig/src/main/java/saltdale/rig/experiment/Version.java
+++ b/rig/src/main/java/saltdale/rig/experiment/Version.java
@@ -50,11 +50,11 @@
     static Version read(TomlTable row, Path home, Path baseDirectory) {
         String name = name(row);
         String jar = row.string("jar", null);
-        Path at = jar == null ? builtJar(home) : baseDirectory.resolve(jar);
-        if (!Files.isReadable(at)) {
-            throw new InvalidInputException(row.file() + ": version " + name + ": no jar at " + at);
+        Path jarPath = jar == null ? builtJar(home) : baseDirectory.resolve(jar);
+        if (!Files.isReadable(jarPath)) {
+            throw new InvalidInputException(row.file() + ": version " + name + ": no jar at " + jarPath);
         }
-        return new Version(name, row.strings("flags", FLAGS), List.of("-jar", at.toString(), "serve"));
+        return new Version(name, row.strings("flags", FLAGS), List.of("-jar", jarPath.toString(), "serve"));
     }
 
     /** The build of this checkout. */
--- a/rig/src/main/java/saltdale/rig/load/Arrivals.java
+++ b/rig/src/main/java/saltdale/rig/load/Arrivals.java
@@ -16,17 +16,18 @@
     private final Traffic traffic;
     private final List<PlannedWorkload> workloads;
     private final double shareSum;
-    private final double end;
+    private final double endSeconds;
     private final SplittableRandom random;
-    private double at;
+    private double timeSeconds;
     private long number;
     private ClientRequest nextRequest;
 
+    /** Creates the requests of a scenario of this length; the same seed gives the same requests. */
     public Arrivals(Traffic traffic, List<PlannedWorkload> workloads, Duration length, long seed) {
         this.traffic = traffic;
         this.workloads = workloads;
         this.shareSum = workloads.stream().mapToDouble(PlannedWorkload::share).sum();
-        this.end = length.toNanos() / 1e9;
+        this.endSeconds = length.toNanos() / 1e9;
         this.random = new SplittableRandom(seed);
         advance();
     }
@@ -37,15 +38,15 @@
                 * (traffic.peak() == null ? 1 : traffic.peak().factor());
         nextRequest = null;
         while (nextRequest == null) {
-            at -= Math.log(1 - random.nextDouble()) / maxRate;
-            if (at >= end) {
+            timeSeconds -= Math.log(1 - random.nextDouble()) / maxRate;
+            if (timeSeconds >= endSeconds) {
                 return;
             }
-            if (random.nextDouble() * maxRate < rate(at)) {
+            if (random.nextDouble() * maxRate < rate(timeSeconds)) {
                 PlannedWorkload job = drawWorkload();
                 nextRequest = new ClientRequest(
                         number++,
-                        Duration.ofNanos((long) (at * 1e9)),
+                        Duration.ofNanos((long) (timeSeconds * 1e9)),
                         job,
                         job.size().sample(random));
             }
@@ -65,7 +66,7 @@
                     case SWELL -> 1 + swing * Math.sin(2 * Math.PI * phase);
                     case STEP -> phase < 1 ? 1 - swing : 1 + swing;
                     // lowest at both ends, highest in the middle
-                    case DAY -> 1 - swing * Math.cos(2 * Math.PI * time / end);
+                    case DAY -> 1 - swing * Math.cos(2 * Math.PI * time / endSeconds);
                 };
     }
 
--- a/rig/src/main/java/saltdale/rig/load/Generator.java
+++ b/rig/src/main/java/saltdale/rig/load/Generator.java
@@ -49,7 +49,7 @@
     private final Histogram lag = new Histogram(3_600_000_000L, 3);
     private final String run;
     private final Duration start;
-    private int next;
+    private int lastDispatcher;
     private volatile long openClients;
     private final ShedSpread shedSpread;
     private long weightedChoices;
@@ -118,6 +118,7 @@
         }
     }
 
+    /** Whether all requests have been sent and have ended. */
     public boolean isOver() {
         return allSent && openClients == 0;
     }
@@ -163,12 +164,12 @@
             return 0;
         }
         for (int i = 0; i < pools.length; i++) {
-            next = (next + 1) % pools.length;
-            if (!avoided.contains(next)) {
+            lastDispatcher = (lastDispatcher + 1) % pools.length;
+            if (!avoided.contains(lastDispatcher)) {
                 break;
             }
         }
-        return next;
+        return lastDispatcher;
     }
 
     /** Avoids the dispatcher for a while, as a load balancer in front of it would. */
@@ -239,9 +240,9 @@
         private final int dispatcher;
         private HttpParser parser = new HttpParser(HttpParser.Kind.ANSWER);
         private Connection connection;
-        private Timer limit;
+        private Timer timeoutTimer;
         private boolean reused;
-        private boolean over;
+        private boolean ended;
 
         Try(Client client, String id, int dispatcher) {
             this.client = client;
@@ -281,7 +282,7 @@
                 // Relative to the clock rather than the turn: the first turn is long, and its timeouts would fire
                 // before they are
                 // due.
-                limit = loopThread.loop.schedule(
+                timeoutTimer = loopThread.loop.schedule(
                         clientTimeout
                                 .plus(scenario.answerGrace)
                                 .plus(LATE_ANSWER_WAIT)
@@ -294,8 +295,8 @@
         }
 
         void drop() {
-            over = true;
-            limit.cancel();
+            ended = true;
+            timeoutTimer.cancel();
             if (connection != null) {
                 connection.close();
             }
@@ -339,7 +340,7 @@
 
         @Override
         public void disconnected(String cause) {
-            if (over) {
+            if (ended) {
                 return;
             }
             if (reused && parser.isAtStart()) { // the dispatcher closed the idle connection meanwhile: send again
@@ -360,9 +361,9 @@
         }
 
         private void end(FinalAnswer answer, Duration retryAfter, boolean unreachable) {
-            over = true;
-            if (limit != null) {
-                limit.cancel();
+            ended = true;
+            if (timeoutTimer != null) {
+                timeoutTimer.cancel();
             }
             shedSpread.recordTry(
                     dispatcher, client.request.plannedWorkload().workload().importance, answer == FinalAnswer.SHED);
--- a/rig/src/main/java/saltdale/rig/load/OverloadFigures.java
+++ b/rig/src/main/java/saltdale/rig/load/OverloadFigures.java
@@ -18,6 +18,7 @@
 
     private OverloadFigures() {}
 
+    /** The figures by the names that expectations and reports use. */
     public static Map<String, Double> figures(Scenario scenario, RequestStatistics statistics, ShedSpread shedSpread) {
         Map<String, Double> all = new LinkedHashMap<>();
         double attainable = attainableShare(
--- a/rig/src/main/java/saltdale/rig/load/RequestStatistics.java
+++ b/rig/src/main/java/saltdale/rig/load/RequestStatistics.java
@@ -69,10 +69,12 @@
         workloads.forEach(planned -> rows.put(planned.workload(), new Row()));
     }
 
+    /** The statistics of each workload. */
     public Map<Workload, Row> rows() {
         return rows;
     }
 
+    /** The statistics of each second since the start, with the warm-up. */
     public List<Second> seconds() {
         return seconds;
     }
@@ -148,10 +150,12 @@
         return offeredImportance == 0 ? 1 : servedImportance / offeredImportance;
     }
 
+    /** Number of requests due after the warm-up, without those whose client disconnected. */
     public long offered() {
         return rows.values().stream().mapToLong(row -> row.offered).sum();
     }
 
+    /** Number of requests due after the warm-up that received a response. */
     public long answered() {
         return rows.values().stream()
                 .mapToLong(row -> row.fulfilled + row.shed + row.givenUp)
--- a/rig/src/main/java/saltdale/rig/load/RunnerLoadHistory.java
+++ b/rig/src/main/java/saltdale/rig/load/RunnerLoadHistory.java
@@ -16,24 +16,27 @@
     public record Sample(Duration at, int inFlight, double reported, boolean up) {}
 
     private final List<List<Sample>> samples = new ArrayList<>();
-    private final double[] reported;
+    private final double[] lastReported;
 
     public RunnerLoadHistory(int runners) {
-        reported = new double[runners];
+        lastReported = new double[runners];
         for (int i = 0; i < runners; i++) {
             samples.add(new ArrayList<>());
-            reported[i] = Double.NaN;
+            lastReported[i] = Double.NaN;
         }
     }
 
+    /** Records the latest load report of a runner. */
     public void recordReport(int runner, LoadReport report) {
-        reported[runner] = report.inFlight();
+        lastReported[runner] = report.inFlight();
     }
 
+    /** Adds a sample of the actual load of a runner. */
     public void sample(Duration at, int runner, int inFlight, boolean up) {
-        samples.get(runner).add(new Sample(at, inFlight, reported[runner], up));
+        samples.get(runner).add(new Sample(at, inFlight, lastReported[runner], up));
     }
 
+    /** The samples of each runner, by its index. */
     public List<List<Sample>> samples() {
         return samples;
     }
--- a/rig/src/main/java/saltdale/rig/load/Trace.java
+++ b/rig/src/main/java/saltdale/rig/load/Trace.java
@@ -33,10 +33,12 @@
         this.file = file;
     }
 
+    /** Reads a trace file. */
     public static Trace read(Path file) {
         return of(file.toString(), TomlTable.readText(file));
     }
 
+    /** Parses a trace; {@code name} is the name of the file in error messages. */
     public static Trace of(String name, String text) {
         Trace trace = new Trace(name);
         ObjectMapper json = new ObjectMapper();
@@ -60,11 +62,13 @@
     }
 
     private Line csv(String line, int number) {
-        String[] cells = line.split(",", -1);
+        String[] columns = line.split(",", -1);
         try {
-            if (cells.length == 3) {
+            if (columns.length == 3) {
                 return new Line(
-                        Double.parseDouble(cells[0].strip()), cells[1].strip(), Double.parseDouble(cells[2].strip()));
+                        Double.parseDouble(columns[0].strip()),
+                        columns[1].strip(),
+                        Double.parseDouble(columns[2].strip()));
             }
         } catch (NumberFormatException e) {
             // reported below
@@ -89,8 +93,8 @@
         throw invalid(number, "expected {\"at\":seconds,\"workload\":\"name\",\"size\":seconds}");
     }
 
-    private InvalidInputException invalid(int line, String what) {
-        return new InvalidInputException(file + ": line " + line + ": " + what);
+    private InvalidInputException invalid(int line, String problem) {
+        return new InvalidInputException(file + ": line " + line + ": " + problem);
     }
 
     /** Returns a trace of the given sections, each moved to another time; without sections this trace. */
@@ -98,12 +102,12 @@
         if (parts.isEmpty()) {
             return this;
         }
-        Trace made = new Trace(file);
+        Trace result = new Trace(file);
         for (String part : parts) {
-            String[] cut = part.split("\\.\\.|@");
+            String[] fields = part.split("\\.\\.|@");
             Duration[] spans = new Duration[3];
             for (int i = 0; i < 3; i++) {
-                spans[i] = cut.length == 3 ? TomlTable.parseDuration(cut[i]) : null;
+                spans[i] = fields.length == 3 ? TomlTable.parseDuration(fields[i]) : null;
                 if (spans[i] == null) {
                     throw new InvalidInputException(
                             file + ": splice: \"" + part + "\" is not of the form \"10s..20s@5s\"");
@@ -114,10 +118,10 @@
             double at = spans[2].toNanos() / 1e9;
             lines.stream()
                     .filter(line -> line.at >= from && line.at < to)
-                    .forEach(line -> made.lines.add(new Line(line.at - from + at, line.workload, line.size)));
+                    .forEach(line -> result.lines.add(new Line(line.at - from + at, line.workload, line.size)));
         }
-        made.lines.sort(Comparator.comparingDouble(Line::at));
-        return made;
+        result.lines.sort(Comparator.comparingDouble(Line::at));
+        return result;
     }
 
     /** The client requests of this trace, with the number of arrivals scaled by {@code scale}. */
--- a/rig/src/main/java/saltdale/rig/plan/Peak.java
+++ b/rig/src/main/java/saltdale/rig/plan/Peak.java
@@ -17,6 +17,7 @@
                 table.number("times", 2, 1, 1000));
     }
 
+    /** End of the peak, since the start of the scenario. */
     public Duration end() {
         return at.plus(length);
     }
--- a/rig/src/main/java/saltdale/rig/plan/RunnerType.java
+++ b/rig/src/main/java/saltdale/rig/plan/RunnerType.java
@@ -85,6 +85,7 @@
                 true);
     }
 
+    /** A copy with another cold capacity share and warm-up time. */
     public RunnerType withWarmUp(double from, Duration within) {
         return new RunnerType(
                 name,
@@ -104,6 +105,7 @@
                 cancelStopsRunning);
     }
 
+    /** A copy with another interval and delay of load reports. */
     public RunnerType withReporting(Duration every, Duration delay) {
         return new RunnerType(
                 name,
--- a/rig/src/main/java/saltdale/rig/plan/Scenario.java
+++ b/rig/src/main/java/saltdale/rig/plan/Scenario.java
@@ -19,15 +19,21 @@
     public final Duration length;
     public final Duration warmUp;
     public final int dispatcherCount;
+    /** Settings of all dispatchers, without index and zone. */
     public final DispatcherSettings dispatcherSettings;
+    /** How long after a runner is listed as draining or gone a dispatcher may still send to it. */
     public final Duration drainGrace;
+    /** Time that clients and the judge allow beyond the client timeout for a response. */
     public final Duration answerGrace;
+
     public final Duration idleClose;
     public final List<PlannedWorkload> workloads = new ArrayList<>();
     public final List<RunnerType> runnerTypes = new ArrayList<>();
     public final int runnerCount;
     public final List<String> zones;
+    /** Number of cells that the runners are distributed over. */
     public final int cells;
+
     public final Duration sameZoneLatency;
     public final Duration crossZoneLatency;
     public final double networkJitter;
@@ -36,6 +42,7 @@
 
     /** Delay until the runner list reports that a runner process died. */
     public final Duration crashNoticeDelay;
+
     /** Work that a probe costs its runner: counted in the figures, not added to the load of the runner. */
     public final Duration probeCost;
 
@@ -164,43 +171,43 @@
 
     /** The settings of one dispatcher: those of all dispatchers, with its own index and zone. */
     public DispatcherSettings dispatcherSettings(int dispatcher) {
-        DispatcherSettings one = new DispatcherSettings();
-        one.workloads.addAll(dispatcherSettings.workloads);
-        one.dispatcherIndex = dispatcher;
-        one.dispatcherCount = dispatcherSettings.dispatcherCount;
-        one.zone = zone(dispatcher);
-        one.roundInterval = dispatcherSettings.roundInterval;
-        one.subscribes = dispatcherSettings.subscribes;
-        one.mayProbe = dispatcherSettings.mayProbe;
-        one.mayCancel = dispatcherSettings.mayCancel;
-        one.parallelAttempts = dispatcherSettings.parallelAttempts;
-        one.sendsRetryAfter = dispatcherSettings.sendsRetryAfter;
-        one.maxRetryAfter = dispatcherSettings.maxRetryAfter;
-        one.maxAttempts = dispatcherSettings.maxAttempts;
-        one.connectTimeout = dispatcherSettings.connectTimeout;
-        one.reportsStart = dispatcherSettings.reportsStart;
-        one.progressInterval = dispatcherSettings.progressInterval;
-        one.coldCapacity = dispatcherSettings.coldCapacity;
-        one.warmUpTime = dispatcherSettings.warmUpTime;
-        one.coldLimitMultiple = dispatcherSettings.coldLimitMultiple;
-        one.coldLimitWindow = dispatcherSettings.coldLimitWindow;
-        one.lateRejections = dispatcherSettings.lateRejections;
-        one.crossZonePrice = dispatcherSettings.crossZonePrice;
-        one.overload = dispatcherSettings.overload;
-        one.retriesMarked = dispatcherSettings.retriesMarked;
-        return one;
+        DispatcherSettings settings = new DispatcherSettings();
+        settings.workloads.addAll(dispatcherSettings.workloads);
+        settings.dispatcherIndex = dispatcher;
+        settings.dispatcherCount = dispatcherSettings.dispatcherCount;
+        settings.zone = zone(dispatcher);
+        settings.roundInterval = dispatcherSettings.roundInterval;
+        settings.subscribes = dispatcherSettings.subscribes;
+        settings.mayProbe = dispatcherSettings.mayProbe;
+        settings.mayCancel = dispatcherSettings.mayCancel;
+        settings.parallelAttempts = dispatcherSettings.parallelAttempts;
+        settings.sendsRetryAfter = dispatcherSettings.sendsRetryAfter;
+        settings.maxRetryAfter = dispatcherSettings.maxRetryAfter;
+        settings.maxAttempts = dispatcherSettings.maxAttempts;
+        settings.connectTimeout = dispatcherSettings.connectTimeout;
+        settings.reportsStart = dispatcherSettings.reportsStart;
+        settings.progressInterval = dispatcherSettings.progressInterval;
+        settings.coldCapacity = dispatcherSettings.coldCapacity;
+        settings.warmUpTime = dispatcherSettings.warmUpTime;
+        settings.coldLimitMultiple = dispatcherSettings.coldLimitMultiple;
+        settings.coldLimitWindow = dispatcherSettings.coldLimitWindow;
+        settings.lateRejections = dispatcherSettings.lateRejections;
+        settings.crossZonePrice = dispatcherSettings.crossZonePrice;
+        settings.overload = dispatcherSettings.overload;
+        settings.retriesMarked = dispatcherSettings.retriesMarked;
+        return settings;
     }
 
     /** Reads the table {@code overload}, with the keys of the table of this name in the settings of the daemon. */
     private static OverloadSettings readOverload(TomlTable table) {
-        OverloadSettings usual = OverloadSettings.DEFAULTS;
+        OverloadSettings defaults = OverloadSettings.DEFAULTS;
         OverloadSettings overloadSettings = new OverloadSettings(
-                table.number("low", usual.lowWaitShare(), 0, 10),
-                table.number("high", usual.highWaitShare(), 0, 10),
-                table.number("borne", usual.slackShare(), 0.01, 1),
-                table.number("missed", usual.tolerableMissShare(), 0, 1),
-                table.duration("step", usual.minChangeInterval()),
-                table.integer("known", usual.minCompletions(), 1, 1_000_000));
+                table.number("low", defaults.lowWaitShare(), 0, 10),
+                table.number("high", defaults.highWaitShare(), 0, 10),
+                table.number("borne", defaults.slackShare(), 0.01, 1),
+                table.number("missed", defaults.tolerableMissShare(), 0, 1),
+                table.duration("step", defaults.minChangeInterval()),
+                table.integer("known", defaults.minCompletions(), 1, 1_000_000));
         if (overloadSettings.highWaitShare() <= overloadSettings.lowWaitShare()) {
             throw table.invalid("high", "over low");
         }
@@ -238,20 +245,22 @@
     public RunnerType runnerType(int runner) {
         double all = runnerTypes.stream().mapToDouble(RunnerType::share).sum();
         // The golden ratio spreads the types evenly at any fleet size.
-        double at = (runner + 0.5) * 0.6180339887498949 % 1 * all;
+        double position = (runner + 0.5) * 0.6180339887498949 % 1 * all;
         for (RunnerType runnerType : runnerTypes) {
-            at -= runnerType.share();
-            if (at < 0) {
+            position -= runnerType.share();
+            if (position < 0) {
                 return runnerType;
             }
         }
         return runnerTypes.get(runnerTypes.size() - 1);
     }
 
+    /** The zone of the runner or dispatcher with this index. */
     public String zone(int number) {
         return zones.get(number % zones.size());
     }
 
+    /** The cell of the runner with this index. */
     public int cell(int runner) {
         return runner % cells;
     }
--- a/rig/src/main/java/saltdale/rig/plan/SizeDistribution.java
+++ b/rig/src/main/java/saltdale/rig/plan/SizeDistribution.java
@@ -46,10 +46,12 @@
         return new SizeDistribution(kind, mean, table.number("cv", 0.8, 0.01, 20));
     }
 
+    /** The mean size in seconds. */
     public double mean() {
         return mean;
     }
 
+    /** Draws a size in seconds. */
     public double sample(SplittableRandom random) {
         return kind == Kind.CONSTANT ? mean : distribution.inverseCumulativeProbability(random.nextDouble());
     }
--- a/rig/src/main/java/saltdale/rig/plan/TomlTable.java
+++ b/rig/src/main/java/saltdale/rig/plan/TomlTable.java
@@ -43,6 +43,7 @@
         this.node = node;
     }
 
+    /** Reads a TOML file. */
     public static TomlTable read(Path file) {
         return of(file.toString(), readText(file));
     }
@@ -58,6 +59,7 @@
         }
     }
 
+    /** Parses TOML text; {@code name} is the name of the file in error messages. */
     public static TomlTable of(String name, String text) {
         try {
             return new TomlTable(name, text.lines().toList(), "", TOML.readTree(text));
@@ -129,6 +131,7 @@
         return rows;
     }
 
+    /** The string of this key, or {@code fallback} if it is absent; the methods for other types work alike. */
     public String string(String key, String fallback) {
         JsonNode found = read(key);
         if (found == null) {
@@ -139,6 +142,7 @@
         return found.textValue();
     }
 
+    /** The string of this key, which must be present. */
     public String required(String key) {
         String text = string(key, null);
         if (text == null) {
@@ -147,6 +151,7 @@
         return text;
     }
 
+    /** The enum constant whose name in lower case, with - for _, is the value of this key. */
     public <E extends Enum<E>> E enumValue(String key, E fallback) {
         String text = string(key, null);
         if (text == null) {
@@ -284,16 +289,18 @@
         tables.forEach(TomlTable::rejectUnknownKeys);
     }
 
-    public InvalidInputException missing(String key, String wanted) {
-        return new InvalidInputException(location(key) + ": missing; expected " + wanted);
+    /** The exception for a missing key. */
+    public InvalidInputException missing(String key, String expected) {
+        return new InvalidInputException(location(key) + ": missing; expected " + expected);
     }
 
-    public InvalidInputException invalid(String key, String wanted) {
-        return invalid(key, node.get(key), wanted);
+    /** The exception for an invalid value; {@code expected} completes the message "... is not". */
+    public InvalidInputException invalid(String key, String expected) {
+        return invalid(key, node.get(key), expected);
     }
 
-    private InvalidInputException invalid(String key, JsonNode found, String wanted) {
-        return new InvalidInputException(location(key) + ": " + found + " is not " + wanted);
+    private InvalidInputException invalid(String key, JsonNode found, String expected) {
+        return new InvalidInputException(location(key) + ": " + found + " is not " + expected);
     }
 
     private JsonNode read(String key) {
--- a/rig/src/main/java/saltdale/rig/plan/Traffic.java
+++ b/rig/src/main/java/saltdale/rig/plan/Traffic.java
@@ -78,6 +78,7 @@
                 table.has("peak") ? Peak.read(table.table("peak")) : null);
     }
 
+    /** Traffic with a constant rate and without retries. */
     public static Traffic steady(double rate) {
         return new Traffic(
                 Shape.STEADY,
@@ -100,6 +101,7 @@
                 null);
     }
 
+    /** A copy with a fixed rate. */
     public Traffic withRate(double newRate) {
         return new Traffic(
                 shape,
@@ -122,6 +124,7 @@
                 peak);
     }
 
+    /** A copy with another shape. */
     public Traffic withShape(Shape newShape, double newSwing, Duration newPeriod) {
         return new Traffic(
                 newShape,
@@ -144,6 +147,7 @@
                 peak);
     }
 
+    /** A copy with another number of retries, initial backoff and retry budget. */
     public Traffic withRetries(int newRetries, Duration newInitialBackoff, double newBudget) {
         return new Traffic(
                 shape,
--- a/rig/src/main/java/saltdale/rig/plan/Trouble.java
+++ b/rig/src/main/java/saltdale/rig/plan/Trouble.java
@@ -117,6 +117,7 @@
         }
     }
 
+    /** End of the fault, since the start of the scenario. */
     public Duration end() {
         return at.plus(length);
     }
@@ -126,10 +127,12 @@
         return kind.compareTo(Kind.CUT_ANSWERS) >= 0 && kind.compareTo(Kind.NO_NEWS) <= 0;
     }
 
+    /** Whether this fault affects dispatcher processes. */
     public boolean isProcessFault() {
         return kind.isProcessFault();
     }
 
+    /** Whether this fault affects network paths. */
     public boolean isPathFault() {
         return kind.isPathFault();
     }
--- a/rig/src/main/java/saltdale/rig/report/Report.java
+++ b/rig/src/main/java/saltdale/rig/report/Report.java
@@ -43,14 +43,14 @@
                 .append("</h1>");
         table(page, results.path("runs"));
         overload(page, results.path("runs"));
-        int drawn = 0;
+        int plotted = 0;
         for (JsonNode run : results.path("runs")) {
-            if (run.path("repeat").asInt() == 0 && drawn++ < MAX_PLOTTED_RUNS) {
+            if (run.path("repeat").asInt() == 0 && plotted++ < MAX_PLOTTED_RUNS) {
                 run(page, run);
             }
         }
-        if (drawn > MAX_PLOTTED_RUNS) {
-            page.append("<p>").append(drawn - MAX_PLOTTED_RUNS).append(" more runs are in results.json.</p>");
+        if (plotted > MAX_PLOTTED_RUNS) {
+            page.append("<p>").append(plotted - MAX_PLOTTED_RUNS).append(" more runs are in results.json.</p>");
         }
         return page.append("</body></html>\n").toString();
     }
@@ -79,12 +79,12 @@
 
     /** Renders the overload figures, if the load exceeded the capacity or had a peak. */
     private static void overload(StringBuilder page, JsonNode runs) throws IOException {
-        boolean any = false;
+        boolean isOverloaded = false;
         Map<String, Map<Double, List<Double>>> byLoad =
                 new LinkedHashMap<>(); // importance served in time, by version and load
         for (JsonNode run : runs) {
             JsonNode f = run.path("figures");
-            any |= f.path("could_be_had").asDouble(1) < OVERLOAD_THRESHOLD || f.has("in_peak");
+            isOverloaded |= f.path("could_be_had").asDouble(1) < OVERLOAD_THRESHOLD || f.has("in_peak");
             Matcher load = LOAD_PATTERN.matcher(run.path("point").asText());
             if (load.find()) {
                 double times = Double.parseDouble(load.group(1));
@@ -96,7 +96,7 @@
                         .add(f.path("could_be_had").asDouble());
             }
         }
-        if (!any) {
+        if (!isOverloaded) {
             return;
         }
         page.append("<h2>Overload</h2><table><tr><th>run</th><th>service</th><th>could be had</th><th>of it</th>"
@@ -139,7 +139,7 @@
                             .mapToDouble(all ->
                                     all.stream().mapToDouble(y -> y).average().orElse(0))
                             .toArray()));
-            draw(page, chart);
+            appendChart(page, chart);
         }
     }
 
@@ -172,43 +172,44 @@
         XYChart latency = chart("Latency from the intended time", "s", "ms");
         latency.getStyler().setYAxisLogarithmic(true);
         series.path("latency_ms").fields().forEachRemaining(e -> add(latency, e.getKey(), e.getValue(), 1, 0.01));
-        draw(page, latency);
+        appendChart(page, latency);
         XYChart service = chart("Service by workload", "s", "share in the promised time");
         service.getStyler().setYAxisMin(0.0);
         service.getStyler().setYAxisMax(1.0);
         series.path("service").fields().forEachRemaining(e -> add(service, e.getKey(), e.getValue(), 1, 0));
-        draw(page, service);
+        appendChart(page, service);
         XYChart inFlight = chart("Assignments held by each runner", "s", "assignments");
         for (int i = 0; i < Math.min(MAX_PLOTTED_RUNNERS, series.path("runners").size()); i++) {
             add(inFlight, "r" + i, series.path("runners").get(i), 1, 0);
         }
-        draw(page, inFlight);
+        appendChart(page, inFlight);
         reportAccuracy(page, series.path("runners"));
     }
 
     /** Plots the runner whose load reports deviated most from its actual load. */
     private static void reportAccuracy(StringBuilder page, JsonNode runners) throws IOException {
-        int worst = -1;
-        double most = -1;
+        int worstRunner = -1;
+        double maxDeviation = -1;
         for (int i = 0; i < runners.size(); i++) {
-            double off = 0;
+            double deviation = 0;
             int count = 0;
             for (JsonNode sample : runners.get(i)) {
                 if (sample.get(2).asDouble() >= 0) {
-                    off += Math.abs(sample.get(2).asDouble() - sample.get(1).asDouble());
+                    deviation +=
+                            Math.abs(sample.get(2).asDouble() - sample.get(1).asDouble());
                     count++;
                 }
             }
-            if (count > 0 && off / count > most) {
-                most = off / count;
-                worst = i;
+            if (count > 0 && deviation / count > maxDeviation) {
+                maxDeviation = deviation / count;
+                worstRunner = i;
             }
         }
-        if (worst >= 0) {
-            XYChart chart = chart("Actual and last reported load of r" + worst, "s", "assignments");
-            add(chart, "held", runners.get(worst), 1, 0);
-            add(chart, "told", runners.get(worst), 2, 0);
-            draw(page, chart);
+        if (worstRunner >= 0) {
+            XYChart chart = chart("Actual and last reported load of r" + worstRunner, "s", "assignments");
+            add(chart, "held", runners.get(worstRunner), 1, 0);
+            add(chart, "told", runners.get(worstRunner), 2, 0);
+            appendChart(page, chart);
         }
     }
 
@@ -244,7 +245,7 @@
         return chart;
     }
 
-    private static void draw(StringBuilder page, XYChart chart) throws IOException {
+    private static void appendChart(StringBuilder page, XYChart chart) throws IOException {
         if (chart.getSeriesMap().isEmpty()) {
             return;
         }
