--- a/rig/src/test/java/saltdale/rig/platform/PlatformTest.java
+++ b/rig/src/test/java/saltdale/rig/platform/PlatformTest.java
@@ -16,49 +16,49 @@
 import saltdale.rig.platform.Instance.State;
 import saltdale.rig.simulate.EventQueue;
 
-/** The platform's rules, in simulated time. */
+/** Tests the model of the platform in simulated time. */
 class PlatformTest {
-    private static final Duration A_START = Duration.ofMillis(1000); // longer than any service's
+    private static final Duration START_LIMIT = Duration.ofMillis(1000); // longer than any service takes
 
-    private final EventQueue time = new EventQueue();
-    private final List<String> sockets = new ArrayList<>();
+    private final EventQueue eventQueue = new EventQueue();
+    private final List<String> socketEvents = new ArrayList<>();
     private final Deployment deployment = Deployment.small(77, 3, 3);
     private final Platform platform = new Platform(
             deployment,
             new Clock() {
                 @Override
                 public Duration now() {
-                    return time.now();
+                    return eventQueue.now();
                 }
 
                 @Override
                 public void schedule(Duration delay, Runnable action) {
-                    time.scheduleAfter(delay, action);
+                    eventQueue.scheduleAfter(delay, action);
                 }
             },
             new Platform.Sockets() {
                 @Override
                 public void listen(Instance instance) {
-                    sockets.add("listen " + instance.service.name());
+                    socketEvents.add("listen " + instance.service.name());
                 }
 
                 @Override
                 public void stopAccepting(Instance instance) {
-                    sockets.add("cease " + instance.service.name());
+                    socketEvents.add("cease " + instance.service.name());
                 }
 
                 @Override
                 public void crash(Instance instance) {
-                    sockets.add("crash " + instance.service.name());
+                    socketEvents.add("crash " + instance.service.name());
                 }
             },
             1);
 
-    private void pass(Duration span) {
-        time.runUntil(time.now().plus(span));
+    private void advance(Duration span) {
+        eventQueue.runUntil(eventQueue.now().plus(span));
     }
 
-    private Instance begin(String service, String nonce) {
+    private Instance startRunner(String service, String nonce) {
         String identifier = platform.begin(null, service, "w-north", nonce)
                 .body()
                 .path("identifier")
@@ -69,7 +69,7 @@
                 .orElseThrow();
     }
 
-    private List<String> listed() {
+    private List<String> listedRunners() {
         List<String> all = new ArrayList<>();
         for (JsonNode each : platform.runners(null, null).body().path("instances")) {
             all.add(each.path("service").asText() + " " + each.path("state").asText());
@@ -77,7 +77,7 @@
         return all;
     }
 
-    private int free() {
+    private int freeMemoryMb() {
         for (JsonNode each : platform.workers().body().path("worker_machines")) {
             if (each.path("name").asText().equals("w-north")) {
                 return each.path("free_memory_mb").asInt();
@@ -87,23 +87,23 @@
     }
 
     @Test
-    void aRunnerIsListedOnceItHasStartedAndTheLagIsOver() {
-        Instance instance = begin("desk-1", "n");
+    void listsRunnerAfterItsStartAndTheListLag() {
+        Instance instance = startRunner("desk-1", "n");
         assertThat(instance.state(), is(State.BOOTING));
-        assertThat(free(), is(4096));
-        pass(A_START);
-        assertThat(sockets, contains("listen desk-1"));
-        pass(deployment.listLag());
-        assertThat(listed(), contains("desk-1 ready"));
-        assertThat(free(), is(4096 - 512));
+        assertThat(freeMemoryMb(), is(4096));
+        advance(START_LIMIT);
+        assertThat(socketEvents, contains("listen desk-1"));
+        advance(deployment.listLag());
+        assertThat(listedRunners(), contains("desk-1 ready"));
+        assertThat(freeMemoryMb(), is(4096 - 512));
     }
 
     @Test
-    void aNonceIsAnsweredWithTheSameRunnerForOneServiceOnly() {
-        Instance first = begin("press-1", "n");
-        assertThat(begin("press-1", "n").identifier, equalTo(first.identifier));
-        assertThat(begin("press-2", "n").identifier, not(equalTo(first.identifier)));
-        pass(A_START);
+    void repeatedNonceReturnsSameRunnerForSameServiceOnly() {
+        Instance first = startRunner("press-1", "n");
+        assertThat(startRunner("press-1", "n").identifier, equalTo(first.identifier));
+        assertThat(startRunner("press-2", "n").identifier, not(equalTo(first.identifier)));
+        advance(START_LIMIT);
         platform.stop(null, first.identifier);
         assertThat(
                 platform.begin(null, "press-1", "w-north", "n")
@@ -114,7 +114,7 @@
     }
 
     @Test
-    void refusesWhatItCannotStart() {
+    void rejectsImpossibleStarts() {
         assertThat(platform.begin(null, "none", "w-north", "n").status(), is(400));
         assertThat(platform.begin(null, "desk-1", null, "n").status(), is(400));
         assertThat(platform.begin(null, "desk-1", "w-north", null).status(), is(400));
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void aLowerFenceThanSeenIsRefused() {
+    void rejectsFenceNumberLowerThanOneSeenBefore() {
         assertThat(platform.begin(5L, "desk-1", "w-north", "a").status(), is(200));
         assertThat(platform.begin(4L, "desk-1", "w-north", "b").status(), is(409));
         assertThat(platform.begin(5L, "desk-1", "w-north", "b").status(), is(200));
@@ -138,82 +138,82 @@
     }
 
     @Test
-    void callsBeyondTheRatesAreRefusedUntilASecondIsOver() {
-        int taken = 0;
+    void rejectsCallsBeyondTheRateLimitsUntilASecondHasPassed() {
+        int acceptedCalls = 0;
         for (int i = 0; i < 200; i++) {
-            taken += platform.stop(null, "i-none").status() == 404 ? 1 : 0;
+            acceptedCalls += platform.stop(null, "i-none").status() == 404 ? 1 : 0;
         }
-        assertThat(taken, is(105));
+        assertThat(acceptedCalls, is(105));
         for (int i = 0; i < 13; i++) {
             assertThat(platform.workers().status(), is(200));
             assertThat(platform.runners(null, null).status(), is(200));
         }
         assertThat(platform.runners(null, null).status(), is(429));
         assertThat(platform.workers().status(), is(429));
-        pass(Duration.ofSeconds(1));
+        advance(Duration.ofSeconds(1));
         assertThat(platform.runners(null, null).status(), is(200));
         assertThat(platform.stop(null, "i-none").status(), is(404));
     }
 
     @Test
-    void aStoppedRunnerEndsItsWorkAndOnlyThenGivesBackItsMemory() {
-        Instance instance = begin("desk-1", "n");
-        pass(A_START);
+    void stoppedRunnerFinishesItsRequestsBeforeItsMemoryIsFreed() {
+        Instance instance = startRunner("desk-1", "n");
+        advance(START_LIMIT);
         assertThat(instance.admit("a", null, null).runs(), is(true));
         platform.stop(null, instance.identifier);
-        assertThat(sockets, contains("listen desk-1", "cease desk-1"));
-        pass(deployment.listLag());
-        assertThat(listed(), empty());
-        assertThat(free(), is(4096 - 512));
+        assertThat(socketEvents, contains("listen desk-1", "cease desk-1"));
+        advance(deployment.listLag());
+        assertThat(listedRunners(), empty());
+        assertThat(freeMemoryMb(), is(4096 - 512));
         instance.requestFinished();
-        pass(deployment.listLag());
-        assertThat(free(), is(4096));
+        advance(deployment.listLag());
+        assertThat(freeMemoryMb(), is(4096));
     }
 
     @Test
-    void aDrainedRunnerServesOnForTheDrain() {
-        Instance instance = begin("desk-1", "n");
-        pass(A_START);
+    void drainedRunnerServesUntilTheDrainTimeHasPassed() {
+        Instance instance = startRunner("desk-1", "n");
+        advance(START_LIMIT);
         platform.drain("w-north");
-        pass(deployment.bounds().drain());
-        assertThat(listed(), contains("desk-1 draining"));
+        advance(deployment.bounds().drain());
+        assertThat(listedRunners(), contains("desk-1 draining"));
         assertThat(instance.admit("a", null, null).runs(), is(true));
         instance.requestFinished();
-        pass(Duration.ofSeconds(1));
+        advance(Duration.ofSeconds(1));
         assertThat(instance.state(), is(State.ENDED));
     }
 
     @Test
-    void aCrashedWorkerComesBackEmptyAndItsRunnersStayListedForAWhile() {
-        Instance instance = begin("desk-1", "n");
-        pass(A_START);
+    void crashedWorkerReturnsEmptyWhileItsRunnersStayListedForSomeTime() {
+        Instance instance = startRunner("desk-1", "n");
+        advance(START_LIMIT);
         instance.admit("a", null, null);
         platform.crash("w-north", Duration.ofSeconds(2));
-        assertThat(sockets, contains("listen desk-1", "crash desk-1"));
+        assertThat(socketEvents, contains("listen desk-1", "crash desk-1"));
         assertThat(platform.begin(null, "desk-1", "w-north", "m").status(), is(409));
-        pass(deployment.listLag());
-        assertThat(listed(), contains("desk-1 ready"));
-        assertThat(free(), is(-1));
-        instance.requestFinished(); // its connection closes only now
-        pass(Duration.ofSeconds(3));
-        assertThat(listed(), empty());
-        assertThat(free(), is(4096));
+        advance(deployment.listLag());
+        assertThat(listedRunners(), contains("desk-1 ready"));
+        assertThat(freeMemoryMb(), is(-1));
+        instance.requestFinished(); // the connection closes only after the crash
+        advance(Duration.ofSeconds(3));
+        assertThat(listedRunners(), empty());
+        assertThat(freeMemoryMb(), is(4096));
     }
 
     @Test
-    void anAddressGoesToAnotherServiceOnceItMay() {
-        Instance first = begin("desk-1", "a");
-        pass(A_START);
+    void addressIsReusedForAnotherServiceAfterTheReuseDelay() {
+        Instance first = startRunner("desk-1", "a");
+        advance(START_LIMIT);
         platform.stop(null, first.identifier);
-        assertThat(begin("press-1", "b").address, not(equalTo(first.address)));
-        pass(deployment.bounds().addressReuse());
-        assertThat(begin("press-2", "c").address, equalTo(first.address));
+        assertThat(startRunner("press-1", "b").address, not(equalTo(first.address)));
+        advance(deployment.bounds().addressReuse());
+        assertThat(startRunner("press-2", "c").address, equalTo(first.address));
     }
 
     @Test
-    void aRunnerTakesSoManyAtOnceAndSaysWhyItTakesNoMore() {
-        Instance instance = begin("press-1", "n");
-        pass(A_START);
+    void runnerLimitsConcurrentRequestsAndNamesTheReasonOfARejection() {
+        Instance instance = startRunner("press-1", "n");
+        advance(START_LIMIT);
         assertThat(instance.admit("a", "i-other", null).status(), is(421));
         assertThat(instance.admit(null, null, null).status(), is(400));
         assertThat(instance.admit("a", null, Duration.ZERO), is(new Instance.Admission(503, false)));
@@ -225,7 +225,7 @@
     }
 
     @Test
-    void aLongListComesInPagesThatMissNothingWhenRunnersGo() {
+    void pagedListMissesNothingWhenRunnersDisappear() {
         List<Instance> all = new ArrayList<>();
         for (int i = 0; i < 60; i++) {
             String worker = i % 2 == 0 ? "w-north" : "w-south";
@@ -238,12 +238,12 @@
                     .findFirst()
                     .orElseThrow());
         }
-        // Memory is for 32 of these on each worker.
-        pass(A_START.plus(deployment.listLag()));
+        // Each worker has memory for 32 of these runners.
+        advance(START_LIMIT.plus(deployment.listLag()));
         JsonNode first = platform.runners(null, null).body();
         assertThat(first.path("instances").size(), is(50));
         platform.stop(null, all.get(3).identifier);
-        pass(deployment.listLag());
+        advance(deployment.listLag());
         JsonNode second =
                 platform.runners(null, first.path("next_page_token").asText()).body();
         assertThat(second.path("instances").size(), is(10));
--- a/rig/src/test/java/saltdale/rig/platform/live/LiveTest.java
+++ b/rig/src/test/java/saltdale/rig/platform/live/LiveTest.java
@@ -39,40 +39,40 @@
 import saltdale.transport.Connection;
 import saltdale.transport.Listener;
 
-/** RunnerSockets and the operator on sockets; what starts when is simulated. */
+/** Tests the runners and the operator on real sockets, with the starts of runners in simulated time. */
 @Timeout(20)
 class LiveTest {
     private final Deployment deployment = Deployment.small(91, 1, 3);
     private final Judge judge = new Judge(deployment.bounds());
     private final Route route = deployment.routes().get(2); // to press-1
     private final Origin origin = new Origin();
-    private final EventQueue starts = new EventQueue();
+    private final EventQueue eventQueue = new EventQueue();
     private LoopThread loopThread;
     private Platform platform;
     private String identifier;
     private String address;
 
     @BeforeEach
-    void turns() throws IOException {
+    void startLoop() throws IOException {
         loopThread = new LoopThread("test");
         loopThread.start();
     }
 
     @AfterEach
-    void ends() {
+    void stopLoop() {
         if (platform != null) {
-            // Its address is free for the next test once the loop has waited again.
-            CompletableFuture<Void> round = new CompletableFuture<>();
+            // The runner's address is free for the next test after another pass of the loop.
+            CompletableFuture<Void> nextPass = new CompletableFuture<>();
             loopThread.inside(() -> {
                 platform.crash("w-north", Duration.ZERO);
-                loopThread.loop.defer(() -> round.complete(null));
+                loopThread.loop.defer(() -> nextPass.complete(null));
             });
-            round.orTimeout(10, TimeUnit.SECONDS).join();
+            nextPass.orTimeout(10, TimeUnit.SECONDS).join();
         }
         loopThread.close();
     }
 
-    private void runner(RunnerFaults.Kind fault) {
+    private void startRunner(RunnerFaults.Kind fault) {
         RunnerFaults faults = new RunnerFaults(fault == null ? Map.of() : Map.of(fault, 1.0), 1);
         faults.setEnabled(true);
         loopThread.inside(() -> {
@@ -81,25 +81,26 @@
                     new Clock() {
                         @Override
                         public Duration now() {
-                            return starts.now();
+                            return eventQueue.now();
                         }
 
                         @Override
                         public void schedule(Duration delay, Runnable action) {
-                            starts.scheduleAfter(delay, action);
+                            eventQueue.scheduleAfter(delay, action);
                         }
                     },
                     new RunnerSockets(loopThread, origin, judge, faults, 1),
                     1);
             judge.recordChangeSent(deployment.routes());
-            ObjectNode begun = platform.begin(null, "press-1", "w-north", "n").body();
-            identifier = begun.path("identifier").asText();
-            address = begun.path("address").asText();
-            starts.runUntil(Duration.ofSeconds(2));
+            ObjectNode beginReply =
+                    platform.begin(null, "press-1", "w-north", "n").body();
+            identifier = beginReply.path("identifier").asText();
+            address = beginReply.path("address").asText();
+            eventQueue.runUntil(Duration.ofSeconds(2));
         });
     }
 
-    private CompletableFuture<HttpCall.Answer> call(String id, String more) {
+    private CompletableFuture<HttpCall.Answer> call(String id, String extraHeaders) {
         CompletableFuture<HttpCall.Answer> answer = new CompletableFuture<>();
         loopThread.inside(() -> {
             judge.recordTrySent(origin.now(), id, route, "GET /press1/x ", "p");
@@ -108,7 +109,7 @@
                     Address.parse(address),
                     "GET",
                     "/press1/x",
-                    "X-Saltdale-Attempt-Id: " + id + "\r\n" + more,
+                    "X-Saltdale-Attempt-Id: " + id + "\r\n" + extraHeaders,
                     new byte[0],
                     Duration.ofSeconds(5),
                     answer::complete);
@@ -117,8 +118,8 @@
     }
 
     @Test
-    void aRunnerRunsOneRequestAndTurnsAwayWhatIsOverOrForAnother() {
-        runner(null);
+    void runnerRejectsExcessMisdirectedAndExpiredRequests() {
+        startRunner(null);
         Instance instance = platform.liveInstances().get(0);
         loopThread.inside(() -> instance.admit("b", null, null));
         HttpCall.Answer full = call("a", "").join();
@@ -145,51 +146,52 @@
     @EnumSource(
             value = RunnerFaults.Kind.class,
             names = {"LOST", "GARBLED", "CUT"})
-    void aSpoiltAnswerIsNoAnswer(RunnerFaults.Kind kind) {
-        runner(kind);
+    void faultyAnswerIsNoAnswer(RunnerFaults.Kind kind) {
+        startRunner(kind);
         assertThat(call("a", "").join(), nullValue());
-        loopThread.inside(() -> judge.recordMalformedAnswer(origin.now(), "a")); // as the runner broke it off
+        loopThread.inside(
+                () -> judge.recordMalformedAnswer(origin.now(), "a")); // no breach, since the runner broke it off
         assertThat(judge.breachMessages().toString(), judge.breachCount(), is(0));
     }
 
     @Test
-    void theOperatorFollowsToTheOneThatTakesItAndMovesOnAfterAFailure() {
+    void operatorFollowsRedirectsAndTriesTheNextNodeAfterAFailure() {
         List<String> calls = new ArrayList<>();
         List<Machine> controlNodes = deployment.controlNodes();
         String last = controlNodes.get(2).at(Machine.CONTROL_PORT);
-        control(controlNodes.get(0), calls, 503, "");
-        control(controlNodes.get(1), calls, 307, "Location: http://" + last + "/elsewhere\r\n");
-        control(controlNodes.get(2), calls, 200, "");
+        startControlNode(controlNodes.get(0), calls, 503, "");
+        startControlNode(controlNodes.get(1), calls, 307, "Location: http://" + last + "/elsewhere\r\n");
+        startControlNode(controlNodes.get(2), calls, 200, "");
         CompletableFuture<HttpCall.Answer> answer = new CompletableFuture<>();
         loopThread.inside(() ->
                 new Operator(loopThread, deployment).change("Replace", 0, deployment.replacement(1), answer::complete));
         assertThat(answer.orTimeout(10, TimeUnit.SECONDS).join().status(), is(200));
-        loopThread.inside(() -> {}); // guards against reading what the loop has not written yet
+        loopThread.inside(() -> {}); // waits until the loop has recorded its last call
         assertThat(
                 calls,
                 equalTo(List.of("503 /Configuration.Replace 0", "307 /Configuration.Replace 0", "200 /elsewhere 0")));
     }
 
-    private void control(Machine controlNode, List<String> calls, int status, String headers) {
+    private void startControlNode(Machine controlNode, List<String> calls, int status, String headers) {
         loopThread.inside(() -> {
             try {
                 new Listener(
                         loopThread.loop,
                         loopThread.sockets,
                         Address.parse(controlNode.at(Machine.CONTROL_PORT)),
-                        (connection, full) -> new Control(connection, calls, status, headers));
+                        (connection, full) -> new ControlNodeConnection(connection, calls, status, headers));
             } catch (IOException e) {
                 throw new UncheckedIOException(e);
             }
         });
     }
 
-    private final class Control extends Exchange {
+    private final class ControlNodeConnection extends Exchange {
         private final List<String> calls;
         private final int status;
         private final String headers;
 
-        Control(Connection connection, List<String> calls, int status, String headers) {
+        ControlNodeConnection(Connection connection, List<String> calls, int status, String headers) {
             super(connection, origin);
             this.calls = calls;
             this.status = status;
@@ -205,12 +207,12 @@
 
         @Override
         public void disconnected(String cause) {
-            // It has its answer.
+            // The request has been answered.
         }
     }
 
     @Test
-    void whatIsReadBackMayBeInAnotherOrderAndNothingElse() {
+    void configurationReadBackMayDifferInOrderOnly() {
         ObjectNode sent = deployment.configuration(3, deployment.amendedRoutes());
         ObjectNode read = deployment.configuration(3, deployment.amendedRoutes());
         read.withArray("/routes").add(read.withArray("/routes").remove(0));
