--- a/rig/src/main/java/saltdale/rig/platform/EntryPoint.java
+++ b/rig/src/main/java/saltdale/rig/platform/EntryPoint.java
@@ -14,8 +14,8 @@
     public EntryPoint(List<Machine> fronts) {
         this.fronts = fronts;
         consecutiveMisses = new int[fronts.size()];
-        Arrays.fill(
-                consecutiveMisses, MISSED_PROBES_LIMIT); // a front is out of rotation until its first successful probe
+        // A front is out of rotation until its first successful probe.
+        Arrays.fill(consecutiveMisses, MISSED_PROBES_LIMIT);
     }
 
     /** Records the result of a readiness probe; two failures in a row take the front out of rotation. */
--- a/rig/src/main/java/saltdale/rig/platform/Judge.java
+++ b/rig/src/main/java/saltdale/rig/platform/Judge.java
@@ -68,7 +68,7 @@
     private final Map<String, Deque<Duration>> fullRejections = new HashMap<>();
     private final Map<String, Duration> outOfContactUntil = new HashMap<>();
     private final Map<Rule, Integer> breachCounts = new EnumMap<>(Rule.class);
-    private final Map<String, Map<String, Integer>> unservedByOutcome = new TreeMap<>();
+    private final Map<String, Map<String, Integer>> unservedByService = new TreeMap<>();
     private final List<String> breachMessages = new ArrayList<>();
     private final Histogram latency = new Histogram(3_600_000_000L, 3);
     private Duration disturbedUntil = Duration.ofNanos(Long.MIN_VALUE);
@@ -79,6 +79,7 @@
     private long deniedTries;
     private long rejectedAsFull;
 
+    /** Creates a judge that has seen no events. */
     public Judge(Bounds bounds) {
         this.bounds = bounds;
         for (Rule rule : Rule.values()) {
@@ -223,7 +224,7 @@
             latency.recordValue(elapsed.toNanos() / 1000);
         } else {
             String outcome = elapsed.compareTo(route.deadline()) >= 0 ? "deadline" : status == 0 ? "cut" : "" + status;
-            unservedByOutcome
+            unservedByService
                     .computeIfAbsent(route.service(), k -> new TreeMap<>())
                     .merge(outcome, 1, Integer::sum);
         }
@@ -231,7 +232,7 @@
 
     /** The numbers of unserved requests by service and by the outcome of their last try. */
     public Map<String, Map<String, Integer>> unservedByService() {
-        return unservedByOutcome;
+        return unservedByService;
     }
 
     // Runners.
--- a/rig/src/main/java/saltdale/rig/platform/Platform.java
+++ b/rig/src/main/java/saltdale/rig/platform/Platform.java
@@ -83,7 +83,7 @@
     private long overRateCount;
     private long stopCount;
     private double memoryMbSeconds;
-    private final Map<Instance, Duration> memoryHeldSince = new HashMap<>();
+    private final Map<Instance, Duration> memoryHeldSince = new HashMap<>(); // of runners that have not ended
 
     public Platform(Deployment deployment, Clock clock, Sockets sockets, long seed) {
         this.deployment = deployment;
@@ -157,8 +157,8 @@
             return rejection;
         }
         Service service = services.get(serviceName);
-        // A nonce may be any text; its bound is in bytes, and is applied here to characters, since the nodes send ASCII
-        // only.
+        // A nonce may be any text. Its bound is in bytes, but is applied here to characters, since the nodes
+        // send only ASCII.
         if (service == null
                 || worker == null
                 || nonce == null
@@ -225,8 +225,8 @@
             return refuseOverRate();
         }
         // The specification names the header X-Saltdale-Fence-Number but not what the platform does with it.
-        // Interpretation: a number lower than one seen before is rejected with 409, and a call without the header is
-        // accepted.
+        // Interpretation: a number lower than one seen before is rejected with 409, and a call without the
+        // header is accepted.
         if (fence != null) {
             if (fence < highestFenceNumber) {
                 return Reply.of(409);
--- a/rig/src/main/java/saltdale/rig/platform/live/SoakContact.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/SoakContact.java
@@ -15,7 +15,7 @@
 
     private final long contactNanos;
     private final Map<String, Integer> activeFaults = new HashMap<>(); // number in progress, by machine
-    private final Map<String, Long> disturbedAt = new HashMap<>();
+    private final Map<String, Long> disturbedAt = new HashMap<>(); // last begin or end of a fault, by nanoTime
 
     SoakContact(Duration contact) {
         contactNanos = contact.toNanos();
