--- a/rig/src/main/java/saltdale/rig/platform/live/SoakChanges.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/SoakChanges.java
@@ -74,8 +74,8 @@
     }
 
     /**
-     * The path prefix of a route that is part of every configuration from this revision on, until {@link
-     * #SOAK_ROUTES} newer routes have replaced it.
+     * The path prefix of a route that is part of every configuration from this revision on, until newer routes
+     * have replaced it after {@link #SOAK_ROUTES} buckets of revisions.
      */
     static String path(long revision) {
         return "/soak-" + revision / REVISIONS_PER_ROUTE + "/";
