--- a/rig/src/test/java/saltdale/rig/experiment/ExpectationTest.java
+++ b/rig/src/test/java/saltdale/rig/experiment/ExpectationTest.java
@@ -7,32 +7,32 @@
 
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import saltdale.rig.plan.Misread;
+import saltdale.rig.plan.InvalidInputException;
 
 class ExpectationTest {
-    private static boolean kept(String line) {
+    private static boolean isMet(String line) {
         return new Expectation("f", line)
                 .judge(Map.of("service", 0.9, "now.p99_ms", 55.0, "before.p99_ms", 50.0))
-                .kept();
+                .met();
     }
 
     @Test
     void figuresAreComparedWithNumbersAndWithEachOther() {
-        assertTrue(kept("service >= 0.9"));
-        assertFalse(kept("service > 0.9"));
-        assertTrue(kept("now.p99_ms <= before.p99_ms * 1.1"));
-        assertFalse(kept("now.p99_ms <= before.p99_ms + 4.9"));
-        assertTrue(kept("service != -0.9"));
+        assertTrue(isMet("service >= 0.9"));
+        assertFalse(isMet("service > 0.9"));
+        assertTrue(isMet("now.p99_ms <= before.p99_ms * 1.1"));
+        assertFalse(isMet("now.p99_ms <= before.p99_ms + 4.9"));
+        assertTrue(isMet("service != -0.9"));
     }
 
     @Test
-    void aFigureThatThereIsNotFailsAndABadLineIsRefused() {
-        assertFalse(kept("servise >= 0"));
-        assertThrows(Misread.class, () -> kept("service is good"));
+    void anUnknownFigureFailsAndAnInvalidLineIsRejected() {
+        assertFalse(isMet("servise >= 0"));
+        assertThrows(InvalidInputException.class, () -> isMet("service is good"));
     }
 
     @Test
-    void theIntervalHoldsTheMeanAndTightensWithTheSpread() {
+    void theIntervalContainsTheMeanAndNarrowsWithTheVariance() {
         Bootstrap wide = Bootstrap.of(new double[] {1, 2, 3, 4, 5}, 1);
         Bootstrap narrow = Bootstrap.of(new double[] {2.9, 3, 3.1, 3, 3}, 1);
         assertEquals(3, wide.mean(), 1e-9);
