--- a/rig/src/main/java/saltdale/rig/experiment/Run.java
+++ b/rig/src/main/java/saltdale/rig/experiment/Run.java
@@ -92,9 +92,8 @@
             String cpus,
             Progress progress)
             throws IOException {
-        if (day.dispatchers > LoopbackAddresses.MOST_DISPATCHERS) {
-            throw new IOException(
-                    "on sockets a day has at most " + LoopbackAddresses.MOST_DISPATCHERS + " dispatchers");
+        if (day.dispatchers > LoopbackAddresses.MAX_DISPATCHERS) {
+            throw new IOException("on sockets a day has at most " + LoopbackAddresses.MAX_DISPATCHERS + " dispatchers");
         }
         Files.createDirectories(folder);
         EventRecorder notes = new EventRecorder();
@@ -114,10 +113,10 @@
                 Shifted shifted = new Shifted(asks, start);
                 Generator generator = new Generator(
                         clients, day, dispatchers.addresses(), origin, notes, day.seed + 3, "n" + repeat, start);
-                runners.inside(runners::watchItself);
-                clients.inside(clients::watchItself);
-                runners.inside(() -> fleet.get().begin(start));
-                clients.inside(() -> generator.begin(shifted));
+                runners.runAndWait(runners::monitorDelay);
+                clients.runAndWait(clients::monitorDelay);
+                runners.runAndWait(() -> fleet.get().begin(start));
+                clients.runAndWait(() -> generator.begin(shifted));
                 dispatchers.countCpu();
                 Thread faults = new Thread(() -> faults(day, dispatchers, origin, start), "faults of dispatchers");
                 faults.setDaemon(true);
@@ -136,9 +135,9 @@
                 boolean died = !dispatchers.crashed().isEmpty();
                 Files.writeString(folder.resolve("counters.txt"), dispatchers.get(0, "/counters"));
                 Thread.sleep(300); // for what is still on its way to the stand-ins
-                Duration late = Durations.max(runners.mostLate(), clients.mostLate());
+                Duration late = Durations.max(runners.maxDelay(), clients.maxDelay());
                 Judge judge = new Judge(JudgeSettings.of(day, SLACK.plus(late)), Duration.ofSeconds(5));
-                clients.inside(generator::hangUp);
+                clients.runAndWait(generator::hangUp);
                 notes.replayTo(judge);
                 judge.finish();
                 Map<String, Double> figures = Outcome.figures(
@@ -150,7 +149,7 @@
                 figures.putAll(Overloads.figures(day, generator.tally(), generator.spread()));
                 figures.put("cpu_us_per_job", cpu * 1e6 / Math.max(1, judge.requestCount()));
                 figures.put("memory_mb", memory);
-                figures.put("runners_late_most_ms", runners.mostLate().toNanos() / 1e6);
+                figures.put("runners_late_most_ms", runners.maxDelay().toNanos() / 1e6);
                 figures.put("generator_lag_p99_ms", generator.lag().getValueAtPercentile(99) / 1e3);
                 figures.put("generator_lag_max_ms", generator.lag().getMaxValue() / 1e3);
                 figures.put(
--- a/rig/src/main/java/saltdale/rig/load/Generator.java
+++ b/rig/src/main/java/saltdale/rig/load/Generator.java
@@ -263,7 +263,7 @@
                             + "\r\nRequest-Timeout-Ms: "
                             + patience.toMillis() + "\r\nIdempotency-Key: " + run + "-" + ask.number() + "\r\n"
                             + (day.traffic.marks() && customer.tries > 1 ? "Client-Retry: 1\r\n" : "")
-                            + StandInFleet.WORK + ": " + Math.max(1, Math.round(ask.size() * 1e6))
+                            + StandInFleet.WORK_HEADER + ": " + Math.max(1, Math.round(ask.size() * 1e6))
                             + "\r\nContent-Length: 0\r\n\r\n")
                     .getBytes(StandardCharsets.US_ASCII)));
             if (!again) {
--- a/rig/src/main/java/saltdale/rig/platform/live/EndToEndRun.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/EndToEndRun.java
@@ -248,7 +248,7 @@
             if (!judge.unservedByService().isEmpty()) {
                 out.println("  not served, by how the last try ended: " + judge.unservedByService());
             }
-            Duration loopDelay = standIn.loopThread.mostLate();
+            Duration loopDelay = standIn.loopThread.maxDelay();
             if (loopDelay.compareTo(MAX_LOOP_DELAY) > 0) {
                 out.println("  the rig itself was up to " + loopDelay.toMillis()
                         + " ms late: times are this machine's own");
@@ -264,7 +264,7 @@
     }
 
     private void runOnLoop(Runnable action) {
-        standIn.loopThread.inside(action);
+        standIn.loopThread.runAndWait(action);
     }
 
     private void report(String message) {
--- a/rig/src/main/java/saltdale/rig/platform/live/PlatformServer.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/PlatformServer.java
@@ -58,7 +58,7 @@
         }
 
         @Override
-        protected void requested(Head head, byte[] body, Duration first) {
+        protected void onRequest(Head head, byte[] body, Duration first) {
             Reply reply = reply(head, body);
             if (log != null) {
                 log.printf(
@@ -76,7 +76,7 @@
                     reply.status(),
                     "Content-Type: application/json\r\n",
                     reply.body().toString())));
-            answered();
+            responseSent();
             if (!head.keepsAlive()) {
                 connection.closeGracefully();
             }
--- a/rig/src/main/java/saltdale/rig/platform/live/PlatformStandIn.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/PlatformStandIn.java
@@ -38,14 +38,14 @@
         loopThread = new LoopThread("platform");
         AtomicReference<IOException> failure = new AtomicReference<>();
         loopThread.start();
-        loopThread.inside(() -> {
+        loopThread.runAndWait(() -> {
             try {
                 platform = new Platform(
                         deployment,
                         new LoopClock(loopThread, origin),
                         new RunnerSockets(loopThread, origin, judge, faults, seed),
                         seed);
-                loopThread.watchItself();
+                loopThread.monitorDelay();
                 new PlatformServer(loopThread, origin, deployment, platform, log);
             } catch (IOException e) {
                 failure.set(e);
--- a/rig/src/main/java/saltdale/rig/platform/live/RunnerSockets.java
+++ b/rig/src/main/java/saltdale/rig/platform/live/RunnerSockets.java
@@ -145,12 +145,12 @@
         }
 
         @Override
-        protected void unreadable() {
+        protected void onMalformedRequest() {
             drop(true);
         }
 
         @Override
-        protected void requested(Head head, byte[] body, Duration first) {
+        protected void onRequest(Head head, byte[] body, Duration first) {
             Duration now = origin.now();
             String id = head.uniqueHeader("X-Saltdale-Attempt-Id");
             Duration remaining = parseMillis(head.header("X-Saltdale-Deadline-Remaining"));
@@ -214,7 +214,7 @@
 
         private void sendAnswer(byte[] answer) {
             connection.send(ByteBuffer.wrap(answer));
-            answered();
+            responseSent();
             if (instance.isLeaving()) {
                 closeGracefully();
             }
--- a/rig/src/main/java/saltdale/rig/standin/Served.java
+++ b/rig/src/main/java/saltdale/rig/standin/DispatcherConnection.java
@@ -13,13 +13,13 @@
 import saltdale.transport.Connection;
 
 /** A connection from a dispatcher. */
-final class Served extends Exchange {
+final class DispatcherConnection extends Exchange {
     private final StandInFleet fleet;
     private final RunnerEndpoint endpoint;
     private final StandInRunner runner;
     private RunnerJob unanswered;
 
-    Served(RunnerEndpoint endpoint, Connection connection) {
+    DispatcherConnection(RunnerEndpoint endpoint, Connection connection) {
         super(connection, endpoint.runner.fleet.origin);
         this.fleet = endpoint.runner.fleet;
         this.endpoint = endpoint;
@@ -45,7 +45,7 @@
     }
 
     @Override
-    protected void requested(Head head, byte[] body, Duration first) {
+    protected void onRequest(Head head, byte[] body, Duration first) {
         fleet.requests++;
         String path = head.path();
         if (head.method().equals("POST")) {
@@ -77,7 +77,7 @@
         int slash = path.indexOf('/', 1);
         Workload workload = fleet.workloads.get(path.substring(1, slash < 0 ? path.length() : slash));
         String id = head.uniqueHeader("Request-Id");
-        String size = head.header(StandInFleet.WORK);
+        String size = head.header(StandInFleet.WORK_HEADER);
         if (workload == null || id == null || size == null || !size.matches("\\d{1,12}")) {
             say(answer(id == null ? 404 : 400, "", ""));
             return;
@@ -151,7 +151,7 @@
         } else {
             unanswered = null;
             connection.send(ByteBuffer.wrap(answer));
-            answered();
+            responseSent();
         }
     }
 
@@ -164,7 +164,7 @@
             fleet.loopThread.loop.schedule(gap, () -> drip(answer, from + 1, gap));
         } else {
             unanswered = null;
-            answered();
+            responseSent();
         }
     }
 
--- a/rig/src/main/java/saltdale/rig/standin/Exchange.java
+++ b/rig/src/main/java/saltdale/rig/standin/Exchange.java
@@ -24,11 +24,11 @@
         connection.setHandler(this);
     }
 
-    /** A whole request has come; {@link #answered} is to be called once its answer is out. */
-    protected abstract void requested(Head head, byte[] body, Duration first);
+    /** A whole request has come; {@link #responseSent} is to be called once its answer is out. */
+    protected abstract void onRequest(Head head, byte[] body, Duration first);
 
     /** It can't be read, and is closed. */
-    protected void unreadable() {
+    protected void onMalformedRequest() {
         connection.close();
     }
 
@@ -38,7 +38,7 @@
             firstByte = firstByte == null ? clock.now() : firstByte;
             parser.parse(bytes);
             if (parser.isMalformed() || answering) {
-                unreadable(); // dispatchers send one request at a time
+                onMalformedRequest(); // dispatchers send one request at a time
                 return;
             }
             if (!parser.isComplete()) {
@@ -50,11 +50,11 @@
             firstByte = null;
             parser.startNextMessage();
             answering = true;
-            requested(head, body, first);
+            onRequest(head, body, first);
         }
     }
 
-    protected void answered() {
+    protected void responseSent() {
         answering = false;
     }
 
--- a/rig/src/main/java/saltdale/rig/standin/NewsCall.java
+++ b/rig/src/main/java/saltdale/rig/standin/JobReportCall.java
@@ -9,7 +9,7 @@
 import saltdale.transport.Timer;
 
 /** One call of a runner to a dispatcher. */
-final class NewsCall implements Connection.Handler {
+final class JobReportCall implements Connection.Handler {
     /** A call that has no answer by then has none. */
     static final Duration LIMIT = Duration.ofSeconds(2);
 
@@ -21,7 +21,7 @@
     private Connection connection;
     private Timer limit;
 
-    NewsCall(LoopThread loopThread, ConnectionPool pool, byte[] call, Consumer<Boolean> after) {
+    JobReportCall(LoopThread loopThread, ConnectionPool pool, byte[] call, Consumer<Boolean> after) {
         this.loopThread = loopThread;
         this.pool = pool;
         this.call = call;
--- a/rig/src/main/java/saltdale/rig/standin/JobReports.java
+++ b/rig/src/main/java/saltdale/rig/standin/JobReports.java
@@ -87,7 +87,8 @@
         busy = true;
         // Out of the queue: guards against another that passes it meanwhile and would be dropped in its place.
         sending = sending == null ? waiting.poll() : sending;
-        new NewsCall(fleet.loopThread, fleet.callBack(runner.number, work.dispatcher), sending, this::told).begin();
+        new JobReportCall(fleet.loopThread, fleet.callBack(runner.number, work.dispatcher), sending, this::told)
+                .begin();
     }
 
     private void told(boolean heard) {
--- a/rig/src/main/java/saltdale/rig/standin/LoopThread.java
+++ b/rig/src/main/java/saltdale/rig/standin/LoopThread.java
@@ -37,7 +37,7 @@
     }
 
     /** Counts from now on how late it is; called on the loop. */
-    public void watchItself() {
+    public void monitorDelay() {
         tick(loop.elapsed());
     }
 
@@ -49,12 +49,12 @@
     }
 
     /** The most that this thread was late. */
-    public Duration mostLate() {
+    public Duration maxDelay() {
         return Duration.ofNanos(mostLate);
     }
 
     /** Does this on the loop's thread, and waits until it is done. */
-    public void inside(Runnable what) {
+    public void runAndWait(Runnable what) {
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(() -> {
             try {
--- a/rig/src/main/java/saltdale/rig/standin/LoopbackAddresses.java
+++ b/rig/src/main/java/saltdale/rig/standin/LoopbackAddresses.java
@@ -10,7 +10,7 @@
  */
 public final class LoopbackAddresses {
     /** So many dispatchers have room in the third figure of an address. */
-    public static final int MOST_DISPATCHERS = 250;
+    public static final int MAX_DISPATCHERS = 250;
 
     private final int port;
 
--- a/rig/src/main/java/saltdale/rig/standin/RunnerEndpoint.java
+++ b/rig/src/main/java/saltdale/rig/standin/RunnerEndpoint.java
@@ -11,7 +11,7 @@
     final StandInRunner runner;
     final int dispatcher;
     private final SwitchableListener listener;
-    final Set<Served> open = new HashSet<>();
+    final Set<DispatcherConnection> open = new HashSet<>();
 
     RunnerEndpoint(StandInRunner runner, int dispatcher) throws IOException {
         this.runner = runner;
@@ -19,7 +19,7 @@
         listener = new SwitchableListener(
                 runner.fleet.loopThread,
                 runner.fleet.endpointAt(runner.number, dispatcher),
-                (connection, full) -> open.add(new Served(this, connection)));
+                (connection, full) -> open.add(new DispatcherConnection(this, connection)));
     }
 
     boolean isMuted() {
@@ -30,7 +30,7 @@
     void set() {
         boolean mute = runner.silent || runner.fleet.isCut(runner.number, dispatcher);
         if (mute != listener.isSilent() && !listener.isShut()) {
-            listener.silent(mute);
+            listener.setSilent(mute);
             open.forEach(each -> each.reading(!mute));
         }
     }
@@ -49,7 +49,7 @@
     }
 
     private void dropAll() {
-        List.copyOf(open).forEach(Served::drop);
+        List.copyOf(open).forEach(DispatcherConnection::drop);
         open.clear();
     }
 }
--- a/rig/src/main/java/saltdale/rig/standin/RunnerListServer.java
+++ b/rig/src/main/java/saltdale/rig/standin/RunnerListServer.java
@@ -27,7 +27,7 @@
 import saltdale.transport.Listener;
 
 /** The list of runners by the platform's protocol: the whole of it, and a watch that stays open. */
-public final class RunnerListServer implements ListWord {
+public final class RunnerListServer implements RunnerStateListener {
     private static final Duration EMPTY_LINE = Duration.ofSeconds(2);
     private static final Pattern FROM = Pattern.compile("[?&]from=(\\d{1,18})");
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -83,7 +83,7 @@
     }
 
     @Override
-    public void changed(int runner, ListedHealth health, Duration bornAt) {
+    public void runnerChanged(int runner, ListedHealth health, Duration bornAt) {
         Entry entry = entries.get(runner);
         boolean older = entry.bornAt != null && (bornAt == null || bornAt.compareTo(entry.bornAt) < 0);
         if (older) { // guards against a late word of an earlier life
@@ -96,13 +96,13 @@
     }
 
     @Override
-    public void mute(boolean wanted) {
-        mute = wanted;
+    public void setSilent(boolean silent) {
+        mute = silent;
         tellAll();
     }
 
     @Override
-    public void way(int dispatcher, LinkCondition next) {
+    public void linkChanged(int dispatcher, LinkCondition next) {
         if (next.equals(Objects.requireNonNullElse(ways.put(dispatcher, next), LinkCondition.CLEAR))) {
             return;
         } else if (next.reset()) {
@@ -174,7 +174,7 @@
         }
 
         @Override
-        protected void requested(Head head, byte[] body, Duration first) {
+        protected void onRequest(Head head, byte[] body, Duration first) {
             if (ways.getOrDefault(dispatcher, LinkCondition.CLEAR).reset()) {
                 reset();
                 return;
@@ -183,14 +183,14 @@
             }
             if (!head.path().equals("/discovery/hosts") || !head.method().equals("GET")) {
                 connection.send(ByteBuffer.wrap(answer(404, "", "")));
-                answered();
+                responseSent();
             } else if (head.target().contains("watch=1")) {
                 watch = new Watch(connection, dispatcher, from(head.target()));
                 watches.add(watch);
             } else {
                 connection.send(
                         ByteBuffer.wrap(answer(200, "Content-Type: application/json\r\n", text(dispatcher, -1))));
-                answered();
+                responseSent();
             }
         }
 
--- a/rig/src/main/java/saltdale/rig/standin/ListWord.java
+++ b/rig/src/main/java/saltdale/rig/standin/RunnerStateListener.java
@@ -5,13 +5,13 @@
 import saltdale.rig.judge.EventObserver.ListedHealth;
 
 /** Who comes to know of changes among the runners; called on the loop. */
-public interface ListWord {
+public interface RunnerStateListener {
     /** {@code bornAt} null: it has run for long. */
-    void changed(int runner, ListedHealth health, Duration bornAt);
+    void runnerChanged(int runner, ListedHealth health, Duration bornAt);
 
     /** This is how its way to this dispatcher is from now on. */
-    void way(int dispatcher, LinkCondition next);
+    void linkChanged(int dispatcher, LinkCondition next);
 
     /** It falls silent, or speaks again. */
-    void mute(boolean wanted);
+    void setSilent(boolean silent);
 }
--- a/rig/src/main/java/saltdale/rig/standin/StandInFleet.java
+++ b/rig/src/main/java/saltdale/rig/standin/StandInFleet.java
@@ -26,7 +26,7 @@
 /** The runners of a day on sockets, by the platform's protocol; each is a model with a loop for its clock. */
 public final class StandInFleet {
     /** The header in which the load tells a runner how much work a job is, in microseconds. */
-    public static final String WORK = "Rig-Work-Us";
+    public static final String WORK_HEADER = "Rig-Work-Us";
 
     private static final Duration SAMPLE = Duration.ofMillis(250);
 
@@ -40,7 +40,7 @@
     final LoopbackAddresses places;
     final Origin origin;
     final EventObserver witness;
-    final ListWord list;
+    final RunnerStateListener list;
     final TroubleSchedule troubles;
     final Watch watch;
     private final SplittableRandom chance;
@@ -60,7 +60,7 @@
             LoopbackAddresses places,
             Origin origin,
             EventObserver witness,
-            ListWord list,
+            RunnerStateListener list,
             long seed)
             throws IOException {
         this.loopThread = loopThread;
@@ -101,7 +101,7 @@
     }
 
     private ConnectionPool pool(InetSocketAddress at) {
-        return new ConnectionPool(loopThread.loop, loopThread.sockets, at, NewsCall.LIMIT, Duration.ofSeconds(2));
+        return new ConnectionPool(loopThread.loop, loopThread.sockets, at, JobReportCall.LIMIT, Duration.ofSeconds(2));
     }
 
     /** Where a runner itself listens for a dispatcher: behind their way, if something befalls that. */
@@ -157,9 +157,9 @@
 
     private void passes(Pair pair, Links own, Duration at) {
         LinkCondition next = troubles.linkCondition(pair.runner, pair.dispatcher, at);
-        if (!next.equals(own.there.passage())) {
-            own.there.set(next);
-            own.back.set(next);
+        if (!next.equals(own.there.condition())) {
+            own.there.setCondition(next);
+            own.back.setCondition(next);
         }
     }
 
@@ -170,7 +170,7 @@
                 Pair pair = new Pair(runner, dispatcher);
                 Links own = links.get(pair);
                 boolean free = !isCut(runner, dispatcher)
-                        && (own == null || own.there.passage().isClear());
+                        && (own == null || own.there.condition().isClear());
                 if (free ? disturbed.remove(pair) : disturbed.add(pair)) {
                     witness.linkChanged(origin.now(), runner, dispatcher, free);
                 }
@@ -191,8 +191,8 @@
                 tellDisturbed();
                 runners.forEach(StandInRunner::endpoints);
             }
-            case SILENCE_LIST -> list.mute(true);
-            case RESUME_LIST -> list.mute(false);
+            case SILENCE_LIST -> list.setSilent(true);
+            case RESUME_LIST -> list.setSilent(false);
             // the dispatchers' own; what is on the wire is looked up at each answer
             case KILL_DISPATCHER,
                     RESTART_DISPATCHER,
@@ -204,7 +204,7 @@
                 links.forEach((pair, own) -> passes(pair, own, turn.at()));
                 tellDisturbed();
                 for (int j = 0; j < day.dispatchers; j++) {
-                    list.way(j, troubles.listLinkCondition(j, turn.at()));
+                    list.linkChanged(j, troubles.listLinkCondition(j, turn.at()));
                 }
             }
             default -> trouble.runners().forEach(i -> runners.get(i).act(turn.action(), turn.at()));
--- a/rig/src/main/java/saltdale/rig/standin/StandInRunner.java
+++ b/rig/src/main/java/saltdale/rig/standin/StandInRunner.java
@@ -115,7 +115,7 @@
 
     private void lists(ListedHealth health, Duration notice) {
         Duration bornAt = model.startedAt();
-        fleet.loopThread.loop.schedule(notice, () -> fleet.list.changed(number, health, bornAt));
+        fleet.loopThread.loop.schedule(notice, () -> fleet.list.runnerChanged(number, health, bornAt));
     }
 
     boolean has(Kind wire) {
--- a/rig/src/main/java/saltdale/rig/ways/LinkRelay.java
+++ b/rig/src/main/java/saltdale/rig/ways/LinkRelay.java
@@ -31,7 +31,7 @@
     private final SplittableRandom chance;
     private final SwitchableListener mouth;
     private final Set<RelayedConnection> strands = new LinkedHashSet<>();
-    private LinkCondition passage = LinkCondition.CLEAR;
+    private LinkCondition condition = LinkCondition.CLEAR;
 
     /** {@code outward}: whether who connects is the dispatcher, so that its bytes go to the runner. */
     public LinkRelay(
@@ -48,19 +48,19 @@
         mouth = new SwitchableListener(loopThread, at, (connection, full) -> new RelayedConnection(connection));
     }
 
-    public LinkCondition passage() {
-        return passage;
+    public LinkCondition condition() {
+        return condition;
     }
 
     /** From now on this passes. */
-    public void set(LinkCondition next) {
-        passage = next;
+    public void setCondition(LinkCondition next) {
+        condition = next;
         if (next.reset()) {
             mouth.shut();
             List.copyOf(strands).forEach(RelayedConnection::reset);
         } else {
             mouth.open();
-            mouth.silent(next.isUnresponsive());
+            mouth.setSilent(next.isUnresponsive());
             List.copyOf(strands).forEach(RelayedConnection::renew);
         }
     }
@@ -124,7 +124,7 @@
             }
 
             private boolean isCut() {
-                return toRunner ? passage.blockedToRunner() : passage.blockedFromRunner();
+                return toRunner ? condition.blockedToRunner() : condition.blockedFromRunner();
             }
 
             @Override
@@ -136,7 +136,7 @@
             public void received(ByteBuffer bytes) {
                 ByteBuffer copy =
                         ByteBuffer.allocate(bytes.remaining()).put(bytes).flip();
-                double late = passage.delaySeconds() * (1 + passage.jitterShare() * chance.nextDouble());
+                double late = condition.delaySeconds() * (1 + condition.jitterShare() * chance.nextDouble());
                 Duration due = loopThread.loop.now().plusNanos((long) (late * 1e9));
                 lastDue = due.compareTo(lastDue) > 0 ? due : lastDue; // in order, as TCP has it
                 parts.add(new Part(lastDue, copy));
@@ -172,7 +172,7 @@
                     if (next.due.compareTo(now) > 0) {
                         timer = loopThread.loop.schedule(next.due.minus(now), this::pump);
                         return;
-                    } else if (passage.bytesPerSecond() > 0) {
+                    } else if (condition.bytesPerSecond() > 0) {
                         trickle(next);
                         return;
                     }
@@ -190,8 +190,8 @@
             }
 
             private void trickle(Part next) {
-                double gap = Math.max(STEP.toNanos() / 1e9, 1 / passage.bytesPerSecond());
-                int many = Math.min(next.bytes.remaining(), Math.max(1, (int) (passage.bytesPerSecond() * gap)));
+                double gap = Math.max(STEP.toNanos() / 1e9, 1 / condition.bytesPerSecond());
+                int many = Math.min(next.bytes.remaining(), Math.max(1, (int) (condition.bytesPerSecond() * gap)));
                 byte[] some = new byte[many];
                 next.bytes.get(some);
                 if (!next.bytes.hasRemaining()) {
--- a/rig/src/main/java/saltdale/rig/ways/SwitchableListener.java
+++ b/rig/src/main/java/saltdale/rig/ways/SwitchableListener.java
@@ -44,7 +44,7 @@
     }
 
     /** From now on what connects gets no answer at all; or it does again. No effect while it is shut. */
-    public void silent(boolean wanted) {
+    public void setSilent(boolean wanted) {
         if (wanted == silent || listener == null) {
             return;
         }
--- a/rig/src/test/java/saltdale/rig/load/GeneratorTest.java
+++ b/rig/src/test/java/saltdale/rig/load/GeneratorTest.java
@@ -35,14 +35,14 @@
                     1,
                     "t",
                     origin.now());
-            loopThread.inside(() -> {
+            loopThread.runAndWait(() -> {
                 generator.begin(new Arrivals(day.traffic, day.jobs, day.length, 1));
                 while (origin.now().compareTo(Duration.ofMillis(500)) < 0) {
                     Thread.onSpinWait(); // another program has its core until all has been due
                 }
             });
             while (!generator.isOver()) {
-                loopThread.inside(() -> {});
+                loopThread.runAndWait(() -> {});
             }
             assertNotNull(generator.isVoid());
             assertTrue(generator.isVoid().contains("fell behind"), generator.isVoid());
--- a/rig/src/test/java/saltdale/rig/platform/live/LiveTest.java
+++ b/rig/src/test/java/saltdale/rig/platform/live/LiveTest.java
@@ -63,7 +63,7 @@
         if (platform != null) {
             // Its address is free for the next test once the loop has waited again.
             CompletableFuture<Void> round = new CompletableFuture<>();
-            loopThread.inside(() -> {
+            loopThread.runAndWait(() -> {
                 platform.crash("w-north", Duration.ZERO);
                 loopThread.loop.defer(() -> round.complete(null));
             });
@@ -75,7 +75,7 @@
     private void runner(RunnerFaults.Kind fault) {
         RunnerFaults faults = new RunnerFaults(fault == null ? Map.of() : Map.of(fault, 1.0), 1);
         faults.setEnabled(true);
-        loopThread.inside(() -> {
+        loopThread.runAndWait(() -> {
             platform = new Platform(
                     deployment,
                     new Clock() {
@@ -101,7 +101,7 @@
 
     private CompletableFuture<HttpCall.Answer> call(String id, String more) {
         CompletableFuture<HttpCall.Answer> answer = new CompletableFuture<>();
-        loopThread.inside(() -> {
+        loopThread.runAndWait(() -> {
             judge.recordTrySent(origin.now(), id, route, "GET /press1/x ", "p");
             HttpCall.send(
                     loopThread,
@@ -120,11 +120,11 @@
     void aRunnerRunsOneRequestAndTurnsAwayWhatIsOverOrForAnother() {
         runner(null);
         Instance instance = platform.liveInstances().get(0);
-        loopThread.inside(() -> instance.admit("b", null, null));
+        loopThread.runAndWait(() -> instance.admit("b", null, null));
         HttpCall.Answer full = call("a", "").join();
         assertThat(full.status(), is(503));
         assertThat(full.head().header("X-Saltdale-Not-Executed"), notNullValue());
-        loopThread.inside(instance::requestFinished);
+        loopThread.runAndWait(instance::requestFinished);
         HttpCall.Answer whole =
                 call("a", "X-Saltdale-Expected-Runner: " + identifier + "\r\n").join();
         assertThat(whole.status(), is(200));
@@ -133,7 +133,7 @@
         assertThat(whole.body(), equalTo(Judge.bodyFor(seal)));
         assertThat(call("c", "X-Saltdale-Expected-Runner: i-other\r\n").join().status(), is(421));
         assertThat(call("d", "X-Saltdale-Deadline-Remaining: 1\r\n").join().status(), is(504));
-        loopThread.inside(() -> {
+        loopThread.runAndWait(() -> {
             judge.recordAnswer(origin.now(), "a", 200, seal, "a", whole.body());
             platform.stop(null, identifier);
         });
@@ -148,7 +148,7 @@
     void aSpoiltAnswerIsNoAnswer(RunnerFaults.Kind kind) {
         runner(kind);
         assertThat(call("a", "").join(), nullValue());
-        loopThread.inside(() -> judge.recordMalformedAnswer(origin.now(), "a")); // as the runner broke it off
+        loopThread.runAndWait(() -> judge.recordMalformedAnswer(origin.now(), "a")); // as the runner broke it off
         assertThat(judge.breachMessages().toString(), judge.breachCount(), is(0));
     }
 
@@ -161,17 +161,17 @@
         control(controlNodes.get(1), calls, 307, "Location: http://" + last + "/elsewhere\r\n");
         control(controlNodes.get(2), calls, 200, "");
         CompletableFuture<HttpCall.Answer> answer = new CompletableFuture<>();
-        loopThread.inside(() ->
+        loopThread.runAndWait(() ->
                 new Operator(loopThread, deployment).change("Replace", 0, deployment.replacement(1), answer::complete));
         assertThat(answer.orTimeout(10, TimeUnit.SECONDS).join().status(), is(200));
-        loopThread.inside(() -> {}); // guards against reading what the loop has not written yet
+        loopThread.runAndWait(() -> {}); // guards against reading what the loop has not written yet
         assertThat(
                 calls,
                 equalTo(List.of("503 /Configuration.Replace 0", "307 /Configuration.Replace 0", "200 /elsewhere 0")));
     }
 
     private void control(Machine controlNode, List<String> calls, int status, String headers) {
-        loopThread.inside(() -> {
+        loopThread.runAndWait(() -> {
             try {
                 new Listener(
                         loopThread.loop,
@@ -197,10 +197,10 @@
         }
 
         @Override
-        protected void requested(Head head, byte[] body, Duration first) {
+        protected void onRequest(Head head, byte[] body, Duration first) {
             calls.add(status + " " + head.target() + " " + head.header("X-Saltdale-Based-On-Version"));
             connection.send(ByteBuffer.wrap(answer(status, headers, "")));
-            answered();
+            responseSent();
         }
 
         @Override
--- a/rig/src/test/java/saltdale/rig/standin/StandInFleetTest.java
+++ b/rig/src/test/java/saltdale/rig/standin/StandInFleetTest.java
@@ -68,13 +68,13 @@
         Thread thread = new Thread(this::hear);
         thread.setDaemon(true);
         thread.start();
-        loopThread.inside(() -> fleet.begin(origin.now()));
+        loopThread.runAndWait(() -> fleet.begin(origin.now()));
         // What begins with the day stands in the loop's timers before this one, and has closed two turns after it.
         CompletableFuture<Void> begun = new CompletableFuture<>();
-        loopThread.inside(() -> loopThread.loop.schedule(Duration.ofMillis(20), () -> begun.complete(null)));
+        loopThread.runAndWait(() -> loopThread.loop.schedule(Duration.ofMillis(20), () -> begun.complete(null)));
         begun.orTimeout(10, TimeUnit.SECONDS).join();
         for (int i = 0; i < 4; i++) {
-            loopThread.inside(() -> {});
+            loopThread.runAndWait(() -> {});
         }
     }
 
--- a/rig/src/test/java/saltdale/rig/ways/LinkRelayTest.java
+++ b/rig/src/test/java/saltdale/rig/ways/LinkRelayTest.java
@@ -26,7 +26,7 @@
 class LinkRelayTest {
     private LoopThread loopThread;
     private ServerSocket behind;
-    private LinkRelay way;
+    private LinkRelay relay;
     private InetSocketAddress at;
     private Socket near;
     private Socket far;
@@ -38,7 +38,7 @@
             at = (InetSocketAddress) free.getLocalSocketAddress();
         }
         loopThread = new LoopThread("way");
-        way = new LinkRelay(
+        relay = new LinkRelay(
                 loopThread, at, (InetSocketAddress) behind.getLocalSocketAddress(), true, new SplittableRandom(1));
         loopThread.start();
         near = new Socket(at.getAddress(), at.getPort());
@@ -56,7 +56,7 @@
     }
 
     private void set(boolean there, boolean back, double late, double pace) {
-        loopThread.inside(() -> way.set(new LinkCondition(false, there, back, late, 0, pace)));
+        loopThread.runAndWait(() -> relay.setCondition(new LinkCondition(false, there, back, late, 0, pace)));
     }
 
     private static void passes(Socket from, Socket to, String text) throws IOException {
@@ -102,7 +102,7 @@
 
     @Test
     void resetEndsWhatIsOpenRefusesWhatComesAndIsOverAgain() throws IOException {
-        loopThread.inside(() -> way.set(new LinkCondition(true, true, true, 0, 0, 0)));
+        loopThread.runAndWait(() -> relay.setCondition(new LinkCondition(true, true, true, 0, 0, 0)));
         assertThrows(SocketException.class, () -> near.getInputStream().read());
         assertThrows(SocketException.class, () -> new Socket(at.getAddress(), at.getPort()).close());
         set(false, false, 0, 0);
--- a/tools/src/main/java/saltdale/tools/Ceiling.java
+++ b/tools/src/main/java/saltdale/tools/Ceiling.java
@@ -63,12 +63,12 @@
             Duration start = origin.now();
             Generator generator = new Generator(
                     clients, day, List.of(places.dispatcher(0)), origin, EventObserver.NONE, 1, "c" + rate, start);
-            clients.inside(() -> generator.begin(Run.asks(day, Path.of("."), start)));
+            clients.runAndWait(() -> generator.begin(Run.asks(day, Path.of("."), start)));
             Duration last = start.plus(day.length).plusSeconds(4);
             while (!generator.isOver() && origin.now().compareTo(last) < 0) {
                 Thread.sleep(20);
             }
-            server.inside(() -> {
+            server.runAndWait(() -> {
                 try {
                     listener.close();
                 } catch (IOException e) {
--- a/tools/src/main/java/saltdale/tools/Load.java
+++ b/tools/src/main/java/saltdale/tools/Load.java
@@ -51,14 +51,14 @@
                     day.seed + 3,
                     "l" + origin.unixMillis,
                     start);
-            loopThread.inside(
+            loopThread.runAndWait(
                     () -> generator.begin(Run.asks(day, file.toAbsolutePath().getParent(), start)));
             Duration last =
                     start.plus(day.length).plus(day.orders.maxClientTimeout()).plusSeconds(5);
             while (origin.now().compareTo(last) < 0 && !generator.isOver()) {
                 Thread.sleep(50);
             }
-            loopThread.inside(() -> generator
+            loopThread.runAndWait(() -> generator
                     .tally()
                     .figures()
                     .forEach((name, value) -> System.out.printf(Locale.ROOT, "%-34s %.6g%n", name, value)));
--- a/tools/src/main/java/saltdale/tools/StandIn.java
+++ b/tools/src/main/java/saltdale/tools/StandIn.java
@@ -13,11 +13,11 @@
 import saltdale.rig.fleet.TroubleSchedule;
 import saltdale.rig.judge.EventObserver;
 import saltdale.rig.plan.Day;
-import saltdale.rig.standin.ListWord;
 import saltdale.rig.standin.LoopThread;
 import saltdale.rig.standin.LoopbackAddresses;
 import saltdale.rig.standin.Origin;
 import saltdale.rig.standin.RunnerListServer;
+import saltdale.rig.standin.RunnerStateListener;
 import saltdale.rig.standin.StandInFleet;
 
 @Command(
@@ -62,14 +62,14 @@
         EventObserver nobody = EventObserver.NONE;
         Files.createDirectories(out);
         try (LoopThread loopThread = new LoopThread("stand-in")) {
-            ListWord list = part == Part.runners
+            RunnerStateListener list = part == Part.runners
                     ? new Unheard()
                     : new RunnerListServer(loopThread, day, places, origin, nobody);
             StandInFleet fleet = part == Part.discovery
                     ? null
                     : new StandInFleet(loopThread, day, places, origin, nobody, list, day.seed);
             loopThread.start();
-            loopThread.inside(() -> {
+            loopThread.runAndWait(() -> {
                 if (fleet != null) {
                     fleet.begin(origin.now());
                 } else {
@@ -91,7 +91,7 @@
     }
 
     /** Without runners of its own, the list tells what the day's troubles would make it tell. */
-    private static void tell(LoopThread loopThread, Day day, Origin origin, ListWord list) {
+    private static void tell(LoopThread loopThread, Day day, Origin origin, RunnerStateListener list) {
         for (TroubleSchedule.ScheduledAction turn : new TroubleSchedule(day.troubles).scheduledActions()) {
             boolean silent =
                     turn.action() == TroubleSchedule.Action.CRASH || turn.action() == TroubleSchedule.Action.VANISH;
@@ -104,13 +104,13 @@
             if (turn.action() == TroubleSchedule.Action.SILENCE_LIST
                     || turn.action() == TroubleSchedule.Action.RESUME_LIST) {
                 loopThread.loop.schedule(
-                        turn.at(), () -> list.mute(turn.action() == TroubleSchedule.Action.SILENCE_LIST));
+                        turn.at(), () -> list.setSilent(turn.action() == TroubleSchedule.Action.SILENCE_LIST));
             } else if (health != null) {
                 loopThread.loop.schedule(
                         turn.at().plus(silent ? day.silentNotice : day.notice),
                         () -> turn.trouble()
                                 .runners()
-                                .forEach(i -> list.changed(
+                                .forEach(i -> list.runnerChanged(
                                         i,
                                         health,
                                         health == EventObserver.ListedHealth.UP ? turn.at() : origin.now())));
@@ -119,19 +119,19 @@
     }
 
     /** Nobody wants to know what the list would. */
-    private static final class Unheard implements ListWord {
+    private static final class Unheard implements RunnerStateListener {
         @Override
-        public void changed(int runner, EventObserver.ListedHealth health, Duration bornAt) {
+        public void runnerChanged(int runner, EventObserver.ListedHealth health, Duration bornAt) {
             // The list is kept elsewhere.
         }
 
         @Override
-        public void way(int dispatcher, LinkCondition next) {
+        public void linkChanged(int dispatcher, LinkCondition next) {
             // The list is kept elsewhere.
         }
 
         @Override
-        public void mute(boolean wanted) {
+        public void setSilent(boolean silent) {
             // The list is kept elsewhere.
         }
     }
