--- a/rig/src/main/java/saltdale/rig/experiment/Run.java
+++ b/rig/src/main/java/saltdale/rig/experiment/Run.java
@@ -103,9 +103,8 @@
             String cpus,
             Progress progress)
             throws IOException {
-        if (scenario.dispatcherCount > LoopbackAddresses.MOST_DISPATCHERS) {
-            throw new IOException(
-                    "on sockets a scenario has at most " + LoopbackAddresses.MOST_DISPATCHERS + " dispatchers");
+        if (scenario.dispatcherCount > LoopbackAddresses.MAX_DISPATCHERS) {
+            throw new IOException("on sockets a scenario has at most " + LoopbackAddresses.MAX_DISPATCHERS + " dispatchers");
         }
         Files.createDirectories(directory);
         EventRecorder recorder = new EventRecorder();
@@ -132,10 +131,10 @@
                         scenario.seed + 3,
                         "n" + repeat,
                         start);
-                runners.inside(runners::watchItself);
-                clients.inside(clients::watchItself);
-                runners.inside(() -> fleet.get().begin(start));
-                clients.inside(() -> generator.start(shifted));
+                runners.runAndWait(runners::monitorDelay);
+                clients.runAndWait(clients::monitorDelay);
+                runners.runAndWait(() -> fleet.get().begin(start));
+                clients.runAndWait(() -> generator.start(shifted));
                 dispatchers.resetCpu();
                 Thread faults = new Thread(
                         () -> injectProcessFaults(scenario, dispatchers, origin, start), "dispatcher faults");
@@ -155,9 +154,9 @@
                 boolean died = !dispatchers.crashed().isEmpty();
                 Files.writeString(directory.resolve("counters.txt"), dispatchers.get(0, "/counters"));
                 Thread.sleep(300); // for messages that are still in flight to the stand-ins
-                Duration late = Durations.max(runners.mostLate(), clients.mostLate());
+                Duration late = Durations.max(runners.maxDelay(), clients.maxDelay());
                 Judge judge = new Judge(JudgeSettings.of(scenario, TIMING_SLACK.plus(late)), Duration.ofSeconds(5));
-                clients.inside(generator::closeIdleConnections);
+                clients.runAndWait(generator::closeIdleConnections);
                 recorder.replayTo(judge);
                 judge.finish();
                 Map<String, Double> figures = RunResult.figures(
@@ -169,7 +168,7 @@
                 figures.putAll(OverloadFigures.figures(scenario, generator.statistics(), generator.shedSpread()));
                 figures.put("cpu_us_per_job", cpu * 1e6 / Math.max(1, judge.requestCount()));
                 figures.put("memory_mb", memory);
-                figures.put("runners_late_most_ms", runners.mostLate().toNanos() / 1e6);
+                figures.put("runners_late_most_ms", runners.maxDelay().toNanos() / 1e6);
                 figures.put("generator_lag_p99_ms", generator.lag().getValueAtPercentile(99) / 1e3);
                 figures.put("generator_lag_max_ms", generator.lag().getMaxValue() / 1e3);
                 figures.put(
--- a/rig/src/test/java/saltdale/rig/load/GeneratorTest.java
+++ b/rig/src/test/java/saltdale/rig/load/GeneratorTest.java
@@ -35,14 +35,14 @@
                     1,
                     "t",
                     origin.now());
-            loopThread.inside(() -> {
+            loopThread.runAndWait(() -> {
                 generator.start(new Arrivals(scenario.traffic, scenario.workloads, scenario.length, 1));
                 while (origin.now().compareTo(Duration.ofMillis(500)) < 0) {
                     Thread.onSpinWait(); // blocks the loop until all requests have been due
                 }
             });
             while (!generator.isOver()) {
-                loopThread.inside(() -> {});
+                loopThread.runAndWait(() -> {});
             }
             assertNotNull(generator.voidReason());
             assertTrue(generator.voidReason().contains("fell behind"), generator.voidReason());
--- a/rig/src/test/java/saltdale/rig/platform/live/LiveTest.java
+++ b/rig/src/test/java/saltdale/rig/platform/live/LiveTest.java
@@ -63,7 +63,7 @@
         if (platform != null) {
             // The runner's address is free for the next test after another pass of the loop.
             CompletableFuture<Void> nextPass = new CompletableFuture<>();
-            loopThread.inside(() -> {
+            loopThread.runAndWait(() -> {
                 platform.crash("w-north", Duration.ZERO);
                 loopThread.loop.defer(() -> nextPass.complete(null));
             });
@@ -75,7 +75,7 @@
     private void startRunner(RunnerFaults.Kind fault) {
         RunnerFaults faults = new RunnerFaults(fault == null ? Map.of() : Map.of(fault, 1.0), 1);
         faults.setEnabled(true);
-        loopThread.inside(() -> {
+        loopThread.runAndWait(() -> {
             platform = new Platform(
                     deployment,
                     new Clock() {
@@ -102,7 +102,7 @@
 
     private CompletableFuture<HttpCall.Answer> call(String id, String extraHeaders) {
         CompletableFuture<HttpCall.Answer> answer = new CompletableFuture<>();
-        loopThread.inside(() -> {
+        loopThread.runAndWait(() -> {
             judge.recordTrySent(origin.now(), id, route, "GET /press1/x ", "p");
             HttpCall.send(
                     loopThread,
@@ -121,11 +121,11 @@
     void runnerRejectsExcessMisdirectedAndExpiredRequests() {
         startRunner(null);
         Instance instance = platform.liveInstances().get(0);
-        loopThread.inside(() -> instance.admit("b", null, null));
+        loopThread.runAndWait(() -> instance.admit("b", null, null));
         HttpCall.Answer full = call("a", "").join();
         assertThat(full.status(), is(503));
         assertThat(full.head().header("X-Saltdale-Not-Executed"), notNullValue());
-        loopThread.inside(instance::requestFinished);
+        loopThread.runAndWait(instance::requestFinished);
         HttpCall.Answer whole =
                 call("a", "X-Saltdale-Expected-Runner: " + identifier + "\r\n").join();
         assertThat(whole.status(), is(200));
@@ -134,7 +134,7 @@
         assertThat(whole.body(), equalTo(Judge.bodyFor(seal)));
         assertThat(call("c", "X-Saltdale-Expected-Runner: i-other\r\n").join().status(), is(421));
         assertThat(call("d", "X-Saltdale-Deadline-Remaining: 1\r\n").join().status(), is(504));
-        loopThread.inside(() -> {
+        loopThread.runAndWait(() -> {
             judge.recordAnswer(origin.now(), "a", 200, seal, "a", whole.body());
             platform.stop(null, identifier);
         });
@@ -149,7 +149,7 @@
     void faultyAnswerIsNoAnswer(RunnerFaults.Kind kind) {
         startRunner(kind);
         assertThat(call("a", "").join(), nullValue());
-        loopThread.inside(
+        loopThread.runAndWait(
                 () -> judge.recordMalformedAnswer(origin.now(), "a")); // no breach, since the runner broke it off
         assertThat(judge.breachMessages().toString(), judge.breachCount(), is(0));
     }
@@ -163,17 +163,17 @@
         startControlNode(controlNodes.get(1), calls, 307, "Location: http://" + last + "/elsewhere\r\n");
         startControlNode(controlNodes.get(2), calls, 200, "");
         CompletableFuture<HttpCall.Answer> answer = new CompletableFuture<>();
-        loopThread.inside(() ->
+        loopThread.runAndWait(() ->
                 new Operator(loopThread, deployment).change("Replace", 0, deployment.replacement(1), answer::complete));
         assertThat(answer.orTimeout(10, TimeUnit.SECONDS).join().status(), is(200));
-        loopThread.inside(() -> {}); // waits until the loop has recorded its last call
+        loopThread.runAndWait(() -> {}); // waits until the loop has recorded its last call
         assertThat(
                 calls,
                 equalTo(List.of("503 /Configuration.Replace 0", "307 /Configuration.Replace 0", "200 /elsewhere 0")));
     }
 
     private void startControlNode(Machine controlNode, List<String> calls, int status, String headers) {
-        loopThread.inside(() -> {
+        loopThread.runAndWait(() -> {
             try {
                 new Listener(
                         loopThread.loop,
@@ -199,10 +199,10 @@
         }
 
         @Override
-        protected void requested(Head head, byte[] body, Duration first) {
+        protected void onRequest(Head head, byte[] body, Duration first) {
             calls.add(status + " " + head.target() + " " + head.header("X-Saltdale-Based-On-Version"));
             connection.send(ByteBuffer.wrap(answer(status, headers, "")));
-            answered();
+            responseSent();
         }
 
         @Override
