--- a/rig/src/main/java/saltdale/rig/load/Generator.java
+++ b/rig/src/main/java/saltdale/rig/load/Generator.java
@@ -275,7 +275,7 @@
                             + "\r\nRequest-Timeout-Ms: "
                             + clientTimeout.toMillis() + "\r\nIdempotency-Key: " + run + "-" + request.number() + "\r\n"
                             + (scenario.traffic.marksRetries() && client.tries > 1 ? "Client-Retry: 1\r\n" : "")
-                            + StandInFleet.WORK + ": " + Math.max(1, Math.round(request.workSeconds() * 1e6))
+                            + StandInFleet.WORK_HEADER + ": " + Math.max(1, Math.round(request.workSeconds() * 1e6))
                             + "\r\nContent-Length: 0\r\n\r\n")
                     .getBytes(StandardCharsets.US_ASCII)));
             if (!isResend) {
--- a/rig/src/main/java/saltdale/rig/platform/Instance.java
+++ b/rig/src/main/java/saltdale/rig/platform/Instance.java
@@ -2,22 +2,23 @@
 
 import java.time.Duration;
 
-/** One life of a runner: how far it has come, and which requests it works on. */
+/** One runner from start to end: its state and the number of requests that it works on. */
 public final class Instance {
-    /** How far a life has come. */
+    /** The states of a runner, in the order in which it passes them. */
     public enum State {
         BOOTING,
         READY,
         DRAINING,
+        /** It accepts no connections, and ends with its last request. */
         CEASED,
         ENDED
     }
 
     /**
-     * What a runner does with a request.
+     * A runner's decision on a request.
      *
-     * @param status 200 where it runs it, else the answer that says it was not run
-     * @param full whether it is turned away because {@code max_concurrency} are at work
+     * @param status 200 if the runner executes it, otherwise the status of the answer that says it was not executed
+     * @param full whether it was rejected because {@code max_concurrency} requests are being executed
      */
     public record Admission(int status, boolean full) {
         public boolean runs() {
@@ -29,13 +30,13 @@
     public final long sequence;
     public final Service service;
     public final String address;
-    public final Site.Worker worker;
-    /** Of its work time; runners of one service vary. */
-    public final double slowness;
+    public final Deployment.Worker worker;
+    /** A factor of the work time, since the runners of one service vary in speed. */
+    public final double workTimeFactor;
 
     private final Platform platform;
     private State state = State.BOOTING;
-    private int atWork;
+    private int activeRequests;
 
     Instance(
             Platform platform,
@@ -43,15 +44,15 @@
             String identifier,
             Service service,
             String address,
-            Site.Worker worker,
-            double slowness) {
+            Deployment.Worker worker,
+            double workTimeFactor) {
         this.platform = platform;
         this.sequence = sequence;
         this.identifier = identifier;
         this.service = service;
         this.address = address;
         this.worker = worker;
-        this.slowness = slowness;
+        this.workTimeFactor = workTimeFactor;
     }
 
     public State state() {
@@ -62,19 +63,20 @@
         state = next;
     }
 
+    /** Whether the runner is draining, or past that. */
     public boolean isLeaving() {
         return state.compareTo(State.DRAINING) >= 0;
     }
 
-    int atWork() {
-        return atWork;
+    int activeRequests() {
+        return activeRequests;
     }
 
     /**
-     * Takes a request in or turns it away; {@link #worked} follows if it runs.
+     * Accepts or rejects a request; {@link #requestFinished} follows for each accepted one.
      *
-     * @param expected the identifier that its sender expects; null for any
-     * @param remaining of its deadline; null where it names none
+     * @param expected the identifier of the runner that the sender expects; null for any
+     * @param remaining the time left until the request's deadline; null if it has none
      */
     public Admission admit(String attemptId, String expected, Duration remaining) {
         if (expected != null && !expected.equals(identifier)) {
@@ -85,16 +87,16 @@
                 || state == State.ENDED
                 || remaining != null && (remaining.isZero() || remaining.isNegative())) {
             return new Admission(503, false);
-        } else if (atWork >= service.maxConcurrency()) {
+        } else if (activeRequests >= service.maxConcurrency()) {
             return new Admission(503, true);
         }
-        atWork++;
+        activeRequests++;
         return new Admission(200, false);
     }
 
-    /** It works on one request less. */
-    public void worked() {
-        atWork--;
-        platform.idle(this);
+    /** Records that an accepted request has ended. */
+    public void requestFinished() {
+        activeRequests--;
+        platform.endIfIdle(this);
     }
 }
--- a/rig/src/main/java/saltdale/rig/simulate/Simulation.java
+++ b/rig/src/main/java/saltdale/rig/simulate/Simulation.java
@@ -80,9 +80,9 @@
 
     private void scheduleNextArrival(Iterator<ClientRequest> arrivals) {
         if (arrivals.hasNext()) {
-            ClientRequest ask = arrivals.next();
-            eventQueue.scheduleAt(ask.intendedAt(), () -> {
-                new SimulatedClient(ask).sendTry();
+            ClientRequest arrival = arrivals.next();
+            eventQueue.scheduleAt(arrival.intendedAt(), () -> {
+                new SimulatedClient(arrival).sendTry();
                 scheduleNextArrival(arrivals);
             });
         }
@@ -218,13 +218,13 @@
 
     /** The client of one arrival, over all its tries. */
     final class SimulatedClient {
-        final ClientRequest ask;
+        final ClientRequest arrival;
         private int tryCount;
         private ClientTry currentTry;
         private boolean finished;
 
-        SimulatedClient(ClientRequest ask) {
-            this.ask = ask;
+        SimulatedClient(ClientRequest arrival) {
+            this.arrival = arrival;
             openRequests++;
         }
 
@@ -254,7 +254,7 @@
                 judge.requestSent(
                         eventQueue.now(),
                         clientTry.id,
-                        ask.plannedWorkload().workload(),
+                        arrival.plannedWorkload().workload(),
                         node.number,
                         clientTry.clientTimeout());
                 node.receive(clientTry);
@@ -272,15 +272,15 @@
             currentTry = null;
             if (ended.dispatcher >= 0) {
                 spread.recordTry(
-                        ended.dispatcher, ask.plannedWorkload().workload().importance, outcome == TryOutcome.SHED);
+                        ended.dispatcher, arrival.plannedWorkload().workload().importance, outcome == TryOutcome.SHED);
             }
             Duration wait = persistence.nextDelay(
-                    ask.plannedWorkload().workload(),
+                    arrival.plannedWorkload().workload(),
                     tryCount,
                     outcome == TryOutcome.UNREACHABLE ? FinalAnswer.SHED : outcome.finalAnswer,
                     retryAfter,
                     eventQueue.now(),
-                    ask.intendedAt());
+                    arrival.intendedAt());
             if (wait == null) {
                 finish(outcome.finalAnswer, false);
             } else {
@@ -291,7 +291,7 @@
         private void finish(FinalAnswer finalAnswer, boolean left) {
             finished = true;
             openRequests--;
-            tally.record(ask, finalAnswer, eventQueue.now(), tryCount, left);
+            tally.record(arrival, finalAnswer, eventQueue.now(), tryCount, left);
         }
     }
 
@@ -320,19 +320,19 @@
         ClientTry(SimulatedClient client, int number) {
             this.client = client;
             this.number = number;
-            this.id = client.ask.number() + "." + number;
+            this.id = client.arrival.number() + "." + number;
         }
 
-        ClientRequest ask() {
-            return client.ask;
+        ClientRequest arrival() {
+            return client.arrival;
         }
 
         String receipt() {
-            return "r" + client.ask.number();
+            return "r" + client.arrival.number();
         }
 
         Duration clientTimeout() {
-            return client.ask.plannedWorkload().workload().clientTimeout;
+            return client.arrival.plannedWorkload().workload().clientTimeout;
         }
     }
 }
--- a/tools/src/main/java/saltdale/tools/Load.java
+++ b/tools/src/main/java/saltdale/tools/Load.java
@@ -51,7 +51,7 @@
                     day.seed + 3,
                     "l" + origin.unixMillis,
                     start);
-            loopThread.inside(() -> generator.start(
+            loopThread.runAndWait(() -> generator.start(
                     Run.clientRequests(day, file.toAbsolutePath().getParent(), start)));
             Duration last = start.plus(day.length)
                     .plus(day.dispatcherSettings.maxClientTimeout())
@@ -59,7 +59,7 @@
             while (origin.now().compareTo(last) < 0 && !generator.isOver()) {
                 Thread.sleep(50);
             }
-            loopThread.inside(() -> generator
+            loopThread.runAndWait(() -> generator
                     .statistics()
                     .figures()
                     .forEach((name, value) -> System.out.printf(Locale.ROOT, "%-34s %.6g%n", name, value)));
