--- a/rig/src/main/java/saltdale/rig/experiment/Run.java
+++ b/rig/src/main/java/saltdale/rig/experiment/Run.java
@@ -106,7 +106,8 @@
             Progress progress)
             throws IOException {
         if (scenario.dispatcherCount > LoopbackAddresses.MAX_DISPATCHERS) {
-            throw new IOException("on sockets a scenario has at most " + LoopbackAddresses.MAX_DISPATCHERS + " dispatchers");
+            throw new IOException(
+                    "on sockets a scenario has at most " + LoopbackAddresses.MAX_DISPATCHERS + " dispatchers");
         }
         Files.createDirectories(directory);
         EventRecorder recorder = new EventRecorder();
--- a/rig/src/main/java/saltdale/rig/load/Trace.java
+++ b/rig/src/main/java/saltdale/rig/load/Trace.java
@@ -134,8 +134,9 @@
             Line line = lines.get(i);
             PlannedWorkload job = byName.get(line.workload);
             if (job == null) {
-                throw new InvalidInputException(file + ": workload " + line.workload + " is not one of the scenario: "
-                        + String.join(", ", new java.util.TreeSet<>(byName.keySet())));
+                throw new InvalidInputException(
+                        file + ": workload " + line.workload + " is not defined in the scenario; defined workloads: "
+                                + String.join(", ", new java.util.TreeSet<>(byName.keySet())));
             }
             double gap = i + 1 < lines.size() ? lines.get(i + 1).at - line.at : 0;
             due += scale;
--- a/rig/src/main/java/saltdale/rig/simulate/SimulatedNode.java
+++ b/rig/src/main/java/saltdale/rig/simulate/SimulatedNode.java
@@ -171,7 +171,8 @@
     // ---- Clients.
 
     void receive(Simulation.ClientTry clientTry) {
-        Request request = new Request(clientTry.arrival().plannedWorkload().workload(), now(), clientTry.clientTimeout());
+        Request request =
+                new Request(clientTry.arrival().plannedWorkload().workload(), now(), clientTry.clientTimeout());
         request.markedAsRetry = clientTry.number > 1;
         HeldRequest held = new HeldRequest(clientTry, request);
         requests.put(request, held);
