--- a/rig/src/main/java/saltdale/rig/report/Report.java
+++ b/rig/src/main/java/saltdale/rig/report/Report.java
@@ -20,16 +20,16 @@
 import org.knowm.xchart.style.Styler.LegendPosition;
 import org.knowm.xchart.style.markers.SeriesMarkers;
 
-/** One page of HTML with its plots inside, to be opened without a network. */
+/** The report of an experiment: a self-contained HTML page with embedded plots. */
 public final class Report {
-    private static final int MOST_RUNNERS = 12; // drawn one by one
-    private static final int MOST_DRAWN = 6; // runs with plots of their own: a sweep's page would not open
-    private static final double NEARLY_ALL = 0.99;
-    private static final Pattern LOAD = Pattern.compile("load\\.utilisation=([0-9.]+)");
+    private static final int MAX_PLOTTED_RUNNERS = 12; // each has its own line
+    private static final int MAX_PLOTTED_RUNS = 6; // more plots, as of a sweep, make the page too large to open
+    private static final double OVERLOAD_THRESHOLD = 0.99;
+    private static final Pattern LOAD_PATTERN = Pattern.compile("load\\.utilisation=([0-9.]+)");
 
     private Report() {}
 
-    /** The page of an experiment's results, as results.json has them. */
+    /** Renders the results of an experiment, in the format of results.json. */
     public static String of(JsonNode results) throws IOException {
         String name = results.path("name").asText();
         StringBuilder page = new StringBuilder();
@@ -43,14 +43,14 @@
                 .append("</h1>");
         table(page, results.path("runs"));
         overload(page, results.path("runs"));
-        int drawn = 0;
+        int plotted = 0;
         for (JsonNode run : results.path("runs")) {
-            if (run.path("repeat").asInt() == 0 && drawn++ < MOST_DRAWN) {
+            if (run.path("repeat").asInt() == 0 && plotted++ < MAX_PLOTTED_RUNS) {
                 run(page, run);
             }
         }
-        if (drawn > MOST_DRAWN) {
-            page.append("<p>").append(drawn - MOST_DRAWN).append(" more runs stand in results.json.</p>");
+        if (plotted > MAX_PLOTTED_RUNS) {
+            page.append("<p>").append(plotted - MAX_PLOTTED_RUNS).append(" more runs are in results.json.</p>");
         }
         return page.append("</body></html>\n").toString();
     }
@@ -77,14 +77,15 @@
         page.append("</table>");
     }
 
-    /** Where more was asked for than could be had, or a peak was played: what that did. */
+    /** Renders the overload figures, if the load exceeded the capacity or had a peak. */
     private static void overload(StringBuilder page, JsonNode runs) throws IOException {
-        boolean any = false;
-        Map<String, Map<Double, List<Double>>> byLoad = new LinkedHashMap<>(); // worth in time, by version and load
+        boolean isOverloaded = false;
+        Map<String, Map<Double, List<Double>>> byLoad =
+                new LinkedHashMap<>(); // importance served in time, by version and load
         for (JsonNode run : runs) {
             JsonNode f = run.path("figures");
-            any |= f.path("could_be_had").asDouble(1) < NEARLY_ALL || f.has("in_peak");
-            Matcher load = LOAD.matcher(run.path("point").asText());
+            isOverloaded |= f.path("could_be_had").asDouble(1) < OVERLOAD_THRESHOLD || f.has("in_peak");
+            Matcher load = LOAD_PATTERN.matcher(run.path("point").asText());
             if (load.find()) {
                 double times = Double.parseDouble(load.group(1));
                 byLoad.computeIfAbsent(run.path("version").asText(), k -> new TreeMap<>())
@@ -95,7 +96,7 @@
                         .add(f.path("could_be_had").asDouble());
             }
         }
-        if (!any) {
+        if (!isOverloaded) {
             return;
         }
         page.append("<h2>Overload</h2><table><tr><th>run</th><th>service</th><th>could be had</th><th>of it</th>"
@@ -138,7 +139,7 @@
                             .mapToDouble(all ->
                                     all.stream().mapToDouble(y -> y).average().orElse(0))
                             .toArray()));
-            draw(page, chart);
+            appendChart(page, chart);
         }
     }
 
@@ -171,47 +172,48 @@
         XYChart latency = chart("Latency from the intended time", "s", "ms");
         latency.getStyler().setYAxisLogarithmic(true);
         series.path("latency_ms").fields().forEachRemaining(e -> add(latency, e.getKey(), e.getValue(), 1, 0.01));
-        draw(page, latency);
+        appendChart(page, latency);
         XYChart service = chart("Service by workload", "s", "share in the promised time");
         service.getStyler().setYAxisMin(0.0);
         service.getStyler().setYAxisMax(1.0);
         series.path("service").fields().forEachRemaining(e -> add(service, e.getKey(), e.getValue(), 1, 0));
-        draw(page, service);
-        XYChart held = chart("Assignments held by each runner", "s", "assignments");
-        for (int i = 0; i < Math.min(MOST_RUNNERS, series.path("runners").size()); i++) {
-            add(held, "r" + i, series.path("runners").get(i), 1, 0);
+        appendChart(page, service);
+        XYChart inFlight = chart("Assignments held by each runner", "s", "assignments");
+        for (int i = 0; i < Math.min(MAX_PLOTTED_RUNNERS, series.path("runners").size()); i++) {
+            add(inFlight, "r" + i, series.path("runners").get(i), 1, 0);
         }
-        draw(page, held);
-        beliefs(page, series.path("runners"));
+        appendChart(page, inFlight);
+        reportAccuracy(page, series.path("runners"));
     }
 
-    /** The runner whose reports lay furthest from the truth. */
-    private static void beliefs(StringBuilder page, JsonNode runners) throws IOException {
-        int worst = -1;
-        double most = -1;
+    /** Plots the runner whose load reports deviated most from its actual load. */
+    private static void reportAccuracy(StringBuilder page, JsonNode runners) throws IOException {
+        int worstRunner = -1;
+        double maxDeviation = -1;
         for (int i = 0; i < runners.size(); i++) {
-            double off = 0;
+            double deviation = 0;
             int count = 0;
             for (JsonNode sample : runners.get(i)) {
                 if (sample.get(2).asDouble() >= 0) {
-                    off += Math.abs(sample.get(2).asDouble() - sample.get(1).asDouble());
+                    deviation +=
+                            Math.abs(sample.get(2).asDouble() - sample.get(1).asDouble());
                     count++;
                 }
             }
-            if (count > 0 && off / count > most) {
-                most = off / count;
-                worst = i;
+            if (count > 0 && deviation / count > maxDeviation) {
+                maxDeviation = deviation / count;
+                worstRunner = i;
             }
         }
-        if (worst >= 0) {
-            XYChart chart = chart("What r" + worst + " held, beside what it had last told", "s", "assignments");
-            add(chart, "held", runners.get(worst), 1, 0);
-            add(chart, "told", runners.get(worst), 2, 0);
-            draw(page, chart);
+        if (worstRunner >= 0) {
+            XYChart chart = chart("Actual and last reported load of r" + worstRunner, "s", "assignments");
+            add(chart, "held", runners.get(worstRunner), 1, 0);
+            add(chart, "told", runners.get(worstRunner), 2, 0);
+            appendChart(page, chart);
         }
     }
 
-    /** A line of samples, each an array that begins with its time; the value stands in this column. */
+    /** Adds a line of samples, each an array whose first element is the time; {@code column} is the index of the value. */
     private static void add(XYChart chart, String name, JsonNode samples, int column, double least) {
         List<Double> x = new ArrayList<>();
         List<Double> y = new ArrayList<>();
@@ -243,7 +245,7 @@
         return chart;
     }
 
-    private static void draw(StringBuilder page, XYChart chart) throws IOException {
+    private static void appendChart(StringBuilder page, XYChart chart) throws IOException {
         if (chart.getSeriesMap().isEmpty()) {
             return;
         }
--- a/rig/src/main/java/saltdale/rig/standin/Served.java
+++ b/rig/src/main/java/saltdale/rig/standin/DispatcherConnection.java
@@ -13,13 +13,13 @@
 import saltdale.transport.Connection;
 
 /** A connection from a dispatcher. */
-final class Served extends Exchange {
+final class DispatcherConnection extends Exchange {
     private final StandInFleet fleet;
     private final RunnerEndpoint endpoint;
     private final StandInRunner runner;
     private RunnerJob unanswered;
 
-    Served(RunnerEndpoint endpoint, Connection connection) {
+    DispatcherConnection(RunnerEndpoint endpoint, Connection connection) {
         super(connection, endpoint.runner.fleet.origin);
         this.fleet = endpoint.runner.fleet;
         this.endpoint = endpoint;
@@ -45,7 +45,7 @@
     }
 
     @Override
-    protected void requested(Head head, byte[] body, Duration first) {
+    protected void onRequest(Head head, byte[] body, Duration first) {
         fleet.requests++;
         String path = head.path();
         if (head.method().equals("POST")) {
@@ -56,9 +56,9 @@
             fleet.witness.attemptEnded(fleet.origin.now(), id, runner.number);
             runner.schedule();
             say(answer(204, "", ""));
-        } else if (path.equals("/alive") && fleet.day.orders.mayProbe) {
+        } else if (path.equals("/alive") && fleet.day.dispatcherSettings.mayProbe) {
             say(answer(200, "", ""));
-        } else if (path.equals("/metrics/load") && fleet.day.orders.mayProbe) {
+        } else if (path.equals("/metrics/load") && fleet.day.dispatcherSettings.mayProbe) {
             say(answer(200, "Content-Type: application/json\r\n", load(report())));
         } else {
             say(answer(404, "", ""));
@@ -68,7 +68,7 @@
     private LoadReport report() {
         LoadReport report = runner.model.report(fleet.origin.now());
         runner.schedule();
-        fleet.watch.told(runner.number, report);
+        fleet.watch.recordReport(runner.number, report);
         return report;
     }
 
@@ -77,7 +77,7 @@
         int slash = path.indexOf('/', 1);
         Workload workload = fleet.workloads.get(path.substring(1, slash < 0 ? path.length() : slash));
         String id = head.uniqueHeader("Request-Id");
-        String size = head.header(StandInFleet.WORK);
+        String size = head.header(StandInFleet.WORK_HEADER);
         if (workload == null || id == null || size == null || !size.matches("\\d{1,12}")) {
             say(answer(id == null ? 404 : 400, "", ""));
             return;
@@ -151,7 +151,7 @@
         } else {
             unanswered = null;
             connection.send(ByteBuffer.wrap(answer));
-            answered();
+            responseSent();
         }
     }
 
@@ -164,7 +164,7 @@
             fleet.loopThread.loop.schedule(gap, () -> drip(answer, from + 1, gap));
         } else {
             unanswered = null;
-            answered();
+            responseSent();
         }
     }
 
--- a/rig/src/main/java/saltdale/rig/standin/RunnerListServer.java
+++ b/rig/src/main/java/saltdale/rig/standin/RunnerListServer.java
@@ -22,12 +22,12 @@
 import saltdale.rig.fleet.LinkCondition;
 import saltdale.rig.judge.EventObserver;
 import saltdale.rig.judge.EventObserver.ListedHealth;
-import saltdale.rig.plan.Day;
+import saltdale.rig.plan.Scenario;
 import saltdale.transport.Connection;
 import saltdale.transport.Listener;
 
 /** The list of runners by the platform's protocol: the whole of it, and a watch that stays open. */
-public final class RunnerListServer implements ListWord {
+public final class RunnerListServer implements RunnerStateListener {
     private static final Duration EMPTY_LINE = Duration.ofSeconds(2);
     private static final Pattern FROM = Pattern.compile("[?&]from=(\\d{1,18})");
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -41,7 +41,7 @@
     }
 
     private final LoopThread loopThread;
-    private final Day day;
+    private final Scenario day;
     private final LoopbackAddresses places;
     private final Origin origin;
     private final EventObserver witness;
@@ -53,17 +53,17 @@
     private boolean mute;
 
     public RunnerListServer(
-            LoopThread loopThread, Day day, LoopbackAddresses places, Origin origin, EventObserver witness)
+            LoopThread loopThread, Scenario day, LoopbackAddresses places, Origin origin, EventObserver witness)
             throws IOException {
         this.loopThread = loopThread;
         this.day = day;
         this.places = places;
         this.origin = origin;
         this.witness = witness;
-        for (int i = 0; i < day.runners; i++) {
+        for (int i = 0; i < day.runnerCount; i++) {
             entries.add(new Entry());
         }
-        for (int j = 0; j < day.dispatchers; j++) {
+        for (int j = 0; j < day.dispatcherCount; j++) {
             int dispatcher = j;
             InetSocketAddress at = places.list(j);
             new Listener(
@@ -83,7 +83,7 @@
     }
 
     @Override
-    public void changed(int runner, ListedHealth health, Duration bornAt) {
+    public void runnerChanged(int runner, ListedHealth health, Duration bornAt) {
         Entry entry = entries.get(runner);
         boolean older = entry.bornAt != null && (bornAt == null || bornAt.compareTo(entry.bornAt) < 0);
         if (older) { // guards against a late word of an earlier life
@@ -96,13 +96,13 @@
     }
 
     @Override
-    public void mute(boolean wanted) {
-        mute = wanted;
+    public void setSilent(boolean silent) {
+        mute = silent;
         tellAll();
     }
 
     @Override
-    public void way(int dispatcher, LinkCondition next) {
+    public void linkChanged(int dispatcher, LinkCondition next) {
         if (next.equals(Objects.requireNonNullElse(ways.put(dispatcher, next), LinkCondition.CLEAR))) {
             return;
         } else if (next.reset()) {
@@ -139,7 +139,7 @@
                     .put("host", "r" + i)
                     .put("dial", LoopbackAddresses.text(places.runner(i, dispatcher)))
                     .put("site", day.zone(i))
-                    .put("class", day.make(i).name())
+                    .put("class", day.runnerType(i).name())
                     .put("block", day.cell(i))
                     .put(
                             "health",
@@ -174,7 +174,7 @@
         }
 
         @Override
-        protected void requested(Head head, byte[] body, Duration first) {
+        protected void onRequest(Head head, byte[] body, Duration first) {
             if (ways.getOrDefault(dispatcher, LinkCondition.CLEAR).reset()) {
                 reset();
                 return;
@@ -183,14 +183,14 @@
             }
             if (!head.path().equals("/discovery/hosts") || !head.method().equals("GET")) {
                 connection.send(ByteBuffer.wrap(answer(404, "", "")));
-                answered();
+                responseSent();
             } else if (head.target().contains("watch=1")) {
                 watch = new Watch(connection, dispatcher, from(head.target()));
                 watches.add(watch);
             } else {
                 connection.send(
                         ByteBuffer.wrap(answer(200, "Content-Type: application/json\r\n", text(dispatcher, -1))));
-                answered();
+                responseSent();
             }
         }
 
--- a/rig/src/main/java/saltdale/rig/standin/StandInFleet.java
+++ b/rig/src/main/java/saltdale/rig/standin/StandInFleet.java
@@ -16,9 +16,9 @@
 import saltdale.rig.fleet.ReceiptStore;
 import saltdale.rig.fleet.TroubleSchedule;
 import saltdale.rig.judge.EventObserver;
-import saltdale.rig.load.Watch;
-import saltdale.rig.plan.Day;
-import saltdale.rig.plan.Job;
+import saltdale.rig.load.RunnerLoadHistory;
+import saltdale.rig.plan.PlannedWorkload;
+import saltdale.rig.plan.Scenario;
 import saltdale.rig.plan.Trouble;
 import saltdale.rig.ways.LinkRelay;
 import saltdale.transport.ConnectionPool;
@@ -26,7 +26,7 @@
 /** The runners of a day on sockets, by the platform's protocol; each is a model with a loop for its clock. */
 public final class StandInFleet {
     /** The header in which the load tells a runner how much work a job is, in microseconds. */
-    public static final String WORK = "Rig-Work-Us";
+    public static final String WORK_HEADER = "Rig-Work-Us";
 
     private static final Duration SAMPLE = Duration.ofMillis(250);
 
@@ -36,13 +36,13 @@
     private record Links(LinkRelay there, LinkRelay back, ConnectionPool calls) {}
 
     final LoopThread loopThread;
-    final Day day;
+    final Scenario day;
     final LoopbackAddresses places;
     final Origin origin;
     final EventObserver witness;
-    final ListWord list;
+    final RunnerStateListener list;
     final TroubleSchedule troubles;
-    final Watch watch;
+    final RunnerLoadHistory watch;
     private final SplittableRandom chance;
     final Map<String, Workload> workloads = new HashMap<>();
     private final List<StandInRunner> runners = new ArrayList<>();
@@ -56,11 +56,11 @@
 
     public StandInFleet(
             LoopThread loopThread,
-            Day day,
+            Scenario day,
             LoopbackAddresses places,
             Origin origin,
             EventObserver witness,
-            ListWord list,
+            RunnerStateListener list,
             long seed)
             throws IOException {
         this.loopThread = loopThread;
@@ -70,19 +70,19 @@
         this.witness = witness;
         this.list = list;
         this.troubles = new TroubleSchedule(day.troubles);
-        this.watch = new Watch(day.runners);
+        this.watch = new RunnerLoadHistory(day.runnerCount);
         this.chance = new SplittableRandom(seed);
-        for (Job job : day.jobs) {
+        for (PlannedWorkload job : day.workloads) {
             workloads.put(job.name(), job.workload());
         }
-        for (int j = 0; j < day.dispatchers; j++) {
+        for (int j = 0; j < day.dispatcherCount; j++) {
             callBacks.add(pool(places.dispatcher(j)));
         }
-        for (int i = 0; i < day.runners; i++) {
-            for (int j = 0; j < day.dispatchers; j++) {
+        for (int i = 0; i < day.runnerCount; i++) {
+            for (int j = 0; j < day.dispatcherCount; j++) {
                 int runner = i;
                 int dispatcher = j;
-                if (day.troubles.stream().anyMatch(t -> t.befalls(runner, dispatcher))) {
+                if (day.troubles.stream().anyMatch(t -> t.affectsPath(runner, dispatcher))) {
                     links.put(
                             new Pair(i, j),
                             new Links(
@@ -95,13 +95,13 @@
             }
         }
         List<ReceiptStore.ByScope> receipts = ReceiptStore.of(day);
-        for (int i = 0; i < day.runners; i++) {
+        for (int i = 0; i < day.runnerCount; i++) {
             runners.add(new StandInRunner(this, i, receipts.get(i), chance.split()));
         }
     }
 
     private ConnectionPool pool(InetSocketAddress at) {
-        return new ConnectionPool(loopThread.loop, loopThread.sockets, at, NewsCall.LIMIT, Duration.ofSeconds(2));
+        return new ConnectionPool(loopThread.loop, loopThread.sockets, at, JobReportCall.LIMIT, Duration.ofSeconds(2));
     }
 
     /** Where a runner itself listens for a dispatcher: behind their way, if something befalls that. */
@@ -143,7 +143,7 @@
         return requests;
     }
 
-    public Watch watch() {
+    public RunnerLoadHistory watch() {
         return watch;
     }
 
@@ -157,20 +157,20 @@
 
     private void passes(Pair pair, Links own, Duration at) {
         LinkCondition next = troubles.linkCondition(pair.runner, pair.dispatcher, at);
-        if (!next.equals(own.there.passage())) {
-            own.there.set(next);
-            own.back.set(next);
+        if (!next.equals(own.there.condition())) {
+            own.there.setCondition(next);
+            own.back.setCondition(next);
         }
     }
 
     /** Tells the witness between whom bytes may be held up from now on, by a link or cut zones, and where no longer. */
     private void tellDisturbed() {
-        for (int runner = 0; runner < day.runners; runner++) {
-            for (int dispatcher = 0; dispatcher < day.dispatchers; dispatcher++) {
+        for (int runner = 0; runner < day.runnerCount; runner++) {
+            for (int dispatcher = 0; dispatcher < day.dispatcherCount; dispatcher++) {
                 Pair pair = new Pair(runner, dispatcher);
                 Links own = links.get(pair);
                 boolean free = !isCut(runner, dispatcher)
-                        && (own == null || own.there.passage().isClear());
+                        && (own == null || own.there.condition().isClear());
                 if (free ? disturbed.remove(pair) : disturbed.add(pair)) {
                     witness.linkChanged(origin.now(), runner, dispatcher, free);
                 }
@@ -191,8 +191,8 @@
                 tellDisturbed();
                 runners.forEach(StandInRunner::endpoints);
             }
-            case SILENCE_LIST -> list.mute(true);
-            case RESUME_LIST -> list.mute(false);
+            case SILENCE_LIST -> list.setSilent(true);
+            case RESUME_LIST -> list.setSilent(false);
             // the dispatchers' own; what is on the wire is looked up at each answer
             case KILL_DISPATCHER,
                     RESTART_DISPATCHER,
@@ -203,8 +203,8 @@
             case CHANGE_LINK -> {
                 links.forEach((pair, own) -> passes(pair, own, turn.at()));
                 tellDisturbed();
-                for (int j = 0; j < day.dispatchers; j++) {
-                    list.way(j, troubles.listLinkCondition(j, turn.at()));
+                for (int j = 0; j < day.dispatcherCount; j++) {
+                    list.linkChanged(j, troubles.listLinkCondition(j, turn.at()));
                 }
             }
             default -> trouble.runners().forEach(i -> runners.get(i).act(turn.action(), turn.at()));
--- a/rig/src/test/java/saltdale/rig/fleet/RunnerModelTest.java
+++ b/rig/src/test/java/saltdale/rig/fleet/RunnerModelTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import saltdale.model.Workload;
 import saltdale.rig.fleet.RunnerModel.OfferResult;
-import saltdale.rig.plan.Make;
+import saltdale.rig.plan.RunnerType;
 
 class RunnerModelTest implements RunnerModel.JobListener {
     private final List<String> events = new ArrayList<>();
@@ -35,7 +35,7 @@
         events.add(job.id + " " + end + " " + at.toMillis());
     }
 
-    private RunnerModel runner(Make make) {
+    private RunnerModel runner(RunnerType make) {
         return new RunnerModel(make, receipts, 2, Duration.ofSeconds(1), 0.4, new SplittableRandom(1), this);
     }
 
@@ -52,7 +52,7 @@
         double[] sum = {0};
         int[] ended = {0};
         RunnerModel runner = new RunnerModel(
-                Make.plain(cores, 1 << 20),
+                RunnerType.plain(cores, 1 << 20),
                 null,
                 0,
                 Duration.ZERO,
@@ -101,7 +101,7 @@
     @Test
     void capacityOfColdRunnerGrowsLinearly() {
         RunnerModel runner = new RunnerModel(
-                Make.plain(1, 4).warming(0.25, Duration.ofSeconds(4)),
+                RunnerType.plain(1, 4).withWarmUp(0.25, Duration.ofSeconds(4)),
                 null,
                 0,
                 Duration.ZERO,
@@ -118,7 +118,7 @@
 
     @Test
     void overloadedColdRunnerCrashesUntilRestart() {
-        RunnerModel runner = runner(Make.plain(1, 100).warming(0.25, Duration.ofSeconds(4)));
+        RunnerModel runner = runner(RunnerType.plain(1, 100).withWarmUp(0.25, Duration.ofSeconds(4)));
         runner.start(ms(0));
         // N = 2 x 0.25 x 1 s / 0.4 s = 1.25, so that the limit is 7 jobs; the long one counts once, since its size
         // isn't known
@@ -134,14 +134,14 @@
 
     @Test
     void warmRunnerHasNoColdLimit() {
-        RunnerModel runner = runner(Make.plain(1, 100));
+        RunnerModel runner = runner(RunnerType.plain(1, 100));
         assertEquals(OfferResult.ACCEPTED, runner.offer(ms(1), job("a", 4)));
         assertEquals(OfferResult.ACCEPTED, runner.offer(ms(2), job("b", 4)));
     }
 
     @Test
     void rejectsJobsWhenTheQueueIsFull() {
-        RunnerModel runner = runner(Make.plain(1, 1));
+        RunnerModel runner = runner(RunnerType.plain(1, 1));
         runner.offer(ms(0), job("a", 1));
         runner.offer(ms(0), job("b", 1));
         assertEquals(OfferResult.FULL, runner.offer(ms(0), job("c", 1)));
@@ -151,14 +151,14 @@
 
     @Test
     void moreRunningJobsThanCoresShareTheCores() {
-        Make make = new Make(
+        RunnerType make = new RunnerType(
                 "m",
                 1,
                 1,
                 1,
                 2,
                 4,
-                Make.Order.FIFO,
+                RunnerType.Order.FIFO,
                 0,
                 4,
                 1,
@@ -185,7 +185,7 @@
 
     @Test
     void slowdownDuringAJobDelaysItsEnd() {
-        RunnerModel runner = runner(Make.plain(1, 4));
+        RunnerModel runner = runner(RunnerType.plain(1, 4));
         runner.offer(ms(0), job("a", 1));
         runner.setCondition(ms(500), new RunnerCondition(4, false, 0, 0, 0, 1, 0, 0, 1));
         runner.advance(ms(5000));
@@ -194,7 +194,7 @@
 
     @Test
     void stalledRunnerMakesNoProgress() {
-        RunnerModel runner = runner(Make.plain(1, 4));
+        RunnerModel runner = runner(RunnerType.plain(1, 4));
         runner.offer(ms(0), job("a", 1));
         runner.setCondition(ms(500), new RunnerCondition(1, true, 0, 0, 0, 1, 0, 0, 1));
         runner.offer(ms(600), job("b", 1));
@@ -205,7 +205,7 @@
 
     @Test
     void drainingRunnerReturnsWaitingJobs() {
-        RunnerModel runner = runner(Make.plain(1, 4));
+        RunnerModel runner = runner(RunnerType.plain(1, 4));
         runner.offer(ms(0), job("a", 1));
         runner.offer(ms(0), job("b", 1));
         runner.drain(ms(10), true);
@@ -217,7 +217,7 @@
     @Test
     void duplicatesAreRecognisedWithinTheWindowOnly() {
         workload.dedupWindow = Duration.ofSeconds(2);
-        RunnerModel runner = runner(Make.plain(1, 4));
+        RunnerModel runner = runner(RunnerType.plain(1, 4));
         RunnerJob first = new RunnerJob("a", "r", workload, 1, 0);
         RunnerJob repeat = new RunnerJob("b", "r", workload, 1, 0);
         RunnerJob afterWindow = new RunnerJob("c", "r", workload, 1, 0);
@@ -236,21 +236,21 @@
         workload.dedupScope = Workload.DedupScope.CELL;
         RunnerJob first = new RunnerJob("a", "r", workload, 0.1, 0);
         RunnerJob inOtherCell = new RunnerJob("a", "r", workload, 0.1, 0);
-        runner(Make.plain(1, 4)).offer(ms(0), first);
+        runner(RunnerType.plain(1, 4)).offer(ms(0), first);
         receipts = new ReceiptStore.ByScope(sharedReceipts, new ReceiptStore(), new ReceiptStore());
-        runner(Make.plain(1, 4)).offer(ms(200), inOtherCell);
+        runner(RunnerType.plain(1, 4)).offer(ms(200), inOtherCell);
         assertFalse(inOtherCell.isDuplicate());
         workload.dedupScope = Workload.DedupScope.ALL;
-        runner(Make.plain(1, 4)).offer(ms(0), new RunnerJob("b", "s", workload, 0.1, 0));
+        runner(RunnerType.plain(1, 4)).offer(ms(0), new RunnerJob("b", "s", workload, 0.1, 0));
         receipts = new ReceiptStore.ByScope(sharedReceipts, new ReceiptStore(), new ReceiptStore());
         RunnerJob inSameScope = new RunnerJob("b", "s", workload, 0.1, 0);
-        runner(Make.plain(1, 4)).offer(ms(200), inSameScope);
+        runner(RunnerType.plain(1, 4)).offer(ms(200), inSameScope);
         assertTrue(inSameScope.isDuplicate());
     }
 
     @Test
     void reportsAreAsOldAsTheirDelay() {
-        RunnerModel runner = runner(Make.plain(1, 9).reporting(ms(100), ms(50)));
+        RunnerModel runner = runner(RunnerType.plain(1, 9).withReporting(ms(100), ms(50)));
         runner.offer(ms(110), job("a", 9));
         runner.offer(ms(110), job("b", 9));
         assertEquals(0, runner.report(ms(249)).queue());
@@ -262,7 +262,13 @@
         List<String> ends = new ArrayList<>();
         RunnerModel[] runner = new RunnerModel[1];
         runner[0] = new RunnerModel(
-                Make.plain(2, 4), null, 0, Duration.ZERO, 1, new SplittableRandom(1), new RunnerModel.JobListener() {
+                RunnerType.plain(2, 4),
+                null,
+                0,
+                Duration.ZERO,
+                1,
+                new SplittableRandom(1),
+                new RunnerModel.JobListener() {
                     @Override
                     public void started(Duration at, RunnerJob job) {}
 
@@ -283,7 +289,7 @@
 
     @Test
     void cancelledJobFreesItsCoreForTheNext() {
-        RunnerModel runner = runner(Make.plain(1, 4));
+        RunnerModel runner = runner(RunnerType.plain(1, 4));
         runner.offer(ms(0), job("a", 1));
         runner.offer(ms(0), job("b", 1));
         assertTrue(runner.cancel(ms(100), "a", 0));
--- a/rig/src/test/java/saltdale/rig/standin/StandInFleetTest.java
+++ b/rig/src/test/java/saltdale/rig/standin/StandInFleetTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 import saltdale.rig.judge.EventObserver;
-import saltdale.rig.plan.Day;
-import saltdale.rig.plan.Sheet;
+import saltdale.rig.plan.Scenario;
+import saltdale.rig.plan.TomlTable;
 
 @Timeout(20)
 class StandInFleetTest {
@@ -57,7 +57,7 @@
         String text = kind == null
                 ? DAY
                 : DAY + "[[trouble]]\nkind = \"" + kind + "\"\nlength = \"" + length + "\"\nrunners = [0]\n" + more;
-        Day day = new Day(Sheet.of("day", text));
+        Scenario day = new Scenario(TomlTable.of("day", text));
         loopThread = new LoopThread("test");
         Origin origin = new Origin();
         RunnerListServer list = new RunnerListServer(loopThread, day, places, origin, EventObserver.NONE);
@@ -68,13 +68,13 @@
         Thread thread = new Thread(this::hear);
         thread.setDaemon(true);
         thread.start();
-        loopThread.inside(() -> fleet.begin(origin.now()));
+        loopThread.runAndWait(() -> fleet.begin(origin.now()));
         // What begins with the day stands in the loop's timers before this one, and has closed two turns after it.
         CompletableFuture<Void> begun = new CompletableFuture<>();
-        loopThread.inside(() -> loopThread.loop.schedule(Duration.ofMillis(20), () -> begun.complete(null)));
+        loopThread.runAndWait(() -> loopThread.loop.schedule(Duration.ofMillis(20), () -> begun.complete(null)));
         begun.orTimeout(10, TimeUnit.SECONDS).join();
         for (int i = 0; i < 4; i++) {
-            loopThread.inside(() -> {});
+            loopThread.runAndWait(() -> {});
         }
     }
 
