--- a/nodes/src/main/java/saltdale/nodes/standin/NodeServer.java
+++ b/nodes/src/main/java/saltdale/nodes/standin/NodeServer.java
@@ -96,7 +96,9 @@
         if (listener != null) {
             listener.close();
         }
-        List.copyOf(openConnections).stream().filter(client -> client.at.equals(at)).forEach(ClientConnection::drop);
+        List.copyOf(openConnections).stream()
+                .filter(client -> client.at.equals(at))
+                .forEach(ClientConnection::drop);
     }
 
     /** While paused, neither reads requests nor sends replies; sessions continue to time out meanwhile. */
