--- a/rig/src/main/java/saltdale/rig/cost/Relay.java
+++ b/rig/src/main/java/saltdale/rig/cost/Relay.java
@@ -20,22 +20,22 @@
 import java.util.regex.Pattern;
 
 /**
- * The least that a relay between the same sockets can do: for each job one probe, one dispatch and the
- * runner's calls, in turn over the runners, with nothing decided, checked, timed or counted. The dispatcher's
- * price is told beside its.
+ * A minimal relay between the same sockets as the dispatcher, as a baseline for its CPU cost. Each job takes one probe,
+ * one dispatch and the runner's calls, round-robin over the runners; nothing is decided, checked, timed or counted.
  */
 public final class Relay {
-    private static final Pattern DIAL = Pattern.compile("\"dial\":\"([0-9.]+):(\\d+)\"");
+    private static final Pattern DIAL_PATTERN = Pattern.compile("\"dial\":\"([0-9.]+):(\\d+)\"");
     private static final byte[] NO_CONTENT = "HTTP/1.1 204 No Content\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
     private static final byte[] OK = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     private final Selector selector = Selector.open();
-    private final List<Deque<Wire>> idle = new ArrayList<>();
+    private final List<Deque<PeerConnection>> idleConnections = new ArrayList<>();
     private final List<InetSocketAddress> runners = new ArrayList<>();
-    private final Map<String, Wire> waiting = new HashMap<>();
+    private final Map<String, PeerConnection> clientsByRequestId = new HashMap<>();
     private final ByteBuffer incoming = ByteBuffer.allocateDirect(1 << 16);
-    private int next;
+    private int nextRunner;
 
+    /** Reads the addresses of the runners from the discovery service. */
     private Relay(InetSocketAddress list) throws IOException {
         try (Socket socket = new Socket()) {
             socket.connect(list, 2000);
@@ -46,17 +46,18 @@
             while (text.indexOf("]}") < 0) {
                 int count = socket.getInputStream().read(part);
                 if (count < 0) {
-                    throw new IOException("the list ended early");
+                    throw new IOException("the runner list ended early");
                 }
                 text.append(new String(part, 0, count, StandardCharsets.UTF_8));
             }
-            for (Matcher m = DIAL.matcher(text); m.find(); ) {
+            for (Matcher m = DIAL_PATTERN.matcher(text); m.find(); ) {
                 runners.add(new InetSocketAddress(m.group(1), Integer.parseInt(m.group(2))));
-                idle.add(new ArrayDeque<>());
+                idleConnections.add(new ArrayDeque<>());
             }
         }
     }
 
+    /** Runs the relay with the dispatcher's environment variables for the list and the listen address. */
     public static void main(String[] args) throws IOException {
         new Relay(address(System.getenv("EDGE_DISCOVERY"))).run(address(System.getenv("EDGE_LISTEN")));
     }
@@ -76,28 +77,30 @@
             for (SelectionKey key : selector.selectedKeys()) {
                 if (key.isAcceptable()) {
                     for (SocketChannel c = server.accept(); c != null; c = server.accept()) {
-                        new Wire(c, -1);
+                        new PeerConnection(c, -1);
                     }
                 } else if (key.isReadable()) {
-                    ((Wire) key.attachment()).read();
+                    ((PeerConnection) key.attachment()).read();
                 }
             }
             selector.selectedKeys().clear();
         }
     }
 
-    /** A connection, to a client or a runner: what has come of its present message. */
-    private final class Wire {
+    /** A connection to a client or a runner, with the bytes received of its current message. */
+    private final class PeerConnection {
         private final SocketChannel channel;
         private final int runner;
-        private final StringBuilder come = new StringBuilder();
-        /** The client's connection that a call to a runner is for, and its request. */
-        private Wire client;
+        private final StringBuilder received = new StringBuilder();
+        /** For a connection to a runner: the client connection that the current call serves. */
+        private PeerConnection client;
 
+        /** The client's request, sent to the runner after the probe. */
         private String job;
+        /** Whether the next response of the runner answers the probe. */
         private boolean probing;
 
-        Wire(SocketChannel channel, int runner) throws IOException {
+        PeerConnection(SocketChannel channel, int runner) throws IOException {
             this.channel = channel;
             this.runner = runner;
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
@@ -116,22 +119,24 @@
             if (count < 0) {
                 channel.close();
                 if (runner >= 0) {
-                    idle.get(runner).remove(this);
+                    idleConnections.get(runner).remove(this);
                 }
                 return;
             }
-            come.append(StandardCharsets.ISO_8859_1.decode(incoming.flip()));
-            int head = come.indexOf("\r\n\r\n");
+            received.append(StandardCharsets.ISO_8859_1.decode(incoming.flip()));
+            int head = received.indexOf("\r\n\r\n");
             if (head < 0) {
                 return;
             }
-            int at = come.indexOf("Content-Length: ");
-            int length = at < 0 || at > head ? 0 : Integer.parseInt(come.substring(at + 16, come.indexOf("\r\n", at)));
-            if (come.length() < head + 4 + length) {
+            int at = received.indexOf("Content-Length: ");
+            int length = at < 0 || at > head
+                    ? 0
+                    : Integer.parseInt(received.substring(at + 16, received.indexOf("\r\n", at)));
+            if (received.length() < head + 4 + length) {
                 return;
             }
-            String message = come.substring(0, head + 4 + length);
-            come.delete(0, message.length());
+            String message = received.substring(0, head + 4 + length);
+            received.delete(0, message.length());
             if (runner >= 0) {
                 fromRunner();
             } else {
@@ -149,7 +154,7 @@
                 write(NO_CONTENT);
                 if (body.contains("\"state\":\"done\"")) {
                     int id = body.indexOf("\"id\":\"") + 6;
-                    Wire to = waiting.remove(body.substring(id, body.indexOf('"', id)));
+                    PeerConnection to = clientsByRequestId.remove(body.substring(id, body.indexOf('"', id)));
                     if (to != null) {
                         int from = body.indexOf("\"result\":\"") + 10;
                         String result = body.substring(from, body.indexOf('"', from));
@@ -159,10 +164,10 @@
                 }
             } else {
                 int id = message.indexOf("Request-Id: ") + 12;
-                waiting.put(message.substring(id, message.indexOf("\r\n", id)), this);
-                int to = next++ % runners.size();
-                Wire out = idle.get(to).poll();
-                out = out != null ? out : new Wire(SocketChannel.open(runners.get(to)), to);
+                clientsByRequestId.put(message.substring(id, message.indexOf("\r\n", id)), this);
+                int to = nextRunner++ % runners.size();
+                PeerConnection out = idleConnections.get(to).poll();
+                out = out != null ? out : new PeerConnection(SocketChannel.open(runners.get(to)), to);
                 out.client = this;
                 out.job = message;
                 out.probing = true;
@@ -175,7 +180,7 @@
                 probing = false;
                 write(job.getBytes(StandardCharsets.ISO_8859_1));
             } else {
-                idle.get(runner).addFirst(this);
+                idleConnections.get(runner).addFirst(this);
             }
         }
 
@@ -183,7 +188,7 @@
             try {
                 channel.write(ByteBuffer.wrap(bytes));
             } catch (IOException e) {
-                // it has gone
+                // the peer has closed the connection
             }
         }
     }
--- a/rig/src/main/java/saltdale/rig/standin/DispatcherConnection.java
+++ b/rig/src/main/java/saltdale/rig/standin/DispatcherConnection.java
@@ -12,7 +12,7 @@
 import saltdale.rig.plan.Trouble.Kind;
 import saltdale.transport.Connection;
 
-/** A connection from a dispatcher. */
+/** A connection from a dispatcher to a runner: accepts jobs, cancellations and probes. */
 final class DispatcherConnection extends Exchange {
     private final StandInFleet fleet;
     private final RunnerEndpoint endpoint;
@@ -26,42 +26,42 @@
         this.runner = endpoint.runner;
     }
 
-    void reading(boolean wanted) {
-        connection.setReadEnabled(wanted);
+    void setReadEnabled(boolean enabled) {
+        connection.setReadEnabled(enabled);
     }
 
-    void drop() {
+    void close() {
         connection.close();
     }
 
     @Override
     public void disconnected(String cause) {
         endpoint.open.remove(this);
-        if (unanswered != null) { // closed before the 202: given up
+        if (unanswered != null) { // the dispatcher closed before the 202: the job is cancelled
             runner.model.cancel(fleet.origin.now(), unanswered.id, endpoint.dispatcher);
-            fleet.witness.attemptEnded(fleet.origin.now(), unanswered.id, runner.number);
+            fleet.observer.attemptEnded(fleet.origin.now(), unanswered.id, runner.number);
             runner.schedule();
         }
     }
 
     @Override
-    protected void onRequest(Head head, byte[] body, Duration first) {
+    protected void onRequest(Head head, byte[] body, Duration firstByteAt) {
         fleet.requests++;
         String path = head.path();
         if (head.method().equals("POST")) {
-            job(head, first);
+            acceptJob(head, firstByteAt);
         } else if (head.method().equals("DELETE") && path.startsWith("/jobs/")) {
             String id = path.substring("/jobs/".length());
             runner.model.cancel(fleet.origin.now(), id, endpoint.dispatcher);
-            fleet.witness.attemptEnded(fleet.origin.now(), id, runner.number);
+            fleet.observer.attemptEnded(fleet.origin.now(), id, runner.number);
             runner.schedule();
-            say(answer(204, "", ""));
+            send(answer(204, "", ""));
         } else if (path.equals("/alive") && fleet.day.orders.mayProbe) {
-            say(answer(200, "", ""));
+            send(answer(200, "", ""));
         } else if (path.equals("/metrics/load") && fleet.day.orders.mayProbe) {
-            say(answer(200, "Content-Type: application/json\r\n", load(report())));
+            send(answer(200, "Content-Type: application/json\r\n", loadBody(report())));
         } else {
-            say(answer(404, "", ""));
+            send(answer(404, "", ""));
         }
     }
 
@@ -72,79 +72,80 @@
         return report;
     }
 
-    private void job(Head head, Duration first) {
+    private void acceptJob(Head head, Duration firstByteAt) {
         String path = head.path();
         int slash = path.indexOf('/', 1);
         Workload workload = fleet.workloads.get(path.substring(1, slash < 0 ? path.length() : slash));
         String id = head.uniqueHeader("Request-Id");
-        String size = head.header(StandInFleet.WORK_HEADER);
-        if (workload == null || id == null || size == null || !size.matches("\\d{1,12}")) {
-            say(answer(id == null ? 404 : 400, "", ""));
+        String workMicros = head.header(StandInFleet.WORK_HEADER);
+        if (workload == null || id == null || workMicros == null || !workMicros.matches("\\d{1,12}")) {
+            send(answer(id == null ? 404 : 400, "", ""));
             return;
         }
         Duration now = fleet.origin.now();
-        RunnerJob work = new RunnerJob(
+        RunnerJob job = new RunnerJob(
                 id,
                 workload.repeatSafety == Workload.RepeatSafety.PURE ? null : head.uniqueHeader("Idempotency-Key"),
                 workload,
-                Long.parseLong(size) / 1e6,
+                Long.parseLong(workMicros) / 1e6,
                 endpoint.dispatcher);
-        fleet.witness.attemptReceived(first, now, id, runner.number, endpoint.dispatcher, work.sizeSeconds);
+        fleet.observer.attemptReceived(firstByteAt, now, id, runner.number, endpoint.dispatcher, job.sizeSeconds);
         if (!runner.model.isUp()) {
-            drop();
+            close();
             return;
         }
-        unanswered = work;
-        RunnerModel.OfferResult offer = runner.model.offer(now, work);
+        unanswered = job;
+        RunnerModel.OfferResult offer = runner.model.offer(now, job);
         switch (offer) {
             case ACCEPTED -> {
                 if (runner.has(Kind.EARLY_NEWS)) {
-                    fleet.loopThread.loop.schedule(Duration.ofMillis(20), () -> say(answer(202, "", "")));
+                    fleet.loopThread.loop.schedule(Duration.ofMillis(20), () -> send(answer(202, "", "")));
                 } else {
-                    say(answer(202, "", ""));
+                    send(answer(202, "", ""));
                 }
             }
             case FULL, DRAINING -> {
-                fleet.witness.attemptNotStarted(now, id, runner.number);
-                say(answer(503, "Not-Started: 1\r\n" + header(), ""));
+                fleet.observer.attemptNotStarted(now, id, runner.number);
+                send(answer(503, "Not-Started: 1\r\n" + loadHeader(), ""));
             }
             case ERROR -> {
-                fleet.witness.attemptEnded(now, id, runner.number);
-                say(answer(500, header(), ""));
+                fleet.observer.attemptEnded(now, id, runner.number);
+                send(answer(500, loadHeader(), ""));
             }
             case CRASHED -> {
-                fleet.witness.attemptEnded(now, id, runner.number);
-                runner.endpoints.forEach(RunnerEndpoint::shut);
+                fleet.observer.attemptEnded(now, id, runner.number);
+                runner.endpoints.forEach(RunnerEndpoint::close);
             }
         }
         runner.schedule();
     }
 
-    private String header() {
-        LoadReport r = report();
+    private String loadHeader() {
+        LoadReport load = report();
         return String.format(
                 Locale.ROOT,
                 "Server-Load: concurrent=%.0f,depth=%.0f,x0=%.0f\r\n",
-                r.inFlight(),
-                r.queue(),
-                r.freeSlots());
+                load.inFlight(),
+                load.queue(),
+                load.freeSlots());
     }
 
-    /** Sends an answer, as whole as the wire lets it be. */
-    private void say(byte[] answer) {
-        if (endpoint.isMuted()) {
+    /** Sends a response, truncated or byte by byte if a wire trouble asks for it. */
+    private void send(byte[] answer) {
+        if (endpoint.isSilent()) {
             return;
         }
-        Trouble cut = runner.wire(Kind.CUT_ANSWERS);
-        Trouble drip = runner.wire(Kind.DRIP_ANSWERS);
+        Trouble cut = runner.wireTrouble(Kind.CUT_ANSWERS);
+        Trouble drip = runner.wireTrouble(Kind.DRIP_ANSWERS);
         if (cut != null && cut.size() < answer.length) {
-            RunnerJob lost = unanswered;
+            RunnerJob truncated = unanswered;
             unanswered = null;
             connection.send(ByteBuffer.wrap(answer, 0, (int) cut.size()));
             connection.closeGracefully();
             endpoint.open.remove(this);
-            if (lost != null) {
-                fleet.witness.attemptEnded(fleet.origin.now(), lost.id, runner.number); // as the dispatcher sees it
+            if (truncated != null) {
+                // From the view of the dispatcher the attempt has ended.
+                fleet.observer.attemptEnded(fleet.origin.now(), truncated.id, runner.number);
             }
         } else if (drip != null) {
             drip(answer, 0, Duration.ofNanos((long) (drip.size() * 1e6)));
@@ -168,12 +169,12 @@
         }
     }
 
-    private static String load(LoadReport r) {
+    private static String loadBody(LoadReport load) {
         return String.format(
                 Locale.ROOT,
                 "{\"concurrent\":%.0f,\"depth\":%.0f,\"x0\":%.0f}",
-                r.inFlight(),
-                r.queue(),
-                r.freeSlots());
+                load.inFlight(),
+                load.queue(),
+                load.freeSlots());
     }
 }
--- a/rig/src/main/java/saltdale/rig/standin/Exchange.java
+++ b/rig/src/main/java/saltdale/rig/standin/Exchange.java
@@ -8,13 +8,13 @@
 import saltdale.protocol.HttpWriter;
 import saltdale.transport.Connection;
 
-/** A connection that a stand-in serves: one request after another. */
+/** Server side of an HTTP connection to a stand-in. Requests are handled one at a time; pipelining is refused. */
 public abstract class Exchange implements Connection.Handler {
     protected final Connection connection;
     private final Origin clock;
     private final HttpParser parser = new HttpParser(HttpParser.Kind.REQUEST);
-    /** When the first byte of the present request came. */
-    private Duration firstByte;
+    /** Arrival time of the first byte of the current request; null between requests. */
+    private Duration firstByteAt;
 
     private boolean answering;
 
@@ -24,10 +24,14 @@
         connection.setHandler(this);
     }
 
-    /** A whole request has come; {@link #responseSent} is to be called once its answer is out. */
-    protected abstract void onRequest(Head head, byte[] body, Duration first);
+    /**
+     * Handles a complete request. The subclass calls {@link #responseSent} after it has sent the response.
+     *
+     * @param firstByteAt when the first byte of the request arrived
+     */
+    protected abstract void onRequest(Head head, byte[] body, Duration firstByteAt);
 
-    /** It can't be read, and is closed. */
+    /** Handles a malformed or pipelined request; closes the connection by default. */
     protected void onMalformedRequest() {
         connection.close();
     }
@@ -35,10 +39,10 @@
     @Override
     public void received(ByteBuffer bytes) {
         while (bytes.hasRemaining()) {
-            firstByte = firstByte == null ? clock.now() : firstByte;
+            firstByteAt = firstByteAt == null ? clock.now() : firstByteAt;
             parser.parse(bytes);
             if (parser.isMalformed() || answering) {
-                onMalformedRequest(); // dispatchers send one request at a time
+                onMalformedRequest(); // also for pipelining: dispatchers send one request at a time
                 return;
             }
             if (!parser.isComplete()) {
@@ -46,26 +50,28 @@
             }
             Head head = parser.head();
             byte[] body = parser.body();
-            Duration first = firstByte;
-            firstByte = null;
+            Duration requestStart = firstByteAt;
+            firstByteAt = null;
             parser.startNextMessage();
             answering = true;
-            onRequest(head, body, first);
+            onRequest(head, body, requestStart);
         }
     }
 
+    /** Allows the next request on this connection. */
     protected void responseSent() {
         answering = false;
     }
 
+    /** Whether a request is still waiting for its response. */
     protected boolean isAnswering() {
         return answering;
     }
 
-    /** An answer as its bytes. */
-    public static byte[] answer(int status, String more, String body) {
+    /** Encodes an HTTP response; {@code extraHeaders} is empty or holds whole header lines. */
+    public static byte[] answer(int status, String extraHeaders, String body) {
         byte[] text = body.getBytes(StandardCharsets.UTF_8);
-        byte[] head = HttpWriter.response(status, more, text.length, false);
+        byte[] head = HttpWriter.response(status, extraHeaders, text.length, false);
         byte[] all = new byte[head.length + text.length];
         System.arraycopy(head, 0, all, 0, head.length);
         System.arraycopy(text, 0, all, head.length, text.length);
--- a/rig/src/main/java/saltdale/rig/standin/JobReportCall.java
+++ b/rig/src/main/java/saltdale/rig/standin/JobReportCall.java
@@ -8,36 +8,36 @@
 import saltdale.transport.ConnectionPool;
 import saltdale.transport.Timer;
 
-/** One call of a runner to a dispatcher. */
+/** One HTTP request that delivers a runner's job report to a dispatcher. */
 final class JobReportCall implements Connection.Handler {
-    /** A call that has no answer by then has none. */
-    static final Duration LIMIT = Duration.ofSeconds(2);
+    /** A request without a response within this time counts as unanswered. */
+    static final Duration TIMEOUT = Duration.ofSeconds(2);
 
     private final LoopThread loopThread;
     private final ConnectionPool pool;
-    private final byte[] call;
-    private final Consumer<Boolean> after;
+    private final byte[] request;
+    private final Consumer<Boolean> onEnd;
     private final HttpParser parser = new HttpParser(HttpParser.Kind.ANSWER);
     private Connection connection;
-    private Timer limit;
+    private Timer timeout;
 
-    JobReportCall(LoopThread loopThread, ConnectionPool pool, byte[] call, Consumer<Boolean> after) {
+    JobReportCall(LoopThread loopThread, ConnectionPool pool, byte[] request, Consumer<Boolean> onEnd) {
         this.loopThread = loopThread;
         this.pool = pool;
-        this.call = call;
-        this.after = after;
+        this.request = request;
+        this.onEnd = onEnd;
     }
 
-    void begin() {
+    void start() {
         connection = pool.acquire(this);
         if (connection == null) {
-            loopThread.loop.defer(() -> after.accept(false));
+            loopThread.loop.defer(() -> onEnd.accept(false));
             return;
         }
-        connection.send(ByteBuffer.wrap(call));
-        limit = loopThread.loop.schedule(LIMIT, () -> {
+        connection.send(ByteBuffer.wrap(request));
+        timeout = loopThread.loop.schedule(TIMEOUT, () -> {
             connection.close();
-            after.accept(false);
+            onEnd.accept(false);
         });
     }
 
@@ -46,7 +46,7 @@
         parser.parse(bytes);
         if (parser.isMalformed()) {
             connection.close();
-            end(false);
+            finish(false);
         } else if (parser.isComplete()) {
             if (parser.head().keepsAlive()) {
                 pool.release(connection);
@@ -54,17 +54,17 @@
                 connection.close();
             }
             int status = parser.head().status();
-            end(status == 200 || status == 204 || status == 400);
+            finish(status == 200 || status == 204 || status == 400);
         }
     }
 
     @Override
     public void disconnected(String cause) {
-        end(false);
+        finish(false);
     }
 
-    private void end(boolean heard) {
-        limit.cancel();
-        after.accept(heard);
+    private void finish(boolean answered) {
+        timeout.cancel();
+        onEnd.accept(answered);
     }
 }
--- a/rig/src/main/java/saltdale/rig/standin/JobReports.java
+++ b/rig/src/main/java/saltdale/rig/standin/JobReports.java
@@ -10,25 +10,25 @@
 import saltdale.rig.fleet.RunnerJob;
 import saltdale.rig.plan.Trouble.Kind;
 
-/** What a runner tells of a job: in order, each until it is answered. */
+/** Sends the reports on one job to its dispatcher, in order, and retries each until it is answered. */
 final class JobReports {
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int MOST_TRIES = 10;
-    private static final Duration HELD = Duration.ofMillis(250);
-    private static final Duration PAUSE = Duration.ofMillis(100);
+    private static final int MAX_ATTEMPTS = 10;
+    private static final Duration SHUFFLE_DELAY = Duration.ofMillis(250);
+    private static final Duration RETRY_DELAY = Duration.ofMillis(100);
 
     private final StandInFleet fleet;
     private final StandInRunner runner;
-    private final RunnerJob work;
-    private final Deque<byte[]> waiting = new ArrayDeque<>();
-    private byte[] sending; // what is told just now, or to be told again
-    private boolean busy;
-    private int tries;
+    private final RunnerJob job;
+    private final Deque<byte[]> queue = new ArrayDeque<>();
+    private byte[] current; // the report in flight or waiting for a retry
+    private boolean callInProgress;
+    private int attempts;
 
-    JobReports(StandInRunner runner, RunnerJob work) {
+    JobReports(StandInRunner runner, RunnerJob job) {
         this.fleet = runner.fleet;
         this.runner = runner;
-        this.work = work;
+        this.job = job;
     }
 
     void add(String state, double share, String result) {
@@ -36,7 +36,7 @@
             return;
         }
         ObjectNode object = JSON.createObjectNode();
-        object.put("id", work.id).put("from", "r" + runner.number).put("state", state);
+        object.put("id", job.id).put("from", "r" + runner.number).put("state", state);
         if (share >= 0) {
             object.put("share", share);
         }
@@ -44,62 +44,65 @@
             object.put("result", result);
         }
         if (!state.equals("started") && !state.equals("running")) {
-            LoadReport r = runner.model.report(fleet.origin.now());
+            LoadReport load = runner.model.report(fleet.origin.now());
             object.putObject("load")
-                    .put("concurrent", r.inFlight())
-                    .put("depth", r.queue())
-                    .put("x0", r.freeSlots());
+                    .put("concurrent", load.inFlight())
+                    .put("depth", load.queue())
+                    .put("x0", load.freeSlots());
         }
         byte[] body = object.toString().getBytes(StandardCharsets.UTF_8);
         byte[] head = ("POST /_jobs/news HTTP/1.1\r\nHost: "
-                        + LoopbackAddresses.text(fleet.places.dispatcher(work.dispatcher))
+                        + LoopbackAddresses.text(fleet.addresses.dispatcher(job.dispatcher))
                         + "\r\nContent-Type: application/json\r\nContent-Length: " + body.length + "\r\n\r\n")
                 .getBytes(StandardCharsets.US_ASCII);
-        byte[] call = new byte[head.length + body.length];
-        System.arraycopy(head, 0, call, 0, head.length);
-        System.arraycopy(body, 0, call, head.length, body.length);
-        boolean passes = runner.has(Kind.SHUFFLED_NEWS) && !waiting.isEmpty();
-        if (passes) {
-            waiting.addFirst(call);
+        byte[] request = new byte[head.length + body.length];
+        System.arraycopy(head, 0, request, 0, head.length);
+        System.arraycopy(body, 0, request, head.length, body.length);
+        boolean overtakes = runner.has(Kind.SHUFFLED_NEWS) && !queue.isEmpty();
+        if (overtakes) {
+            queue.addFirst(request);
         } else {
-            waiting.addLast(call);
+            queue.addLast(request);
         }
         if (runner.has(Kind.TWICE_NEWS)) {
-            waiting.addLast(call);
+            queue.addLast(request);
         }
-        // Out of order: held a little, so that there is another to pass it.
-        fleet.loopThread.loop.schedule(runner.has(Kind.SHUFFLED_NEWS) && !passes ? HELD : Duration.ZERO, this::next);
+        // For shuffled reports, delay this one so that a later report can overtake it.
+        fleet.loopThread.loop.schedule(
+                runner.has(Kind.SHUFFLED_NEWS) && !overtakes ? SHUFFLE_DELAY : Duration.ZERO, this::sendNext);
     }
 
-    private void next() {
-        if (busy || sending == null && waiting.isEmpty()) {
+    private void sendNext() {
+        if (callInProgress || current == null && queue.isEmpty()) {
             return;
         }
         if (runner.silent) {
-            sending = null;
-            waiting.clear();
+            current = null;
+            queue.clear();
             return;
         }
-        if (runner.endpoints.get(work.dispatcher).isMuted()) {
-            fleet.loopThread.loop.schedule(PAUSE, this::next); // the link is cut: until it is back
+        if (runner.endpoints.get(job.dispatcher).isSilent()) {
+            fleet.loopThread.loop.schedule(RETRY_DELAY, this::sendNext); // the link is cut: poll until it is restored
             return;
         }
-        busy = true;
-        // Out of the queue: guards against another that passes it meanwhile and would be dropped in its place.
-        sending = sending == null ? waiting.poll() : sending;
-        new JobReportCall(fleet.loopThread, fleet.callBack(runner.number, work.dispatcher), sending, this::told)
-                .begin();
+        callInProgress = true;
+        // Removed from the queue before sending: a report that overtakes it meanwhile would otherwise be dropped in
+        // its place.
+        current = current == null ? queue.poll() : current;
+        new JobReportCall(
+                        fleet.loopThread, fleet.callbackPool(runner.number, job.dispatcher), current, this::onCallEnded)
+                .start();
     }
 
-    private void told(boolean heard) {
-        busy = false;
-        if (heard || ++tries >= MOST_TRIES) {
-            fleet.newsLost += heard ? 0 : 1;
-            tries = 0;
-            sending = null;
-            next();
+    private void onCallEnded(boolean answered) {
+        callInProgress = false;
+        if (answered || ++attempts >= MAX_ATTEMPTS) {
+            fleet.lostReports += answered ? 0 : 1;
+            attempts = 0;
+            current = null;
+            sendNext();
         } else {
-            fleet.loopThread.loop.schedule(PAUSE, this::next);
+            fleet.loopThread.loop.schedule(RETRY_DELAY, this::sendNext);
         }
     }
 }
--- a/rig/src/main/java/saltdale/rig/standin/LoopThread.java
+++ b/rig/src/main/java/saltdale/rig/standin/LoopThread.java
@@ -7,19 +7,20 @@
 import saltdale.transport.EventLoop;
 import saltdale.transport.SocketBudget;
 
-/** A loop on a thread of its own. */
+/** An event loop on its own daemon thread. */
 public final class LoopThread implements AutoCloseable {
-    private static final Duration TICK = Duration.ofMillis(10);
-    private static final int MOST_SOCKETS = 200_000;
+    private static final Duration MEASUREMENT_INTERVAL = Duration.ofMillis(10);
+    private static final int MAX_SOCKETS = 200_000;
+    private static final long STOP_TIMEOUT_MS = 5000;
 
     public final EventLoop loop;
     public final SocketBudget sockets;
     private final Thread thread;
-    private volatile long mostLate; // ns
+    private volatile long maxDelayNanos;
 
     public LoopThread(String name) throws IOException {
         loop = new EventLoop();
-        sockets = new SocketBudget(loop, MOST_SOCKETS);
+        sockets = new SocketBudget(loop, MAX_SOCKETS);
         thread = new Thread(
                 () -> {
                     try {
@@ -36,29 +37,29 @@
         thread.start();
     }
 
-    /** Counts from now on how late it is; called on the loop. */
+    /** Starts to measure how late timers fire. Called on the loop. */
     public void monitorDelay() {
-        tick(loop.elapsed());
+        measureDelay(loop.elapsed());
     }
 
-    /** Notes how late this thread comes to what is due: so late it may also have read what came in time. */
-    private void tick(Duration due) {
+    /** Records how late this timer fired: bytes that arrived in time may have been read equally late. */
+    private void measureDelay(Duration due) {
         Duration now = loop.elapsed();
-        mostLate = Math.max(mostLate, now.minus(due).toNanos());
-        loop.schedule(TICK, () -> tick(now.plus(TICK)));
+        maxDelayNanos = Math.max(maxDelayNanos, now.minus(due).toNanos());
+        loop.schedule(MEASUREMENT_INTERVAL, () -> measureDelay(now.plus(MEASUREMENT_INTERVAL)));
     }
 
-    /** The most that this thread was late. */
+    /** The longest timer delay measured so far. */
     public Duration maxDelay() {
-        return Duration.ofNanos(mostLate);
+        return Duration.ofNanos(maxDelayNanos);
     }
 
-    /** Does this on the loop's thread, and waits until it is done. */
-    public void runAndWait(Runnable what) {
+    /** Runs an action on the loop's thread and waits until it has finished. */
+    public void runAndWait(Runnable action) {
         CountDownLatch done = new CountDownLatch(1);
         loop.execute(() -> {
             try {
-                what.run();
+                action.run();
             } finally {
                 done.countDown();
             }
@@ -74,7 +75,7 @@
     public void close() {
         loop.execute(loop::stop);
         try {
-            thread.join(5000);
+            thread.join(STOP_TIMEOUT_MS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/rig/src/main/java/saltdale/rig/standin/Origin.java
+++ b/rig/src/main/java/saltdale/rig/standin/Origin.java
@@ -2,17 +2,18 @@
 
 import java.time.Duration;
 
-/** When a run began: all its threads count from the same moment. */
+/** The start time of a run. All threads of the run measure time from it. */
 public final class Origin {
-    private final long nanos;
+    private final long startNanos;
     public final long unixMillis;
 
     public Origin() {
-        nanos = System.nanoTime();
+        startNanos = System.nanoTime();
         unixMillis = System.currentTimeMillis();
     }
 
+    /** The time since the start of the run, by the monotonic clock. */
     public Duration now() {
-        return Duration.ofNanos(System.nanoTime() - nanos);
+        return Duration.ofNanos(System.nanoTime() - startNanos);
     }
 }
--- a/rig/src/main/java/saltdale/rig/standin/RunnerEndpoint.java
+++ b/rig/src/main/java/saltdale/rig/standin/RunnerEndpoint.java
@@ -6,7 +6,7 @@
 import java.util.Set;
 import saltdale.rig.ways.SwitchableListener;
 
-/** Where one dispatcher reaches one runner. */
+/** The address at which one dispatcher reaches one runner, with its open connections. */
 final class RunnerEndpoint {
     final StandInRunner runner;
     final int dispatcher;
@@ -22,34 +22,34 @@
                 (connection, full) -> open.add(new DispatcherConnection(this, connection)));
     }
 
-    boolean isMuted() {
+    boolean isSilent() {
         return listener.isSilent();
     }
 
-    /** Falls silent or speaks again, as the machine and the links are by now. */
-    void set() {
-        boolean mute = runner.silent || runner.fleet.isCut(runner.number, dispatcher);
-        if (mute != listener.isSilent() && !listener.isShut()) {
-            listener.setSilent(mute);
-            open.forEach(each -> each.reading(!mute));
+    /** Stops or resumes responding, according to the current state of the machine and of the links. */
+    void updateSilence() {
+        boolean silent = runner.silent || runner.fleet.isCut(runner.number, dispatcher);
+        if (silent != listener.isSilent() && !listener.isClosed()) {
+            listener.setSilent(silent);
+            open.forEach(each -> each.setReadEnabled(!silent));
         }
     }
 
-    /** The process has died: its connections end, and new ones are refused. */
-    void shut() {
-        listener.shut();
-        dropAll();
+    /** Closes all connections and refuses new ones, as after the death of the process. */
+    void close() {
+        listener.close();
+        closeConnections();
     }
 
-    /** It is back: what was open through its silence is reset, and it listens again if it had ceased to. */
-    void renew() {
-        dropAll();
+    /** Closes connections left open while the runner was silent, and listens again if the endpoint was closed. */
+    void restart() {
+        closeConnections();
         listener.open();
-        set();
+        updateSilence();
     }
 
-    private void dropAll() {
-        List.copyOf(open).forEach(DispatcherConnection::drop);
+    private void closeConnections() {
+        List.copyOf(open).forEach(DispatcherConnection::close);
         open.clear();
     }
 }
--- a/rig/src/main/java/saltdale/rig/standin/RunnerListServer.java
+++ b/rig/src/main/java/saltdale/rig/standin/RunnerListServer.java
@@ -26,118 +26,121 @@
 import saltdale.transport.Connection;
 import saltdale.transport.Listener;
 
-/** The list of runners by the platform's protocol: the whole of it, and a watch that stays open. */
+/** Serves the list of runners in the discovery protocol: as a full list, or as a watch that stays open. */
 public final class RunnerListServer implements RunnerStateListener {
-    private static final Duration EMPTY_LINE = Duration.ofSeconds(2);
-    private static final Pattern FROM = Pattern.compile("[?&]from=(\\d{1,18})");
+    private static final Duration KEEP_ALIVE_INTERVAL = Duration.ofSeconds(2);
+    private static final Pattern FROM_PARAMETER = Pattern.compile("[?&]from=(\\d{1,18})");
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private static final class Entry {
         ListedHealth health = ListedHealth.UP;
-        /** Null: long ago. */
-        Duration bornAt;
+        /** Null if the process has been running for long. */
+        Duration startedAt;
 
         long version = 1;
     }
 
     private final LoopThread loopThread;
     private final Day day;
-    private final LoopbackAddresses places;
+    private final LoopbackAddresses addresses;
     private final Origin origin;
-    private final EventObserver witness;
+    private final EventObserver observer;
     private final List<Entry> entries = new ArrayList<>();
     private final List<Watch> watches = new ArrayList<>();
-    private final Set<Asked> open = new HashSet<>();
-    private final Map<Integer, LinkCondition> ways = new HashMap<>();
+    private final Set<ListConnection> open = new HashSet<>();
+    private final Map<Integer, LinkCondition> linkConditions = new HashMap<>();
     private long version = 1;
-    private boolean mute;
+    private boolean silent;
 
     public RunnerListServer(
-            LoopThread loopThread, Day day, LoopbackAddresses places, Origin origin, EventObserver witness)
+            LoopThread loopThread, Day day, LoopbackAddresses addresses, Origin origin, EventObserver observer)
             throws IOException {
         this.loopThread = loopThread;
         this.day = day;
-        this.places = places;
+        this.addresses = addresses;
         this.origin = origin;
-        this.witness = witness;
+        this.observer = observer;
         for (int i = 0; i < day.runners; i++) {
             entries.add(new Entry());
         }
         for (int j = 0; j < day.dispatchers; j++) {
             int dispatcher = j;
-            InetSocketAddress at = places.list(j);
+            InetSocketAddress at = addresses.list(j);
             new Listener(
                     loopThread.loop,
                     loopThread.sockets,
                     at,
-                    (connection, full) -> open.add(new Asked(connection, dispatcher)));
+                    (connection, full) -> open.add(new ListConnection(connection, dispatcher)));
         }
-        beat();
+        scheduleKeepAlive();
     }
 
-    private void beat() {
-        loopThread.loop.schedule(EMPTY_LINE, () -> {
-            watches.stream().filter(watch -> speaks(watch.dispatcher)).forEach(watch -> watch.line("\n"));
-            beat();
+    private void scheduleKeepAlive() {
+        loopThread.loop.schedule(KEEP_ALIVE_INTERVAL, () -> {
+            watches.stream().filter(watch -> isReachable(watch.dispatcher)).forEach(watch -> watch.sendChunk("\n"));
+            scheduleKeepAlive();
         });
     }
 
     @Override
-    public void runnerChanged(int runner, ListedHealth health, Duration bornAt) {
+    public void runnerChanged(int runner, ListedHealth health, Duration startedAt) {
         Entry entry = entries.get(runner);
-        boolean older = entry.bornAt != null && (bornAt == null || bornAt.compareTo(entry.bornAt) < 0);
-        if (older) { // guards against a late word of an earlier life
+        boolean outdated = entry.startedAt != null && (startedAt == null || startedAt.compareTo(entry.startedAt) < 0);
+        if (outdated) { // a late update about an earlier process of the runner
             return;
         }
         entry.health = health;
-        entry.bornAt = bornAt;
+        entry.startedAt = startedAt;
         entry.version = ++version;
-        tellAll();
+        updateAll();
     }
 
     @Override
     public void setSilent(boolean silent) {
-        mute = silent;
-        tellAll();
+        this.silent = silent;
+        updateAll();
     }
 
     @Override
-    public void linkChanged(int dispatcher, LinkCondition next) {
-        if (next.equals(Objects.requireNonNullElse(ways.put(dispatcher, next), LinkCondition.CLEAR))) {
+    public void linkChanged(int dispatcher, LinkCondition condition) {
+        if (condition.equals(
+                Objects.requireNonNullElse(linkConditions.put(dispatcher, condition), LinkCondition.CLEAR))) {
             return;
-        } else if (next.reset()) {
+        } else if (condition.reset()) {
             List.copyOf(open).stream()
                     .filter(each -> each.dispatcher == dispatcher)
-                    .forEach(Asked::reset);
-        } else if (speaks(dispatcher)) {
+                    .forEach(ListConnection::reset);
+        } else if (isReachable(dispatcher)) {
             List.copyOf(watches).stream()
                     .filter(watch -> watch.dispatcher == dispatcher)
-                    .forEach(Watch::tell);
+                    .forEach(Watch::sendChanges);
         }
     }
 
-    private boolean speaks(int dispatcher) {
-        LinkCondition way = ways.getOrDefault(dispatcher, LinkCondition.CLEAR);
-        return !mute && !way.reset() && !way.isUnresponsive();
+    private boolean isReachable(int dispatcher) {
+        LinkCondition link = linkConditions.getOrDefault(dispatcher, LinkCondition.CLEAR);
+        return !silent && !link.reset() && !link.isUnresponsive();
     }
 
-    private void tellAll() {
-        List.copyOf(watches).stream().filter(watch -> speaks(watch.dispatcher)).forEach(Watch::tell);
+    private void updateAll() {
+        List.copyOf(watches).stream()
+                .filter(watch -> isReachable(watch.dispatcher))
+                .forEach(Watch::sendChanges);
     }
 
-    private String text(int dispatcher, long from) {
+    private String listJson(int dispatcher, long fromVersion) {
         ObjectNode list = JSON.createObjectNode();
-        list.put("seq", version).put("whole", from < 0);
+        list.put("seq", version).put("whole", fromVersion < 0);
         ArrayNode hosts = list.putArray("hosts");
         Duration now = origin.now();
         for (int i = 0; i < entries.size(); i++) {
             Entry entry = entries.get(i);
-            if (entry.version <= from || from < 0 && entry.health == ListedHealth.GONE) {
+            if (entry.version <= fromVersion || fromVersion < 0 && entry.health == ListedHealth.GONE) {
                 continue;
             }
             hosts.addObject()
                     .put("host", "r" + i)
-                    .put("dial", LoopbackAddresses.text(places.runner(i, dispatcher)))
+                    .put("dial", LoopbackAddresses.text(addresses.runner(i, dispatcher)))
                     .put("site", day.zone(i))
                     .put("class", day.make(i).name())
                     .put("block", day.cell(i))
@@ -149,8 +152,8 @@
                                 case GONE -> "removed";
                             })
                     .put("share", 1.0)
-                    .put("born_ms", entry.bornAt == null ? 0 : origin.unixMillis + entry.bornAt.toMillis());
-            witness.listEntryReceived(now, dispatcher, i, entry.health, entry.bornAt);
+                    .put("born_ms", entry.startedAt == null ? 0 : origin.unixMillis + entry.startedAt.toMillis());
+            observer.listEntryReceived(now, dispatcher, i, entry.health, entry.startedAt);
         }
         try {
             return JSON.writeValueAsString(list);
@@ -159,37 +162,37 @@
         }
     }
 
-    /** The list as a dispatcher would have had it last. */
-    public String known(int dispatcher) {
-        return text(dispatcher, -1);
+    /** The current full list, as sent to a dispatcher. */
+    public String currentList(int dispatcher) {
+        return listJson(dispatcher, -1);
     }
 
-    private final class Asked extends Exchange {
+    private final class ListConnection extends Exchange {
         private final int dispatcher;
         private Watch watch;
 
-        Asked(Connection connection, int dispatcher) {
+        ListConnection(Connection connection, int dispatcher) {
             super(connection, origin);
             this.dispatcher = dispatcher;
         }
 
         @Override
-        protected void onRequest(Head head, byte[] body, Duration first) {
-            if (ways.getOrDefault(dispatcher, LinkCondition.CLEAR).reset()) {
+        protected void onRequest(Head head, byte[] body, Duration firstByteAt) {
+            if (linkConditions.getOrDefault(dispatcher, LinkCondition.CLEAR).reset()) {
                 reset();
                 return;
-            } else if (!speaks(dispatcher)) {
-                return; // silent while discovery is down
+            } else if (!isReachable(dispatcher)) {
+                return; // discovery is unavailable: no response
             }
             if (!head.path().equals("/discovery/hosts") || !head.method().equals("GET")) {
                 connection.send(ByteBuffer.wrap(answer(404, "", "")));
                 responseSent();
             } else if (head.target().contains("watch=1")) {
-                watch = new Watch(connection, dispatcher, from(head.target()));
+                watch = new Watch(connection, dispatcher, fromVersion(head.target()));
                 watches.add(watch);
             } else {
                 connection.send(
-                        ByteBuffer.wrap(answer(200, "Content-Type: application/json\r\n", text(dispatcher, -1))));
+                        ByteBuffer.wrap(answer(200, "Content-Type: application/json\r\n", listJson(dispatcher, -1))));
                 responseSent();
             }
         }
@@ -206,33 +209,33 @@
         }
     }
 
-    private static long from(String target) {
-        Matcher m = FROM.matcher(target);
+    private static long fromVersion(String target) {
+        Matcher m = FROM_PARAMETER.matcher(target);
         return m.find() ? Long.parseLong(m.group(1)) : -1;
     }
 
     private final class Watch {
         private final Connection connection;
         private final int dispatcher;
-        private long told;
+        private long sentVersion;
 
-        Watch(Connection connection, int dispatcher, long from) {
+        Watch(Connection connection, int dispatcher, long fromVersion) {
             this.connection = connection;
             this.dispatcher = dispatcher;
-            this.told = from > version ? -1 : from;
+            this.sentVersion = fromVersion > version ? -1 : fromVersion;
             connection.send(ByteBuffer.wrap(
                     ("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n" + "Transfer-Encoding: chunked\r\n\r\n")
                             .getBytes(StandardCharsets.US_ASCII)));
-            tell();
+            sendChanges();
         }
 
-        void tell() {
-            String text = text(dispatcher, told);
-            told = version;
-            line(text + "\n");
+        void sendChanges() {
+            String text = listJson(dispatcher, sentVersion);
+            sentVersion = version;
+            sendChunk(text + "\n");
         }
 
-        void line(String line) {
+        void sendChunk(String line) {
             byte[] text = line.getBytes(StandardCharsets.UTF_8);
             connection.send(
                     ByteBuffer.wrap((Integer.toHexString(text.length) + "\r\n").getBytes(StandardCharsets.US_ASCII)),
--- a/rig/src/main/java/saltdale/rig/standin/RunnerStateListener.java
+++ b/rig/src/main/java/saltdale/rig/standin/RunnerStateListener.java
@@ -4,14 +4,18 @@
 import saltdale.rig.fleet.LinkCondition;
 import saltdale.rig.judge.EventObserver.ListedHealth;
 
-/** Who comes to know of changes among the runners; called on the loop. */
+/** Receives the changes of runners and of links that concern the runner list. Called on the event loop. */
 public interface RunnerStateListener {
-    /** {@code bornAt} null: it has run for long. */
-    void runnerChanged(int runner, ListedHealth health, Duration bornAt);
+    /**
+     * A runner's listed health has changed.
+     *
+     * @param startedAt when its process started; null if it has been running for long
+     */
+    void runnerChanged(int runner, ListedHealth health, Duration startedAt);
 
-    /** This is how its way to this dispatcher is from now on. */
-    void linkChanged(int dispatcher, LinkCondition next);
+    /** Sets the condition of the link between the list and a dispatcher. */
+    void linkChanged(int dispatcher, LinkCondition condition);
 
-    /** It falls silent, or speaks again. */
+    /** Makes the list stop or resume responding. */
     void setSilent(boolean silent);
 }
--- a/rig/src/main/java/saltdale/rig/standin/StandInFleet.java
+++ b/rig/src/main/java/saltdale/rig/standin/StandInFleet.java
@@ -23,60 +23,60 @@
 import saltdale.rig.ways.LinkRelay;
 import saltdale.transport.ConnectionPool;
 
-/** The runners of a day on sockets, by the platform's protocol; each is a model with a loop for its clock. */
+/** The runners of a day, served on sockets in the runner protocol. Each is a model driven by the event loop's clock. */
 public final class StandInFleet {
-    /** The header in which the load tells a runner how much work a job is, in microseconds. */
+    /** Request header in which the load generator gives the work of a job, in microseconds. */
     public static final String WORK_HEADER = "Rig-Work-Us";
 
-    private static final Duration SAMPLE = Duration.ofMillis(250);
+    private static final Duration SAMPLE_INTERVAL = Duration.ofMillis(250);
 
     private record Pair(int runner, int dispatcher) {}
 
-    /** Their way for the dispatcher's connections, that for the runner's, and who calls on the latter. */
-    private record Links(LinkRelay there, LinkRelay back, ConnectionPool calls) {}
+    /** The relays for connections from the dispatcher and from the runner, and the pool that uses the latter. */
+    private record Links(LinkRelay toRunner, LinkRelay toDispatcher, ConnectionPool callbacks) {}
 
     final LoopThread loopThread;
     final Day day;
-    final LoopbackAddresses places;
+    final LoopbackAddresses addresses;
     final Origin origin;
-    final EventObserver witness;
+    final EventObserver observer;
     final RunnerStateListener list;
     final TroubleSchedule troubles;
     final Watch watch;
-    private final SplittableRandom chance;
+    private final SplittableRandom random;
     final Map<String, Workload> workloads = new HashMap<>();
     private final List<StandInRunner> runners = new ArrayList<>();
-    private final List<ConnectionPool> callBacks = new ArrayList<>();
+    private final List<ConnectionPool> callbackPools = new ArrayList<>();
     private final Map<Pair, Links> links = new LinkedHashMap<>();
-    private final Set<Pair> disturbed = new HashSet<>();
+    private final Set<Pair> disturbedPairs = new HashSet<>();
     Duration start = Duration.ZERO;
     private int cutZone = -1;
-    long newsLost;
+    long lostReports;
     long requests;
 
     public StandInFleet(
             LoopThread loopThread,
             Day day,
-            LoopbackAddresses places,
+            LoopbackAddresses addresses,
             Origin origin,
-            EventObserver witness,
+            EventObserver observer,
             RunnerStateListener list,
             long seed)
             throws IOException {
         this.loopThread = loopThread;
         this.day = day;
-        this.places = places;
+        this.addresses = addresses;
         this.origin = origin;
-        this.witness = witness;
+        this.observer = observer;
         this.list = list;
         this.troubles = new TroubleSchedule(day.troubles);
         this.watch = new Watch(day.runners);
-        this.chance = new SplittableRandom(seed);
+        this.random = new SplittableRandom(seed);
         for (Job job : day.jobs) {
             workloads.put(job.name(), job.workload());
         }
         for (int j = 0; j < day.dispatchers; j++) {
-            callBacks.add(pool(places.dispatcher(j)));
+            callbackPools.add(pool(addresses.dispatcher(j)));
         }
         for (int i = 0; i < day.runners; i++) {
             for (int j = 0; j < day.dispatchers; j++) {
@@ -87,62 +87,72 @@
                             new Pair(i, j),
                             new Links(
                                     new LinkRelay(
-                                            loopThread, places.runner(i, j), places.behind(i, j), true, chance.split()),
+                                            loopThread,
+                                            addresses.runner(i, j),
+                                            addresses.behindRelay(i, j),
+                                            true,
+                                            random.split()),
                                     new LinkRelay(
-                                            loopThread, places.back(i, j), places.dispatcher(j), false, chance.split()),
-                                    pool(places.back(i, j))));
+                                            loopThread,
+                                            addresses.callbackRelay(i, j),
+                                            addresses.dispatcher(j),
+                                            false,
+                                            random.split()),
+                                    pool(addresses.callbackRelay(i, j))));
                 }
             }
         }
         List<ReceiptStore.ByScope> receipts = ReceiptStore.of(day);
         for (int i = 0; i < day.runners; i++) {
-            runners.add(new StandInRunner(this, i, receipts.get(i), chance.split()));
+            runners.add(new StandInRunner(this, i, receipts.get(i), random.split()));
         }
     }
 
-    private ConnectionPool pool(InetSocketAddress at) {
-        return new ConnectionPool(loopThread.loop, loopThread.sockets, at, JobReportCall.LIMIT, Duration.ofSeconds(2));
+    private ConnectionPool pool(InetSocketAddress address) {
+        return new ConnectionPool(
+                loopThread.loop, loopThread.sockets, address, JobReportCall.TIMEOUT, Duration.ofSeconds(2));
     }
 
-    /** Where a runner itself listens for a dispatcher: behind their way, if something befalls that. */
+    /** Where a runner listens for a dispatcher: behind a relay if a trouble affects their link. */
     InetSocketAddress endpointAt(int runner, int dispatcher) {
         return links.containsKey(new Pair(runner, dispatcher))
-                ? places.behind(runner, dispatcher)
-                : places.runner(runner, dispatcher);
+                ? addresses.behindRelay(runner, dispatcher)
+                : addresses.runner(runner, dispatcher);
     }
 
-    /** The connections by which a runner calls a dispatcher back. */
-    ConnectionPool callBack(int runner, int dispatcher) {
-        Links own = links.get(new Pair(runner, dispatcher));
-        return own == null ? callBacks.get(dispatcher) : own.calls;
+    /** The connection pool that a runner uses for its calls to a dispatcher. */
+    ConnectionPool callbackPool(int runner, int dispatcher) {
+        Links pairLinks = links.get(new Pair(runner, dispatcher));
+        return pairLinks == null ? callbackPools.get(dispatcher) : pairLinks.callbacks;
     }
 
-    /** Whether their zones are cut off from each other. */
+    /** Whether the zones of a runner and a dispatcher are cut off from each other. */
     boolean isCut(int runner, int dispatcher) {
-        int here = runner % day.zones.size();
-        int there = dispatcher % day.zones.size();
-        return here != there && (cutZone == here || cutZone == there);
+        int runnerZone = runner % day.zones.size();
+        int dispatcherZone = dispatcher % day.zones.size();
+        return runnerZone != dispatcherZone && (cutZone == runnerZone || cutZone == dispatcherZone);
     }
 
-    /** The day began at this time: its troubles come by it. */
-    public void begin(Duration at) {
-        start = at;
-        for (TroubleSchedule.ScheduledAction turn : troubles.scheduledActions()) {
-            loopThread.loop.schedule(turn.at().plus(start).minus(origin.now()), () -> act(turn));
+    /** Starts the day at the given time, from which the times of its troubles count. */
+    public void begin(Duration startAt) {
+        start = startAt;
+        for (TroubleSchedule.ScheduledAction scheduled : troubles.scheduledActions()) {
+            loopThread.loop.schedule(scheduled.at().plus(start).minus(origin.now()), () -> act(scheduled));
         }
         sample();
     }
 
-    /** How many calls to dispatchers were never answered, of all tries of each. */
-    public long newsLost() {
-        return newsLost;
+    /** The number of job reports that were given up because no attempt was answered. */
+    public long lostReports() {
+        return lostReports;
     }
 
-    /** How many requests the runners were sent, of all kinds. */
+    /** The number of requests of all kinds that the runners received. */
     public long requests() {
         return requests;
     }
 
+    /** The samples of the runners' load. */
     public Watch watch() {
         return watch;
     }
@@ -152,48 +162,48 @@
             runner.model.advance(origin.now());
             watch.sample(origin.now(), runner.number, runner.model.heldCount(), runner.model.isUp() && !runner.silent);
         }
-        loopThread.loop.schedule(SAMPLE, this::sample);
+        loopThread.loop.schedule(SAMPLE_INTERVAL, this::sample);
     }
 
-    private void passes(Pair pair, Links own, Duration at) {
-        LinkCondition next = troubles.linkCondition(pair.runner, pair.dispatcher, at);
-        if (!next.equals(own.there.condition())) {
-            own.there.setCondition(next);
-            own.back.setCondition(next);
+    private void updateRelays(Pair pair, Links pairLinks, Duration at) {
+        LinkCondition condition = troubles.linkCondition(pair.runner, pair.dispatcher, at);
+        if (!condition.equals(pairLinks.toRunner.condition())) {
+            pairLinks.toRunner.setCondition(condition);
+            pairLinks.toDispatcher.setCondition(condition);
         }
     }
 
-    /** Tells the witness between whom bytes may be held up from now on, by a link or cut zones, and where no longer. */
-    private void tellDisturbed() {
+    /** Notifies the observer of pairs whose traffic a link or a zone cut begins or ceases to delay. */
+    private void notifyDisturbances() {
         for (int runner = 0; runner < day.runners; runner++) {
             for (int dispatcher = 0; dispatcher < day.dispatchers; dispatcher++) {
                 Pair pair = new Pair(runner, dispatcher);
-                Links own = links.get(pair);
-                boolean free = !isCut(runner, dispatcher)
-                        && (own == null || own.there.condition().isClear());
-                if (free ? disturbed.remove(pair) : disturbed.add(pair)) {
-                    witness.linkChanged(origin.now(), runner, dispatcher, free);
+                Links pairLinks = links.get(pair);
+                boolean clear = !isCut(runner, dispatcher)
+                        && (pairLinks == null || pairLinks.toRunner.condition().isClear());
+                if (clear ? disturbedPairs.remove(pair) : disturbedPairs.add(pair)) {
+                    observer.linkChanged(origin.now(), runner, dispatcher, clear);
                 }
             }
         }
     }
 
-    private void act(TroubleSchedule.ScheduledAction turn) {
-        Trouble trouble = turn.trouble();
-        switch (turn.action()) {
+    private void act(TroubleSchedule.ScheduledAction scheduled) {
+        Trouble trouble = scheduled.trouble();
+        switch (scheduled.action()) {
             case CUT_ZONE -> {
                 cutZone = (int) trouble.size();
-                tellDisturbed();
-                runners.forEach(StandInRunner::endpoints);
+                notifyDisturbances();
+                runners.forEach(StandInRunner::updateEndpoints);
             }
             case RECONNECT_ZONE -> {
                 cutZone = -1;
-                tellDisturbed();
-                runners.forEach(StandInRunner::endpoints);
+                notifyDisturbances();
+                runners.forEach(StandInRunner::updateEndpoints);
             }
             case SILENCE_LIST -> list.setSilent(true);
             case RESUME_LIST -> list.setSilent(false);
-            // the dispatchers' own; what is on the wire is looked up at each answer
+            // Dispatcher actions are handled elsewhere; wire troubles are looked up for each response.
             case KILL_DISPATCHER,
                     RESTART_DISPATCHER,
                     PAUSE_DISPATCHER,
@@ -201,13 +211,13 @@
                     SHUT_DOWN_DISPATCHER,
                     CHANGE_WIRE -> {}
             case CHANGE_LINK -> {
-                links.forEach((pair, own) -> passes(pair, own, turn.at()));
-                tellDisturbed();
+                links.forEach((pair, pairLinks) -> updateRelays(pair, pairLinks, scheduled.at()));
+                notifyDisturbances();
                 for (int j = 0; j < day.dispatchers; j++) {
-                    list.linkChanged(j, troubles.listLinkCondition(j, turn.at()));
+                    list.linkChanged(j, troubles.listLinkCondition(j, scheduled.at()));
                 }
             }
-            default -> trouble.runners().forEach(i -> runners.get(i).act(turn.action(), turn.at()));
+            default -> trouble.runners().forEach(i -> runners.get(i).act(scheduled.action(), scheduled.at()));
         }
     }
 }
--- a/rig/src/main/java/saltdale/rig/standin/StandInRunner.java
+++ b/rig/src/main/java/saltdale/rig/standin/StandInRunner.java
@@ -18,7 +18,7 @@
 import saltdale.rig.plan.Trouble.Kind;
 import saltdale.transport.Timer;
 
-/** A runner: its model, and what it tells. */
+/** A runner on sockets: its model, its endpoints and its job reports. */
 final class StandInRunner implements RunnerModel.JobListener {
     final StandInFleet fleet;
     final int number;
@@ -26,10 +26,10 @@
     final List<RunnerEndpoint> endpoints = new ArrayList<>();
     final Map<RunnerJob, JobReports> reports = new HashMap<>();
     boolean silent;
-    private Timer wake;
+    private Timer wakeTimer;
     private Duration wakeAt;
 
-    StandInRunner(StandInFleet fleet, int number, ReceiptStore.ByScope receipts, SplittableRandom chance)
+    StandInRunner(StandInFleet fleet, int number, ReceiptStore.ByScope receipts, SplittableRandom random)
             throws IOException {
         this.fleet = fleet;
         this.number = number;
@@ -39,15 +39,15 @@
                 fleet.day.orders.coldLimitMultiple,
                 fleet.day.orders.coldLimitWindow,
                 fleet.day.meanSize(),
-                chance,
+                random,
                 this);
         for (int j = 0; j < fleet.day.dispatchers; j++) {
             endpoints.add(new RunnerEndpoint(this, j));
         }
     }
 
-    void endpoints() {
-        endpoints.forEach(RunnerEndpoint::set);
+    void updateEndpoints() {
+        endpoints.forEach(RunnerEndpoint::updateSilence);
     }
 
     void schedule() {
@@ -55,128 +55,125 @@
         if (next == null || next.equals(wakeAt)) {
             return;
         }
-        if (wake != null) {
-            wake.cancel();
+        if (wakeTimer != null) {
+            wakeTimer.cancel();
         }
         wakeAt = next;
-        wake = fleet.loopThread.loop.schedule(
-                next.minus(fleet.loopThread.loop.now()).minus(drift()), () -> {
+        wakeTimer = fleet.loopThread.loop.schedule(
+                next.minus(fleet.loopThread.loop.now()).minus(clockOffset()), () -> {
                     wakeAt = null;
-                    wake = null;
+                    wakeTimer = null;
                     model.advance(fleet.origin.now());
                     schedule();
                 });
     }
 
-    /** What lies between the run's clock and the loop's. */
-    private Duration drift() {
+    /** The difference between the clock of the run and that of the loop. */
+    private Duration clockOffset() {
         return fleet.origin.now().minus(fleet.loopThread.loop.elapsed());
     }
 
-    void act(Action act, Duration at) {
+    void act(Action action, Duration at) {
         Duration now = fleet.origin.now();
-        switch (act) {
-            // By the hour that it was set for: a timer may come a little before its time, and none would
-            // follow.
+        switch (action) {
+            // Uses the scheduled time, not the current one: a timer may fire slightly early, and no other would follow.
             case CHANGE_CONDITION -> model.setCondition(now, fleet.troubles.runnerCondition(number, at));
             case CRASH -> {
-                endpoints.forEach(RunnerEndpoint::shut);
+                endpoints.forEach(RunnerEndpoint::close);
                 model.stop(now);
-                lists(ListedHealth.GONE, fleet.day.silentNotice);
+                scheduleListUpdate(ListedHealth.GONE, fleet.day.silentNotice);
             }
             case VANISH -> {
                 silent = true;
-                fleet.witness.runnerSilent(now, number);
-                endpoints();
+                fleet.observer.runnerSilent(now, number);
+                updateEndpoints();
                 reports.clear();
                 model.stop(now);
-                lists(ListedHealth.GONE, fleet.day.silentNotice);
+                scheduleListUpdate(ListedHealth.GONE, fleet.day.silentNotice);
             }
             case DRAIN, HAND_BACK -> {
-                model.drain(now, act == Action.HAND_BACK);
-                lists(ListedHealth.DRAINING, fleet.day.notice);
+                model.drain(now, action == Action.HAND_BACK);
+                scheduleListUpdate(ListedHealth.DRAINING, fleet.day.notice);
             }
             case REMOVE -> {
-                endpoints.forEach(RunnerEndpoint::shut);
+                endpoints.forEach(RunnerEndpoint::close);
                 model.stop(now);
-                lists(ListedHealth.GONE, fleet.day.notice);
+                scheduleListUpdate(ListedHealth.GONE, fleet.day.notice);
             }
             case START -> {
                 silent = false;
                 model.start(now);
-                fleet.witness.runnerStarted(now, number, model.make);
-                endpoints.forEach(RunnerEndpoint::renew);
-                lists(ListedHealth.UP, fleet.day.notice);
+                fleet.observer.runnerStarted(now, number, model.make);
+                endpoints.forEach(RunnerEndpoint::restart);
+                scheduleListUpdate(ListedHealth.UP, fleet.day.notice);
             }
             default -> {}
         }
         schedule();
     }
 
-    private void lists(ListedHealth health, Duration notice) {
-        Duration bornAt = model.startedAt();
-        fleet.loopThread.loop.schedule(notice, () -> fleet.list.runnerChanged(number, health, bornAt));
+    private void scheduleListUpdate(ListedHealth health, Duration notice) {
+        Duration startedAt = model.startedAt();
+        fleet.loopThread.loop.schedule(notice, () -> fleet.list.runnerChanged(number, health, startedAt));
     }
 
-    boolean has(Kind wire) {
-        return wire(wire) != null;
+    boolean has(Kind kind) {
+        return wireTrouble(kind) != null;
     }
 
-    Trouble wire(Kind kind) {
+    Trouble wireTrouble(Kind kind) {
         if (fleet.day.troubles.isEmpty()) {
             return null;
         }
-        for (Trouble each :
+        for (Trouble trouble :
                 fleet.troubles.wireTroubles(number, fleet.origin.now().minus(fleet.start))) {
-            if (each.kind() == kind) {
-                return each;
+            if (trouble.kind() == kind) {
+                return trouble;
             }
         }
         return null;
     }
 
-    // The model tells.
-
     @Override
-    public void started(Duration at, RunnerJob work) {
+    public void started(Duration at, RunnerJob job) {
         if (fleet.day.orders.reportsStart) {
-            telling(work).add("started", -1, null);
+            reportsOf(job).add("started", -1, null);
         }
     }
 
     @Override
-    public void progressed(Duration at, RunnerJob work, double share) {
-        telling(work).add("running", share, null);
+    public void progressed(Duration at, RunnerJob job, double share) {
+        reportsOf(job).add("running", share, null);
     }
 
     @Override
-    public void ended(Duration at, RunnerJob work, JobEnd how) {
-        String result = work.id + "@" + number;
+    public void ended(Duration at, RunnerJob job, JobEnd end) {
+        String result = job.id + "@" + number;
         Duration now = fleet.origin.now();
-        switch (how) {
+        switch (end) {
             case DONE, SHED -> {
-                if (work.isDuplicate()) {
-                    fleet.witness.duplicateAnswered(now, work.id, result);
+                if (job.isDuplicate()) {
+                    fleet.observer.duplicateAnswered(now, job.id, result);
                 } else {
-                    fleet.witness.effectProduced(now, work.id, number, result);
+                    fleet.observer.effectProduced(now, job.id, number, result);
                 }
-                fleet.witness.attemptEnded(now, work.id, number);
+                fleet.observer.attemptEnded(now, job.id, number);
             }
-            case RETURNED -> fleet.witness.attemptNotStarted(now, work.id, number);
-            default -> fleet.witness.attemptEnded(now, work.id, number);
+            case RETURNED -> fleet.observer.attemptNotStarted(now, job.id, number);
+            default -> fleet.observer.attemptEnded(now, job.id, number);
         }
         if (silent) {
-            return; // the machine has vanished with its agent
+            return; // the machine has vanished, so nothing can report
         }
-        telling(work)
+        reportsOf(job)
                 .add(
-                        (how == JobEnd.SHED ? JobEnd.RETURNED : how).name().toLowerCase(Locale.ROOT),
+                        (end == JobEnd.SHED ? JobEnd.RETURNED : end).name().toLowerCase(Locale.ROOT),
                         -1,
-                        how == JobEnd.DONE ? result : null);
-        reports.remove(work);
+                        end == JobEnd.DONE ? result : null);
+        reports.remove(job);
     }
 
-    private JobReports telling(RunnerJob work) {
-        return reports.computeIfAbsent(work, w -> new JobReports(this, w));
+    private JobReports reportsOf(RunnerJob job) {
+        return reports.computeIfAbsent(job, j -> new JobReports(this, j));
     }
 }
--- a/rig/src/main/java/saltdale/rig/ways/LinkRelay.java
+++ b/rig/src/main/java/saltdale/rig/ways/LinkRelay.java
@@ -16,114 +16,117 @@
 import saltdale.transport.Timer;
 
 /**
- * A relay between an address and the one behind it, through which as much passes as is set. What is cut off stays
- * with the sender's kernel, as on a network that loses packets, and comes when the way is whole again. Used on
- * the loop; what it holds is bounded.
+ * A TCP relay that imitates a link in a given condition. While a direction is blocked, bytes stay in the sender's
+ * kernel buffers, as on a network that loses packets, and arrive once the link is restored. Used on the loop thread
+ * only; the bytes it buffers are bounded.
  */
 public final class LinkRelay {
-    private static final Duration CONNECT_LIMIT = Duration.ofSeconds(2);
-    private static final Duration STEP = Duration.ofMillis(20); // of a slow way
-    private static final int MOST_HELD = 1 << 18; // bytes a lane, then the sender waits
+    private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(2);
+    /** Shortest time between two sends on a link of limited rate. */
+    private static final Duration MIN_SEND_INTERVAL = Duration.ofMillis(20);
+    /** Buffer limit of one direction of a connection; beyond it reading pauses and the sender waits. */
+    private static final int MAX_BUFFERED_BYTES = 1 << 18;
 
     private final LoopThread loopThread;
-    private final InetSocketAddress behind;
-    private final boolean outward;
-    private final SplittableRandom chance;
-    private final SwitchableListener mouth;
-    private final Set<RelayedConnection> strands = new LinkedHashSet<>();
+    private final InetSocketAddress target;
+    private final boolean fromDispatcher;
+    private final SplittableRandom random;
+    private final SwitchableListener listener;
+    private final Set<RelayedConnection> connections = new LinkedHashSet<>();
     private LinkCondition condition = LinkCondition.CLEAR;
 
-    /** {@code outward}: whether who connects is the dispatcher, so that its bytes go to the runner. */
+    /** {@code fromDispatcher}: whether the dispatcher is the connecting side, so that its bytes go to the runner. */
     public LinkRelay(
             LoopThread loopThread,
-            InetSocketAddress at,
-            InetSocketAddress behind,
-            boolean outward,
-            SplittableRandom chance)
+            InetSocketAddress address,
+            InetSocketAddress target,
+            boolean fromDispatcher,
+            SplittableRandom random)
             throws IOException {
         this.loopThread = loopThread;
-        this.behind = behind;
-        this.outward = outward;
-        this.chance = chance;
-        mouth = new SwitchableListener(loopThread, at, (connection, full) -> new RelayedConnection(connection));
+        this.target = target;
+        this.fromDispatcher = fromDispatcher;
+        this.random = random;
+        listener = new SwitchableListener(loopThread, address, (connection, full) -> new RelayedConnection(connection));
     }
 
+    /** The current condition of the link. */
     public LinkCondition condition() {
         return condition;
     }
 
-    /** From now on this passes. */
+    /** Changes the condition of the link, also for connections that are open. */
     public void setCondition(LinkCondition next) {
         condition = next;
         if (next.reset()) {
-            mouth.shut();
-            List.copyOf(strands).forEach(RelayedConnection::reset);
+            listener.close();
+            List.copyOf(connections).forEach(RelayedConnection::reset);
         } else {
-            mouth.open();
-            mouth.setSilent(next.isUnresponsive());
-            List.copyOf(strands).forEach(RelayedConnection::renew);
+            listener.open();
+            listener.setSilent(next.isUnresponsive());
+            List.copyOf(connections).forEach(RelayedConnection::update);
         }
     }
 
-    /** One connection and the one behind it. */
+    /** An accepted connection and the connection to the target that belongs to it. */
     private final class RelayedConnection {
-        private final Connection near;
-        private final Connection far;
-        private final Lane there;
-        private final Lane back;
-
-        RelayedConnection(Connection near) {
-            this.near = near;
-            there = new Lane(outward);
-            back = new Lane(!outward);
-            far = Connection.connect(loopThread.loop, loopThread.sockets, behind, CONNECT_LIMIT, back);
-            if (far == null) {
-                near.setHandler(there);
-                near.reset();
+        private final Connection client;
+        private final Connection server;
+        private final Direction forward;
+        private final Direction backward;
+
+        RelayedConnection(Connection client) {
+            this.client = client;
+            forward = new Direction(fromDispatcher);
+            backward = new Direction(!fromDispatcher);
+            server = Connection.connect(loopThread.loop, loopThread.sockets, target, CONNECT_TIMEOUT, backward);
+            if (server == null) {
+                client.setHandler(forward);
+                client.reset();
                 return;
             }
-            there.between(near, far);
-            back.between(far, near);
-            near.setHandler(there);
-            strands.add(this);
-            renew();
+            forward.connect(client, server);
+            backward.connect(server, client);
+            client.setHandler(forward);
+            connections.add(this);
+            update();
         }
 
         void reset() {
-            strands.remove(this);
-            near.reset();
-            far.reset();
+            connections.remove(this);
+            client.reset();
+            server.reset();
         }
 
-        void renew() {
-            there.renew();
-            back.renew();
+        void update() {
+            forward.update();
+            backward.update();
         }
 
-        private record Part(Duration due, ByteBuffer bytes) {}
+        private record Chunk(Duration due, ByteBuffer bytes) {}
 
-        /** What goes one way. */
-        private final class Lane implements Connection.Handler {
+        /** One direction of a relayed connection. */
+        private final class Direction implements Connection.Handler {
             private final boolean toRunner;
-            private final Deque<Part> parts = new ArrayDeque<>();
+            private final Deque<Chunk> chunks = new ArrayDeque<>();
             private Connection from;
             private Connection to;
             private Timer timer;
             private Duration lastDue = Duration.ZERO;
-            private int held;
+            private int bufferedBytes;
             private boolean opened;
-            private boolean over;
+            private boolean ended;
 
-            Lane(boolean toRunner) {
+            Direction(boolean toRunner) {
                 this.toRunner = toRunner;
             }
 
-            void between(Connection one, Connection other) {
-                from = one;
-                to = other;
+            void connect(Connection source, Connection destination) {
+                from = source;
+                to = destination;
             }
 
-            private boolean isCut() {
+            private boolean isBlocked() {
                 return toRunner ? condition.blockedToRunner() : condition.blockedFromRunner();
             }
 
@@ -136,73 +139,74 @@
             public void received(ByteBuffer bytes) {
                 ByteBuffer copy =
                         ByteBuffer.allocate(bytes.remaining()).put(bytes).flip();
-                double late = condition.delaySeconds() * (1 + condition.jitterShare() * chance.nextDouble());
-                Duration due = loopThread.loop.now().plusNanos((long) (late * 1e9));
-                lastDue = due.compareTo(lastDue) > 0 ? due : lastDue; // in order, as TCP has it
-                parts.add(new Part(lastDue, copy));
-                held += copy.remaining();
-                renew();
+                double delaySeconds = condition.delaySeconds() * (1 + condition.jitterShare() * random.nextDouble());
+                Duration due = loopThread.loop.now().plusNanos((long) (delaySeconds * 1e9));
+                lastDue = due.compareTo(lastDue) > 0 ? due : lastDue; // keeps the order, as TCP does
+                chunks.add(new Chunk(lastDue, copy));
+                bufferedBytes += copy.remaining();
+                update();
             }
 
             @Override
             public void disconnected(String cause) {
-                over = true;
-                if (this == back && !opened) { // nobody is there: what connected is told so
+                ended = true;
+                if (this == backward && !opened) { // the target is unreachable: reset the client too
                     RelayedConnection.this.reset();
                     return;
                 }
-                pump();
+                sendDue();
             }
 
-            void renew() {
-                if (!over) {
-                    from.setReadEnabled(!isCut() && held < MOST_HELD);
+            void update() {
+                if (!ended) {
+                    from.setReadEnabled(!isBlocked() && bufferedBytes < MAX_BUFFERED_BYTES);
                 }
-                pump();
+                sendDue();
             }
 
-            private void pump() {
+            private void sendDue() {
                 if (timer != null) {
                     timer.cancel();
                     timer = null;
                 }
                 Duration now = loopThread.loop.now();
-                while (!isCut() && !parts.isEmpty()) {
-                    Part next = parts.peek();
+                while (!isBlocked() && !chunks.isEmpty()) {
+                    Chunk next = chunks.peek();
                     if (next.due.compareTo(now) > 0) {
-                        timer = loopThread.loop.schedule(next.due.minus(now), this::pump);
+                        timer = loopThread.loop.schedule(next.due.minus(now), this::sendDue);
                         return;
                     } else if (condition.bytesPerSecond() > 0) {
-                        trickle(next);
+                        sendLimited(next);
                         return;
                     }
-                    parts.poll();
+                    chunks.poll();
                     send(next.bytes);
                 }
-                if (parts.isEmpty() && over) {
-                    strands.remove(RelayedConnection.this);
-                    if (this == there && !back.opened) {
-                        to.close(); // it has gone before the one behind was reached
+                if (chunks.isEmpty() && ended) {
+                    connections.remove(RelayedConnection.this);
+                    if (this == forward && !backward.opened) {
+                        to.close(); // the client left before the target was reached
                     } else {
                         to.closeGracefully();
                     }
                 }
             }
 
-            private void trickle(Part next) {
-                double gap = Math.max(STEP.toNanos() / 1e9, 1 / condition.bytesPerSecond());
-                int many = Math.min(next.bytes.remaining(), Math.max(1, (int) (condition.bytesPerSecond() * gap)));
-                byte[] some = new byte[many];
-                next.bytes.get(some);
+            private void sendLimited(Chunk next) {
+                double intervalSeconds = Math.max(MIN_SEND_INTERVAL.toNanos() / 1e9, 1 / condition.bytesPerSecond());
+                int count = Math.min(
+                        next.bytes.remaining(), Math.max(1, (int) (condition.bytesPerSecond() * intervalSeconds)));
+                byte[] bytes = new byte[count];
+                next.bytes.get(bytes);
                 if (!next.bytes.hasRemaining()) {
-                    parts.poll();
+                    chunks.poll();
                 }
-                send(ByteBuffer.wrap(some));
-                timer = loopThread.loop.schedule(Duration.ofNanos((long) (gap * 1e9)), this::renew);
+                send(ByteBuffer.wrap(bytes));
+                timer = loopThread.loop.schedule(Duration.ofNanos((long) (intervalSeconds * 1e9)), this::update);
             }
 
             private void send(ByteBuffer bytes) {
-                held -= bytes.remaining();
+                bufferedBytes -= bytes.remaining();
                 to.send(bytes);
             }
         }
--- a/rig/src/main/java/saltdale/rig/ways/SwitchableListener.java
+++ b/rig/src/main/java/saltdale/rig/ways/SwitchableListener.java
@@ -10,100 +10,102 @@
 import saltdale.rig.standin.LoopThread;
 import saltdale.transport.Listener;
 
-/** An address that can take connections in, refuse them, or say nothing at all. Used on the loop. */
+/** A listening address that can accept connections, refuse them, or leave them unanswered. Used on the loop only. */
 public final class SwitchableListener {
     private static final Logger LOG = LoggerFactory.getLogger(SwitchableListener.class);
-    // small, so that a machine that is cut off can be told by a full one
+    // small, so that a few connections fill the queue and imitate a machine that is cut off
     private static final int BACKLOG = 8;
 
     private final LoopThread loopThread;
-    private final InetSocketAddress at;
-    private final Listener.AcceptHandler taker;
-    private final List<SocketChannel> plugs = new ArrayList<>();
+    private final InetSocketAddress address;
+    private final Listener.AcceptHandler acceptHandler;
+    private final List<SocketChannel> queueFillers = new ArrayList<>();
     private Listener listener;
     private boolean silent;
 
-    public SwitchableListener(LoopThread loopThread, InetSocketAddress at, Listener.AcceptHandler taker)
+    public SwitchableListener(LoopThread loopThread, InetSocketAddress address, Listener.AcceptHandler acceptHandler)
             throws IOException {
         this.loopThread = loopThread;
-        this.at = at;
-        this.taker = taker;
+        this.address = address;
+        this.acceptHandler = acceptHandler;
         listen();
     }
 
     private void listen() throws IOException {
-        listener = new Listener(loopThread.loop, loopThread.sockets, at, BACKLOG, taker);
+        listener = new Listener(loopThread.loop, loopThread.sockets, address, BACKLOG, acceptHandler);
     }
 
-    public boolean isShut() {
+    /** Whether connections are refused. */
+    public boolean isClosed() {
         return listener == null;
     }
 
+    /** Whether connection attempts are left unanswered. */
     public boolean isSilent() {
         return silent;
     }
 
-    /** From now on what connects gets no answer at all; or it does again. No effect while it is shut. */
-    public void setSilent(boolean wanted) {
-        if (wanted == silent || listener == null) {
+    /** Stops or resumes answering connection attempts. Has no effect while the listener is closed. */
+    public void setSilent(boolean silent) {
+        if (silent == this.silent || listener == null) {
             return;
         }
-        silent = wanted;
-        listener.setPaused(wanted);
-        if (wanted) {
-            plug();
+        this.silent = silent;
+        listener.setPaused(silent);
+        if (silent) {
+            fillQueue();
         } else {
-            unplug();
+            releaseQueue();
         }
     }
 
-    /** Fills the kernel's queue. */
-    private void plug() {
+    /** Fills the accept queue of the kernel, so that further connection attempts get no answer. */
+    private void fillQueue() {
         for (int i = 0; i < BACKLOG + 2; i++) {
             try {
                 SocketChannel channel = SocketChannel.open();
                 channel.configureBlocking(false);
-                channel.connect(at);
-                plugs.add(channel);
+                channel.connect(address);
+                queueFillers.add(channel);
             } catch (IOException e) {
-                return; // it is full already
+                return; // the queue is full already
             }
         }
     }
 
-    private void unplug() {
-        for (SocketChannel plug : plugs) {
+    private void releaseQueue() {
+        for (SocketChannel filler : queueFillers) {
             try {
-                plug.close();
+                filler.close();
             } catch (IOException e) {
-                LOG.debug("a plug of {} can't be closed: {}", at, e.getMessage());
+                LOG.debug("cannot close a queue-filling connection to {}: {}", address, e.getMessage());
             }
         }
-        plugs.clear();
+        queueFillers.clear();
     }
 
-    /** New connections are refused from now on. */
-    public void shut() {
-        unplug();
+    /** Refuses new connections from now on. */
+    public void close() {
+        releaseQueue();
         try {
             if (listener != null) {
                 listener.close();
             }
         } catch (IOException e) {
-            LOG.warn("{} can't be closed: {}", at, e.getMessage());
+            LOG.warn("cannot close the listener at {}: {}", address, e.getMessage());
         }
         listener = null;
         silent = false;
     }
 
-    /** It takes connections in again, if it had been shut. */
+    /** Accepts connections again if the listener was closed. */
     public void open() {
         try {
             if (listener == null) {
                 listen();
             }
         } catch (IOException e) {
-            LOG.error("{} can't be listened at again: {}", at, e.getMessage());
+            LOG.error("cannot listen at {} again: {}", address, e.getMessage());
         }
     }
 }
--- a/rig/src/test/java/saltdale/rig/standin/StandInFleetTest.java
+++ b/rig/src/test/java/saltdale/rig/standin/StandInFleetTest.java
@@ -41,7 +41,7 @@
     private final BlockingQueue<String> news = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> disturbances = new LinkedBlockingQueue<>();
     private LoopThread loopThread;
-    private LoopbackAddresses places;
+    private LoopbackAddresses addresses;
     private Socket call;
     private ServerSocket dispatcher;
 
@@ -52,7 +52,7 @@
 
     private void fleet(String kind, String length, String more) throws IOException {
         try (ServerSocket free = new ServerSocket(0)) {
-            places = new LoopbackAddresses(free.getLocalPort());
+            addresses = new LoopbackAddresses(free.getLocalPort());
         }
         String text = kind == null
                 ? DAY
@@ -60,10 +60,10 @@
         Day day = new Day(Sheet.of("day", text));
         loopThread = new LoopThread("test");
         Origin origin = new Origin();
-        RunnerListServer list = new RunnerListServer(loopThread, day, places, origin, EventObserver.NONE);
-        StandInFleet fleet = new StandInFleet(loopThread, day, places, origin, recordingDisturbances(), list, 1);
+        RunnerListServer list = new RunnerListServer(loopThread, day, addresses, origin, EventObserver.NONE);
+        StandInFleet fleet = new StandInFleet(loopThread, day, addresses, origin, recordingDisturbances(), list, 1);
         loopThread.start();
-        InetSocketAddress at = places.dispatcher(0);
+        InetSocketAddress at = addresses.dispatcher(0);
         dispatcher = new ServerSocket(at.getPort(), 50, at.getAddress());
         Thread thread = new Thread(this::hear);
         thread.setDaemon(true);
@@ -132,7 +132,7 @@
 
     private Socket send(int runner, String request) throws IOException {
         call = new Socket();
-        call.connect(places.runner(runner, 0), 1000);
+        call.connect(addresses.runner(runner, 0), 1000);
         call.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
         return call;
     }
@@ -258,7 +258,7 @@
     void aDrainIsToldOnTheWatch() throws Exception {
         fleet("drain", "");
         Socket watch = new Socket();
-        watch.connect(places.list(0), 1000);
+        watch.connect(addresses.list(0), 1000);
         watch.getOutputStream()
                 .write("GET /discovery/hosts?watch=1&from=1 HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
         StringBuilder all = new StringBuilder();
