--- a/rig/src/test/java/saltdale/rig/standin/StandInFleetTest.java
+++ b/rig/src/test/java/saltdale/rig/standin/StandInFleetTest.java
@@ -27,6 +27,7 @@
 import saltdale.rig.plan.Day;
 import saltdale.rig.plan.Sheet;
 
+/** The stand-in runners and their list over real sockets, under single troubles. */
 @Timeout(20)
 class StandInFleetTest {
     private static final String DAY = """
@@ -38,25 +39,26 @@
             name = "w"
             """;
 
-    private final BlockingQueue<String> news = new LinkedBlockingQueue<>();
+    private final BlockingQueue<String> reports = new LinkedBlockingQueue<>();
     private final BlockingQueue<String> disturbances = new LinkedBlockingQueue<>();
     private LoopThread loopThread;
     private LoopbackAddresses addresses;
-    private Socket call;
+    private Socket jobSocket;
     private ServerSocket dispatcher;
 
-    /** A fleet with this trouble from the beginning on, and a dispatcher that writes down what it is told. */
-    private void fleet(String kind, String more) throws IOException {
-        fleet(kind, "1h", more);
+    /** Starts a fleet with this trouble from the beginning, and a dispatcher that records the job reports it receives. */
+    private void fleet(String kind, String extraLines) throws IOException {
+        fleet(kind, "1h", extraLines);
     }
 
-    private void fleet(String kind, String length, String more) throws IOException {
+    private void fleet(String kind, String length, String extraLines) throws IOException {
         try (ServerSocket free = new ServerSocket(0)) {
             addresses = new LoopbackAddresses(free.getLocalPort());
         }
         String text = kind == null
                 ? DAY
-                : DAY + "[[trouble]]\nkind = \"" + kind + "\"\nlength = \"" + length + "\"\nrunners = [0]\n" + more;
+                : DAY + "[[trouble]]\nkind = \"" + kind + "\"\nlength = \"" + length + "\"\nrunners = [0]\n"
+                        + extraLines;
         Day day = new Day(Sheet.of("day", text));
         loopThread = new LoopThread("test");
         Origin origin = new Origin();
@@ -65,11 +67,12 @@
         loopThread.start();
         InetSocketAddress at = addresses.dispatcher(0);
         dispatcher = new ServerSocket(at.getPort(), 50, at.getAddress());
-        Thread thread = new Thread(this::hear);
+        Thread thread = new Thread(this::receiveReports);
         thread.setDaemon(true);
         thread.start();
         loopThread.runAndWait(() -> fleet.begin(origin.now()));
-        // What begins with the day stands in the loop's timers before this one, and has closed two turns after it.
+        // Actions at the start of the day are queued in the loop before this timer, and have taken effect (with their
+        // sockets closed) two turns of the loop after it.
         CompletableFuture<Void> begun = new CompletableFuture<>();
         loopThread.runAndWait(() -> loopThread.loop.schedule(Duration.ofMillis(20), () -> begun.complete(null)));
         begun.orTimeout(10, TimeUnit.SECONDS).join();
@@ -87,14 +90,14 @@
         };
     }
 
-    private void hear() {
+    private void receiveReports() {
         try {
             while (true) {
                 Socket from = dispatcher.accept();
                 Thread thread = new Thread(() -> {
                     try {
                         while (true) {
-                            news.add(read(from.getInputStream()));
+                            reports.add(read(from.getInputStream()));
                             from.getOutputStream()
                                     .write("HTTP/1.1 204 No Content\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
                         }
@@ -110,7 +113,7 @@
         }
     }
 
-    /** One message: its head and as much body as that says. */
+    /** Reads one message: its head and a body of Content-Length bytes. */
     private static String read(InputStream in) throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         int left = -1;
@@ -131,10 +134,10 @@
     }
 
     private Socket send(int runner, String request) throws IOException {
-        call = new Socket();
-        call.connect(addresses.runner(runner, 0), 1000);
-        call.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
-        return call;
+        jobSocket = new Socket();
+        jobSocket.connect(addresses.runner(runner, 0), 1000);
+        jobSocket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
+        return jobSocket;
     }
 
     private static String job(String id) {
@@ -142,11 +145,11 @@
                 + "Content-Length: 0\r\n\r\n";
     }
 
-    /** The states that were told of a job, until one that ends it. */
-    private List<String> told() throws InterruptedException {
+    /** The states reported for a job, up to the one that ends it. */
+    private List<String> reportedStates() throws InterruptedException {
         List<String> states = new ArrayList<>();
         for (String each = ""; !each.contains("done"); ) {
-            each = news.poll(10, TimeUnit.SECONDS);
+            each = reports.poll(10, TimeUnit.SECONDS);
             states.add(each.replaceAll("(?s).*\"state\":\"(\\w+)\".*", "$1"));
         }
         return states;
@@ -154,22 +157,22 @@
 
     @AfterEach
     void end() throws IOException {
-        if (call != null) {
-            call.close();
+        if (jobSocket != null) {
+            jobSocket.close();
         }
         dispatcher.close();
         loopThread.close();
     }
 
     @Test
-    void aJobIsTakenAndItsStartAndEndAreTold() throws Exception {
+    void acceptsAJobAndReportsItsStartAndEnd() throws Exception {
         fleet(null, "");
         assertTrue(read(send(0, job("a")).getInputStream()).startsWith("HTTP/1.1 202"));
-        assertEquals(List.of("started", "done"), told());
+        assertEquals(List.of("started", "done"), reportedStates());
     }
 
     @Test
-    void whatIsNoJobIsTurnedDown() throws Exception {
+    void rejectsARequestWithoutARequestId() throws Exception {
         fleet(null, "");
         assertTrue(
                 read(send(0, "POST /w/7 HTTP/1.1\r\nContent-Length: 0\r\n\r\n").getInputStream())
@@ -179,7 +182,7 @@
     }
 
     @Test
-    void anAnswerIsCutAtItsByte() throws Exception {
+    void truncatesAResponseAtTheGivenByte() throws Exception {
         fleet("cut-answers", "size = 11");
         assertEquals(
                 "HTTP/1.1 20",
@@ -187,7 +190,7 @@
     }
 
     @Test
-    void anAnswerDripsAndIsWholeAtLast() throws Exception {
+    void sendsAResponseByteByByteUntilComplete() throws Exception {
         fleet("drip-answers", "size = 3");
         long began = System.nanoTime();
         String answer = read(send(0, job("a")).getInputStream());
@@ -196,39 +199,39 @@
     }
 
     @Test
-    void callBacksComeBeforeTheAnswer() throws Exception {
+    void sendsReportsBeforeTheResponse() throws Exception {
         fleet("early-news", "");
         send(0, job("a"));
-        assertTrue(news.poll(10, TimeUnit.SECONDS).contains("started"));
-        assertTrue(read(call.getInputStream()).startsWith("HTTP/1.1 202"));
+        assertTrue(reports.poll(10, TimeUnit.SECONDS).contains("started"));
+        assertTrue(read(jobSocket.getInputStream()).startsWith("HTTP/1.1 202"));
     }
 
     @Test
-    void callBacksComeTwice() throws Exception {
+    void sendsReportsTwice() throws Exception {
         fleet("twice-news", "");
         send(0, job("a"));
-        assertEquals(List.of("started", "started", "done"), told());
+        assertEquals(List.of("started", "started", "done"), reportedStates());
     }
 
     @Test
-    void callBacksComeInTheWrongOrder() throws Exception {
+    void sendsReportsOutOfOrder() throws Exception {
         fleet("shuffled-news", "");
         send(0, job("a"));
-        assertEquals(List.of("done"), told());
-        assertTrue(news.poll(10, TimeUnit.SECONDS).contains("started"));
+        assertEquals(List.of("done"), reportedStates());
+        assertTrue(reports.poll(10, TimeUnit.SECONDS).contains("started"));
     }
 
     @Test
-    void callBacksNeverCome() throws Exception {
+    void sendsNoReports() throws Exception {
         fleet("no-news", "");
         assertTrue(read(send(0, job("a")).getInputStream()).startsWith("HTTP/1.1 202"));
         send(1, job("b"));
-        assertEquals(List.of("started", "done"), told());
-        assertEquals(0, news.size());
+        assertEquals(List.of("started", "done"), reportedStates());
+        assertEquals(0, reports.size());
     }
 
     @Test
-    void aDeadProcessRefusesAndAVanishedMachineSaysNothing() throws Exception {
+    void crashedProcessRefusesConnectionsAndVanishedMachineDoesNotRespond() throws Exception {
         fleet("crash", "");
         assertThrows(ConnectException.class, () -> send(0, job("a")));
         assertTrue(read(send(1, job("a")).getInputStream()).startsWith("HTTP/1.1 202"));
@@ -241,9 +244,9 @@
         });
     }
 
-    /** What a dispatcher sent before or during the cut is read only after it: no fault of the dispatcher. */
+    /** Bytes sent before or during a cut are read only after it; the judge must not blame the dispatcher for that. */
     @Test
-    void whereACutZoneHoldsUpBytesIsTold() throws Exception {
+    void notifiesOfPairsDelayedByAZoneCutOrALink() throws Exception {
         fleet("zone-cut", "50ms", "size = 0");
         assertEquals("1 by 0 disturbed", disturbances.poll(10, TimeUnit.SECONDS));
         assertEquals("1 by 0 free", disturbances.poll(10, TimeUnit.SECONDS));
@@ -255,7 +258,7 @@
     }
 
     @Test
-    void aDrainIsToldOnTheWatch() throws Exception {
+    void reportsADrainOnTheWatch() throws Exception {
         fleet("drain", "");
         Socket watch = new Socket();
         watch.connect(addresses.list(0), 1000);
--- a/rig/src/test/java/saltdale/rig/ways/LinkRelayTest.java
+++ b/rig/src/test/java/saltdale/rig/ways/LinkRelayTest.java
@@ -21,113 +21,116 @@
 import saltdale.rig.fleet.LinkCondition;
 import saltdale.rig.standin.LoopThread;
 
-/** A way between a socket and an echo: what passes in each state, and what comes after it. */
+/** Relays between two sockets under each link condition, and checks what arrives during and after it. */
 @Timeout(20)
 class LinkRelayTest {
     private LoopThread loopThread;
-    private ServerSocket behind;
+    private ServerSocket target;
     private LinkRelay relay;
-    private InetSocketAddress at;
-    private Socket near;
-    private Socket far;
+    private InetSocketAddress address;
+    private Socket client;
+    private Socket server;
 
     @BeforeEach
     void open() throws IOException {
-        behind = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        target = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            at = (InetSocketAddress) free.getLocalSocketAddress();
+            address = (InetSocketAddress) free.getLocalSocketAddress();
         }
-        loopThread = new LoopThread("way");
+        loopThread = new LoopThread("relay");
         relay = new LinkRelay(
-                loopThread, at, (InetSocketAddress) behind.getLocalSocketAddress(), true, new SplittableRandom(1));
+                loopThread, address, (InetSocketAddress) target.getLocalSocketAddress(), true, new SplittableRandom(1));
         loopThread.start();
-        near = new Socket(at.getAddress(), at.getPort());
-        far = behind.accept();
-        near.setSoTimeout(5000);
-        far.setSoTimeout(5000);
+        client = new Socket(address.getAddress(), address.getPort());
+        server = target.accept();
+        client.setSoTimeout(5000);
+        server.setSoTimeout(5000);
     }
 
     @AfterEach
     void close() throws IOException {
-        near.close();
-        far.close();
-        behind.close();
+        client.close();
+        server.close();
+        target.close();
         loopThread.close();
     }
 
-    private void set(boolean there, boolean back, double late, double pace) {
-        loopThread.runAndWait(() -> relay.setCondition(new LinkCondition(false, there, back, late, 0, pace)));
+    private void setCondition(
+            boolean blockedForward, boolean blockedBackward, double delaySeconds, double bytesPerSecond) {
+        loopThread.runAndWait(() -> relay.setCondition(
+                new LinkCondition(false, blockedForward, blockedBackward, delaySeconds, 0, bytesPerSecond)));
     }
 
-    private static void passes(Socket from, Socket to, String text) throws IOException {
+    private static void assertDelivered(Socket from, Socket to, String text) throws IOException {
         from.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
         assertArrayEquals(
                 text.getBytes(StandardCharsets.US_ASCII), to.getInputStream().readNBytes(text.length()));
     }
 
-    private static void nothing(Socket to) throws IOException {
+    private static void assertNothingArrives(Socket to) throws IOException {
         to.setSoTimeout(100);
         assertThrows(SocketTimeoutException.class, () -> to.getInputStream().read());
         to.setSoTimeout(5000);
     }
 
     @Test
-    void freeItPassesBothWaysAndTellsOfAnEnd() throws IOException {
-        passes(near, far, "there");
-        passes(far, near, "back");
-        far.close();
-        assertEquals(-1, near.getInputStream().read());
+    void relaysBothDirectionsAndTheCloseOnAClearLink() throws IOException {
+        assertDelivered(client, server, "there");
+        assertDelivered(server, client, "back");
+        server.close();
+        assertEquals(-1, client.getInputStream().read());
     }
 
     @Test
-    void silentNothingPassesAndNothingConnectsButWhatWasSentComesInTheEnd() throws IOException {
-        set(true, true, 0, 0);
-        near.getOutputStream().write("late".getBytes(StandardCharsets.US_ASCII));
-        nothing(far);
-        // the kernel's queue is plugged: of many that connect, none gets an answer
-        assertThrows(SocketTimeoutException.class, () -> new Socket().connect(at, 200));
-        set(false, false, 0, 0);
+    void unresponsiveLinkDelaysBytesAndRefusesToConnectUntilRestored() throws IOException {
+        setCondition(true, true, 0, 0);
+        client.getOutputStream().write("late".getBytes(StandardCharsets.US_ASCII));
+        assertNothingArrives(server);
+        // the accept queue of the kernel is full: a connection attempt gets no answer
+        assertThrows(SocketTimeoutException.class, () -> new Socket().connect(address, 200));
+        setCondition(false, false, 0, 0);
         assertArrayEquals(
-                "late".getBytes(StandardCharsets.US_ASCII), far.getInputStream().readNBytes(4));
-        passes(far, near, "back");
+                "late".getBytes(StandardCharsets.US_ASCII),
+                server.getInputStream().readNBytes(4));
+        assertDelivered(server, client, "back");
     }
 
     @Test
-    void oneSidedTheOtherSidePasses() throws IOException {
-        set(true, false, 0, 0);
-        near.getOutputStream().write('x');
-        nothing(far);
-        passes(far, near, "back");
+    void blockingOneDirectionLeavesTheOtherOpen() throws IOException {
+        setCondition(true, false, 0, 0);
+        client.getOutputStream().write('x');
+        assertNothingArrives(server);
+        assertDelivered(server, client, "back");
     }
 
     @Test
-    void resetEndsWhatIsOpenRefusesWhatComesAndIsOverAgain() throws IOException {
+    void resetClosesConnectionsAndRefusesNewOnesUntilCleared() throws IOException {
         loopThread.runAndWait(() -> relay.setCondition(new LinkCondition(true, true, true, 0, 0, 0)));
-        assertThrows(SocketException.class, () -> near.getInputStream().read());
-        assertThrows(SocketException.class, () -> new Socket(at.getAddress(), at.getPort()).close());
-        set(false, false, 0, 0);
-        try (Socket next = new Socket(at.getAddress(), at.getPort());
-                Socket there = behind.accept()) {
-            passes(next, there, "again");
+        assertThrows(SocketException.class, () -> client.getInputStream().read());
+        assertThrows(SocketException.class, () -> new Socket(address.getAddress(), address.getPort()).close());
+        setCondition(false, false, 0, 0);
+        try (Socket next = new Socket(address.getAddress(), address.getPort());
+                Socket there = target.accept()) {
+            assertDelivered(next, there, "again");
         }
     }
 
     @Test
-    void lateAndSlowTakeAtLeastTheirTimeAndKeepTheOrder() throws IOException {
-        set(false, false, 0.15, 0);
+    void delayAndRateLimitTakeTheirTimeAndKeepTheOrder() throws IOException {
+        setCondition(false, false, 0.15, 0);
         long from = System.nanoTime();
-        passes(near, far, "abcdef");
+        assertDelivered(client, server, "abcdef");
         assertTrue(System.nanoTime() - from >= 150_000_000);
-        set(false, false, 0, 50);
+        setCondition(false, false, 0, 50);
         from = System.nanoTime();
-        passes(near, far, "0123456789");
-        assertTrue(System.nanoTime() - from >= 150_000_000, "10 bytes at 50 a second, the first at once");
+        assertDelivered(client, server, "0123456789");
+        assertTrue(System.nanoTime() - from >= 150_000_000, "10 bytes at 50 bytes/s, the first chunk at once");
     }
 
     @Test
-    void whatCannotBeReachedBehindItIsReset() throws IOException {
-        behind.close();
-        try (Socket next = new Socket(at.getAddress(), at.getPort())) {
+    void connectionIsResetWhenTheTargetIsUnreachable() throws IOException {
+        target.close();
+        try (Socket next = new Socket(address.getAddress(), address.getPort())) {
             next.setSoTimeout(5000);
             assertThrows(SocketException.class, () -> next.getInputStream().read());
         }
--- a/tools/src/main/java/saltdale/tools/Ceiling.java
+++ b/tools/src/main/java/saltdale/tools/Ceiling.java
@@ -25,23 +25,23 @@
 @Command(
         name = "ceiling",
         mixinStandardHelpOptions = true,
-        description = "How many jobs a second the load can send on time, against a stand-in that answers at once.")
+        description = "Measures how many jobs/s the load generator sends on time, to a stand-in that answers at once.")
 final class Ceiling implements Callable<Integer> {
-    private static final byte[] ANSWER =
+    private static final byte[] RESPONSE =
             "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".getBytes(StandardCharsets.US_ASCII);
 
     @Override
     public Integer call() throws IOException, InterruptedException {
-        int kept = 0;
+        int highestRate = 0;
         for (int rate = 1000; rate < 1_000_000; rate = rate * 5 / 4) {
             String fault = play(rate);
             System.out.printf("%8d jobs/s: %s%n", rate, fault == null ? "on time" : fault);
             if (fault != null) {
                 break;
             }
-            kept = rate;
+            highestRate = rate;
         }
-        System.out.printf(Locale.ROOT, "the load sends %d jobs/s on time%n", kept);
+        System.out.printf(Locale.ROOT, "the load sends %d jobs/s on time%n", highestRate);
         return 0;
     }
 
@@ -50,22 +50,22 @@
                 "ceiling",
                 "length = \"4s\"\nwarm_up = \"2s\"\n[load]\nrate = " + rate + "\n[[workload]]\nname = \"w\"\n"));
         Origin origin = new Origin();
-        LoopbackAddresses places = new LoopbackAddresses(7411);
+        LoopbackAddresses addresses = new LoopbackAddresses(7411);
         try (LoopThread server = new LoopThread("stand-in");
                 LoopThread clients = new LoopThread("clients")) {
             Listener listener = new Listener(
                     server.loop,
                     server.sockets,
-                    places.dispatcher(0),
-                    (connection, full) -> connection.setHandler(new AtOnce(connection)));
+                    addresses.dispatcher(0),
+                    (connection, full) -> connection.setHandler(new ImmediateResponder(connection)));
             server.start();
             clients.start();
             Duration start = origin.now();
             Generator generator = new Generator(
-                    clients, day, List.of(places.dispatcher(0)), origin, EventObserver.NONE, 1, "c" + rate, start);
+                    clients, day, List.of(addresses.dispatcher(0)), origin, EventObserver.NONE, 1, "c" + rate, start);
             clients.runAndWait(() -> generator.begin(Run.asks(day, Path.of("."), start)));
-            Duration last = start.plus(day.length).plusSeconds(4);
-            while (!generator.isOver() && origin.now().compareTo(last) < 0) {
+            Duration giveUpAt = start.plus(day.length).plusSeconds(4);
+            while (!generator.isOver() && origin.now().compareTo(giveUpAt) < 0) {
                 Thread.sleep(20);
             }
             server.runAndWait(() -> {
@@ -79,11 +79,11 @@
         }
     }
 
-    private static final class AtOnce implements Connection.Handler {
+    private static final class ImmediateResponder implements Connection.Handler {
         private final Connection connection;
         private final HttpParser parser = new HttpParser(HttpParser.Kind.REQUEST);
 
-        AtOnce(Connection connection) {
+        ImmediateResponder(Connection connection) {
             this.connection = connection;
         }
 
@@ -92,13 +92,13 @@
             parser.parse(bytes);
             if (parser.isComplete()) {
                 parser.startNextMessage();
-                connection.send(ByteBuffer.wrap(ANSWER));
+                connection.send(ByteBuffer.wrap(RESPONSE));
             }
         }
 
         @Override
         public void disconnected(String cause) {
-            // a client has closed it
+            // the client has closed the connection
         }
     }
 }
--- a/tools/src/main/java/saltdale/tools/Check.java
+++ b/tools/src/main/java/saltdale/tools/Check.java
@@ -9,7 +9,7 @@
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
-        description = "Reads experiments and days without playing them, and says what is wrong.")
+        description = "Validates experiment and day files without running them.")
 final class Check implements Callable<Integer> {
     @Parameters(paramLabel = "FILE", arity = "1..*")
     private Path[] files;
--- a/tools/src/main/java/saltdale/tools/Load.java
+++ b/tools/src/main/java/saltdale/tools/Load.java
@@ -20,9 +20,9 @@
 @Command(
         name = "load",
         mixinStandardHelpOptions = true,
-        description = "Sends a day's load to dispatchers that run already, in an open loop, and prints what came back.")
+        description = "Sends a day's load to running dispatchers, in an open loop, and prints the figures.")
 final class Load implements Callable<Integer> {
-    @Parameters(paramLabel = "FILE", description = "The day, TOML.")
+    @Parameters(paramLabel = "FILE", description = "The day whose load is sent (TOML).")
     private Path file;
 
     @Option(
@@ -30,7 +30,7 @@
             required = true,
             split = ",",
             paramLabel = "ADDRESS:PORT",
-            description = "The dispatchers; numbers on loopback only.")
+            description = "The dispatchers; numeric loopback addresses only.")
     private List<String> to;
 
     @Override
@@ -53,9 +53,9 @@
                     start);
             loopThread.runAndWait(
                     () -> generator.begin(Run.asks(day, file.toAbsolutePath().getParent(), start)));
-            Duration last =
+            Duration giveUpAt =
                     start.plus(day.length).plus(day.orders.maxClientTimeout()).plusSeconds(5);
-            while (origin.now().compareTo(last) < 0 && !generator.isOver()) {
+            while (origin.now().compareTo(giveUpAt) < 0 && !generator.isOver()) {
                 Thread.sleep(50);
             }
             loopThread.runAndWait(() -> generator
--- a/tools/src/main/java/saltdale/tools/Logging.java
+++ b/tools/src/main/java/saltdale/tools/Logging.java
@@ -9,15 +9,15 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The log of the tools: lines of text or of JSON, on standard error. */
+/** Sets up the log of the tools: text or JSON lines on standard error. */
 final class Logging {
     private Logging() {}
 
-    static void form(String form) {
+    static void format(String format) {
         LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
         context.reset();
         EncoderBase<ILoggingEvent> encoder;
-        if (form.equals("json")) {
+        if (format.equals("json")) {
             encoder = new JsonEncoder();
         } else {
             PatternLayoutEncoder lines = new PatternLayoutEncoder();
--- a/tools/src/main/java/saltdale/tools/Main.java
+++ b/tools/src/main/java/saltdale/tools/Main.java
@@ -12,14 +12,14 @@
 import saltdale.rig.plan.Misread;
 
 /**
- * The command line of the tools. Exit status: 0 done, 1 a verdict failed, 2 wrong usage or a file that can't
- * be used.
+ * The command line of the tools. Exit status: 0 done, 1 a verdict failed, 2 wrong usage or an
+ * unusable file.
  */
 @Command(
         name = "saltdale",
         mixinStandardHelpOptions = true,
         version = "saltdale 0.1.0-SNAPSHOT",
-        description = "A dispatcher, and the rig that it is measured on.",
+        description = "A dispatcher, and the test rig that measures it.",
         footer = {"", "serve and simhost are the dispatcher itself: see README.md."},
         subcommands = {
             Try.class,
@@ -45,14 +45,14 @@
             defaultValue = "text",
             paramLabel = "text|json",
             description = "How log lines are written to standard error (default: text).")
-    void log(String form) {
-        if (!form.equals("text") && !form.equals("json")) {
-            throw new CommandLine.ParameterException(new CommandLine(this), "--log: wanted text or json");
+    void log(String format) {
+        if (!format.equals("text") && !format.equals("json")) {
+            throw new CommandLine.ParameterException(new CommandLine(this), "--log: expected text or json");
         }
-        Logging.form(form);
+        Logging.format(format);
     }
 
-    /** The checkout whose build is played. */
+    /** The checkout whose build is run. */
     static Path home() {
         return Path.of(System.getProperty("saltdale.home", "")).toAbsolutePath();
     }
--- a/tools/src/main/java/saltdale/tools/Simulate.java
+++ b/tools/src/main/java/saltdale/tools/Simulate.java
@@ -18,18 +18,21 @@
 @Command(
         name = "simulate",
         mixinStandardHelpOptions = true,
-        description = "Plays a day in simulated time, with the decision module or a baseline, and prints its figures.")
+        description = "Runs a day in simulated time, with the decision module or a baseline, and prints its figures.")
 final class Simulate implements Callable<Integer> {
-    @Parameters(paramLabel = "FILE", description = "The day, TOML.")
+    @Parameters(paramLabel = "FILE", description = "The day to simulate (TOML).")
     private Path file;
 
     @Option(
             names = "--baseline",
             paramLabel = "random|round-robin|least-out",
-            description = "Decides in place of the module.")
+            description = "Baseline policy to use in place of the decision module.")
     private String baseline;
 
-    @Option(names = "--set", paramLabel = "FIGURE=VALUE", description = "Replaces a figure of the file.")
+    @Option(
+            names = "--set",
+            paramLabel = "FIGURE=VALUE",
+            description = "Overrides a value of the file; may be repeated.")
     private Map<String, String> set = Map.of();
 
     @Override
@@ -40,24 +43,24 @@
         }
         Day day = new Day(sheet);
         day.mustBeSimulated(sheet.file());
-        Simulation.DispatcherFactory minds = null;
+        Simulation.DispatcherFactory factory = null;
         if (baseline != null) {
-            BaselineDispatcher.SelectionPolicy choice = choice(baseline);
-            minds = (orders, door, chance) ->
-                    new BaselineDispatcher(orders, door, chance, choice, BaselineDispatcher.Defect.NONE);
+            BaselineDispatcher.SelectionPolicy policy = policy(baseline);
+            factory = (orders, door, random) ->
+                    new BaselineDispatcher(orders, door, random, policy, BaselineDispatcher.Defect.NONE);
         }
         long began = System.nanoTime();
-        Path beside = file.toAbsolutePath().getParent();
-        Outcome outcome = Run.simulated(day, "now", "", 0, Run.asks(day, beside), minds);
-        double took = (System.nanoTime() - began) / 1e9;
+        Path folder = file.toAbsolutePath().getParent();
+        Outcome outcome = Run.simulated(day, "now", "", 0, Run.asks(day, folder), factory);
+        double seconds = (System.nanoTime() - began) / 1e9;
         outcome.figures().forEach((name, value) -> System.out.printf(Locale.ROOT, "%-34s %.6g%n", name, value));
         outcome.breaches().stream().limit(20).forEach(System.out::println);
-        // Apart, on standard error: the figures above are the same for the same day and seed, these are not.
+        // On standard error: unlike the figures above, these differ between runs of the same day and seed.
         System.err.printf(
                 Locale.ROOT,
                 "%.2f s, %.0f events/s, %d MiB of heap in use%n",
-                took,
-                outcome.figures().get("events") / took,
+                seconds,
+                outcome.figures().get("events") / seconds,
                 (Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory()) >> 20);
         return outcome.breaches().isEmpty() ? 0 : 1;
     }
@@ -71,12 +74,12 @@
         return text.equals("true") || text.equals("false") ? (Object) Boolean.parseBoolean(text) : text;
     }
 
-    private static BaselineDispatcher.SelectionPolicy choice(String name) {
+    private static BaselineDispatcher.SelectionPolicy policy(String name) {
         for (BaselineDispatcher.SelectionPolicy each : BaselineDispatcher.SelectionPolicy.values()) {
             if (each.name().toLowerCase(Locale.ROOT).replace('_', '-').equals(name)) {
                 return each;
             }
         }
-        throw new Misread("--baseline: wanted random, round-robin or least-out");
+        throw new Misread("--baseline: expected random, round-robin or least-out");
     }
 }
--- a/tools/src/main/java/saltdale/tools/StandIn.java
+++ b/tools/src/main/java/saltdale/tools/StandIn.java
@@ -31,108 +31,110 @@
         all
     }
 
-    @Parameters(index = "0", paramLabel = "runners|discovery|all", description = "What to stand in for.")
+    @Parameters(index = "0", paramLabel = "runners|discovery|all", description = "The parts to stand in for.")
     private Part part;
 
-    @Parameters(index = "1", paramLabel = "FILE", description = "The day, TOML.")
+    @Parameters(index = "1", paramLabel = "FILE", description = "The day to run (TOML).")
     private Path file;
 
-    @Option(names = "--port", defaultValue = "7400", description = "Of all addresses (default: ${DEFAULT-VALUE}).")
+    @Option(names = "--port", defaultValue = "7400", description = "Port of all addresses (default: ${DEFAULT-VALUE}).")
     private int port;
 
     @Option(
             names = "--out",
             defaultValue = "out/stand-in",
-            description = "Where the dispatchers' configurations are written (default: ${DEFAULT-VALUE}).")
+            description = "Folder for the dispatchers' configurations (default: ${DEFAULT-VALUE}).")
     private Path out;
 
     @Option(
             names = "--for",
             paramLabel = "SPAN",
             defaultValue = "1h",
-            description = "Ends by itself after this long (default: ${DEFAULT-VALUE}).")
+            description = "Exits after this time (default: ${DEFAULT-VALUE}).")
     private String length;
 
     @Override
     public Integer call() throws Exception {
         Day day = Day.read(file);
-        Duration span = StandInNodes.span("--for", length);
+        Duration duration = StandInNodes.span("--for", length);
         Origin origin = new Origin();
-        LoopbackAddresses places = new LoopbackAddresses(port);
-        EventObserver nobody = EventObserver.NONE;
+        LoopbackAddresses addresses = new LoopbackAddresses(port);
+        EventObserver observer = EventObserver.NONE;
         Files.createDirectories(out);
         try (LoopThread loopThread = new LoopThread("stand-in")) {
             RunnerStateListener list = part == Part.runners
-                    ? new Unheard()
-                    : new RunnerListServer(loopThread, day, places, origin, nobody);
+                    ? new IgnoringListener()
+                    : new RunnerListServer(loopThread, day, addresses, origin, observer);
             StandInFleet fleet = part == Part.discovery
                     ? null
-                    : new StandInFleet(loopThread, day, places, origin, nobody, list, day.seed);
+                    : new StandInFleet(loopThread, day, addresses, origin, observer, list, day.seed);
             loopThread.start();
             loopThread.runAndWait(() -> {
                 if (fleet != null) {
                     fleet.begin(origin.now());
                 } else {
-                    tell(loopThread, day, origin, list);
+                    scheduleListChanges(loopThread, day, origin, list);
                 }
             });
             for (int i = 0; i < day.dispatchers; i++) {
                 Path config = out.resolve("config-" + i + ".json");
                 Files.writeString(config, DispatcherProcesses.configuration(day, i));
-                System.out.println("EDGE_NAME=d" + i + " EDGE_LISTEN=" + LoopbackAddresses.text(places.dispatcher(i))
-                        + " EDGE_DISCOVERY=" + LoopbackAddresses.text(places.list(i)) + " EDGE_CONFIG=" + config
+                System.out.println("EDGE_NAME=d" + i + " EDGE_LISTEN=" + LoopbackAddresses.text(addresses.dispatcher(i))
+                        + " EDGE_DISCOVERY=" + LoopbackAddresses.text(addresses.list(i)) + " EDGE_CONFIG=" + config
                         + " ./saltdale serve");
             }
-            Thread.sleep(span.toMillis());
+            Thread.sleep(duration.toMillis());
         } catch (IOException e) {
-            throw new IOException("an address at port " + port + " can't be listened at: " + e.getMessage(), e);
+            throw new IOException("cannot listen at port " + port + ": " + e.getMessage(), e);
         }
         return 0;
     }
 
-    /** Without runners of its own, the list tells what the day's troubles would make it tell. */
-    private static void tell(LoopThread loopThread, Day day, Origin origin, RunnerStateListener list) {
-        for (TroubleSchedule.ScheduledAction turn : new TroubleSchedule(day.troubles).scheduledActions()) {
-            boolean silent =
-                    turn.action() == TroubleSchedule.Action.CRASH || turn.action() == TroubleSchedule.Action.VANISH;
-            EventObserver.ListedHealth health = switch (turn.action()) {
+    /** Without runners in this process, applies the changes of the day's troubles directly to the list. */
+    private static void scheduleListChanges(LoopThread loopThread, Day day, Origin origin, RunnerStateListener list) {
+        for (TroubleSchedule.ScheduledAction scheduled : new TroubleSchedule(day.troubles).scheduledActions()) {
+            boolean noticedLate = scheduled.action() == TroubleSchedule.Action.CRASH
+                    || scheduled.action() == TroubleSchedule.Action.VANISH;
+            EventObserver.ListedHealth health = switch (scheduled.action()) {
                 case CRASH, VANISH, REMOVE -> EventObserver.ListedHealth.GONE;
                 case DRAIN, HAND_BACK -> EventObserver.ListedHealth.DRAINING;
                 case START -> EventObserver.ListedHealth.UP;
                 default -> null;
             };
-            if (turn.action() == TroubleSchedule.Action.SILENCE_LIST
-                    || turn.action() == TroubleSchedule.Action.RESUME_LIST) {
+            if (scheduled.action() == TroubleSchedule.Action.SILENCE_LIST
+                    || scheduled.action() == TroubleSchedule.Action.RESUME_LIST) {
                 loopThread.loop.schedule(
-                        turn.at(), () -> list.setSilent(turn.action() == TroubleSchedule.Action.SILENCE_LIST));
+                        scheduled.at(),
+                        () -> list.setSilent(scheduled.action() == TroubleSchedule.Action.SILENCE_LIST));
             } else if (health != null) {
                 loopThread.loop.schedule(
-                        turn.at().plus(silent ? day.silentNotice : day.notice),
-                        () -> turn.trouble()
+                        scheduled.at().plus(noticedLate ? day.silentNotice : day.notice),
+                        () -> scheduled
+                                .trouble()
                                 .runners()
                                 .forEach(i -> list.runnerChanged(
                                         i,
                                         health,
-                                        health == EventObserver.ListedHealth.UP ? turn.at() : origin.now())));
+                                        health == EventObserver.ListedHealth.UP ? scheduled.at() : origin.now())));
             }
         }
     }
 
-    /** Nobody wants to know what the list would. */
-    private static final class Unheard implements RunnerStateListener {
+    /** Ignores all changes: the list runs in another process. */
+    private static final class IgnoringListener implements RunnerStateListener {
         @Override
-        public void runnerChanged(int runner, EventObserver.ListedHealth health, Duration bornAt) {
-            // The list is kept elsewhere.
+        public void runnerChanged(int runner, EventObserver.ListedHealth health, Duration startedAt) {
+            // the list runs in another process
         }
 
         @Override
-        public void linkChanged(int dispatcher, LinkCondition next) {
-            // The list is kept elsewhere.
+        public void linkChanged(int dispatcher, LinkCondition condition) {
+            // the list runs in another process
         }
 
         @Override
         public void setSilent(boolean silent) {
-            // The list is kept elsewhere.
+            // the list runs in another process
         }
     }
 }
--- a/tools/src/main/java/saltdale/tools/StandInNodes.java
+++ b/tools/src/main/java/saltdale/tools/StandInNodes.java
@@ -19,19 +19,23 @@
         mixinStandardHelpOptions = true,
         description = "Stands in for a coordination service with ephemeral nodes: one tree, one process, no consensus.")
 final class StandInNodes implements Callable<Integer> {
-    @Option(names = "--listen", required = true, paramLabel = "ADDRESS:PORT", description = "Numbers, on loopback.")
+    @Option(
+            names = "--listen",
+            required = true,
+            paramLabel = "ADDRESS:PORT",
+            description = "First address, numeric, on loopback.")
     private String listen;
 
     @Option(
             names = "--servers",
             defaultValue = "1",
-            description = "So many addresses, at ports one after the other (default: ${DEFAULT-VALUE}).")
+            description = "Number of addresses, at consecutive ports (default: ${DEFAULT-VALUE}).")
     private int servers;
 
     @Option(
             names = "--state",
             paramLabel = "FILE",
-            description = "The log that a restart reads; none: nothing is kept.")
+            description = "Log file that a restart reads; without it no state is kept.")
     private Path state;
 
     @Option(
@@ -44,7 +48,7 @@
             names = "--for",
             paramLabel = "SPAN",
             defaultValue = "1h",
-            description = "Ends by itself after this long (default: ${DEFAULT-VALUE}).")
+            description = "Exits after this time (default: ${DEFAULT-VALUE}).")
     private String length;
 
     @Override
@@ -69,18 +73,20 @@
         return 0;
     }
 
+    /** Parses the duration given for an option. */
     static Duration span(String option, String text) {
         Duration span = Sheet.span(text);
         if (span == null || span.isZero()) {
-            throw new Misread(option + ": wanted a span such as 250ms, 90s or 1h");
+            throw new Misread(option + ": expected a duration such as 250ms, 90s or 1h");
         }
         return span;
     }
 
+    /** Parses the loopback address given for an option. */
     static InetSocketAddress loopback(String option, String text) {
         InetSocketAddress address = Address.parse(text);
         if (address == null || !address.getAddress().isLoopbackAddress()) {
-            throw new Misread(option + ": " + text + " is no numeric loopback address with a port");
+            throw new Misread(option + ": " + text + " is not a numeric loopback address with a port");
         }
         return address;
     }
--- a/tools/src/main/java/saltdale/tools/Try.java
+++ b/tools/src/main/java/saltdale/tools/Try.java
@@ -9,16 +9,19 @@
 @Command(
         name = "try",
         mixinStandardHelpOptions = true,
-        description = "Plays experiments/try.toml: a list, eight runners, two dispatchers, 20 s with one crash.")
+        description = "Runs experiments/try.toml: a list, eight runners, two dispatchers, 20 s with one crash.")
 final class Try implements Callable<Integer> {
-    @Option(names = "--out", defaultValue = "out/try", description = "Where results go (default: ${DEFAULT-VALUE}).")
+    @Option(
+            names = "--out",
+            defaultValue = "out/try",
+            description = "Folder for the results (default: ${DEFAULT-VALUE}).")
     private Path out;
 
     @Override
     public Integer call() throws Exception {
         Path home = Main.home();
-        boolean good =
+        boolean passed =
                 Experiment.read(home.resolve("experiments/try.toml"), home).play(true, out, System.out);
-        return good ? 0 : 1;
+        return passed ? 0 : 1;
     }
 }
