--- a/rig/src/main/java/saltdale/rig/experiment/DispatcherProcesses.java
+++ b/rig/src/main/java/saltdale/rig/experiment/DispatcherProcesses.java
@@ -22,96 +22,97 @@
 import saltdale.model.DispatcherSettings;
 import saltdale.model.Workload;
 import saltdale.rig.judge.EventObserver;
-import saltdale.rig.plan.Day;
-import saltdale.rig.plan.Make;
+import saltdale.rig.plan.RunnerType;
+import saltdale.rig.plan.Scenario;
 import saltdale.rig.standin.LoopbackAddresses;
 import saltdale.rig.standin.Origin;
 
-/** The dispatchers of a run: child processes of one build, each with its configuration and its log. */
+/** The dispatcher processes of a run: child processes of one build, each with its configuration and log file. */
 public final class DispatcherProcesses implements AutoCloseable {
     private static final Logger LOG = LoggerFactory.getLogger(DispatcherProcesses.class);
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Duration TO_COME_UP = Duration.ofSeconds(30);
-    private static final Duration TO_END = Duration.ofSeconds(6);
-    private static final double TICKS = 100; // of /proc, a second
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(30);
+    private static final Duration STOP_TIMEOUT = Duration.ofSeconds(6);
+    private static final double CLOCK_TICKS_PER_SECOND = 100; // unit of the CPU times in /proc
 
-    private static final class Member {
+    private static final class Dispatcher {
         volatile Process process;
-        volatile boolean toldToEnd;
-        volatile boolean stopped;
-        double cpuBefore;
-        double cpuOfEarlierLives;
+        volatile boolean expectedToExit;
+        volatile boolean paused;
+        double cpuAtReset;
+        double cpuOfEarlierProcesses;
     }
 
-    private final Day day;
+    private final Scenario scenario;
     private final Version version;
-    private final LoopbackAddresses places;
-    private final Path folder;
+    private final LoopbackAddresses loopback;
+    private final Path directory;
     private final Origin origin;
-    private final EventObserver witness;
+    private final EventObserver observer;
     private final String cpus;
-    private final List<Member> members = new ArrayList<>();
-    private volatile boolean ending;
-    // Guards against dispatchers that outlive a rig which was told to end.
-    private final Thread atExit = new Thread(this::destroy, "end of the dispatchers");
+    private final List<Dispatcher> dispatchers = new ArrayList<>();
+    private volatile boolean closing;
+    // Stops the dispatchers when the rig is terminated.
+    private final Thread shutdownHook = new Thread(this::destroy, "dispatcher shutdown");
 
-    /** {@code cpus}: the cores that they share, as taskset names them; null for all. */
+    /** {@code cpus} is the list of cores for the dispatchers in the format of taskset; null for all cores. */
     public DispatcherProcesses(
-            Day day,
+            Scenario scenario,
             Version version,
-            LoopbackAddresses places,
-            Path folder,
+            LoopbackAddresses loopback,
+            Path directory,
             Origin origin,
-            EventObserver witness,
+            EventObserver observer,
             String cpus) {
-        this.day = day;
+        this.scenario = scenario;
         this.version = version;
-        this.places = places;
-        this.folder = folder;
+        this.loopback = loopback;
+        this.directory = directory;
         this.origin = origin;
-        this.witness = witness;
+        this.observer = observer;
         this.cpus = cpus;
-        for (int i = 0; i < day.dispatchers; i++) {
-            members.add(new Member());
+        for (int i = 0; i < scenario.dispatcherCount; i++) {
+            dispatchers.add(new Dispatcher());
         }
     }
 
+    /** The listen addresses of the dispatchers by index. */
     public List<InetSocketAddress> addresses() {
         List<InetSocketAddress> all = new ArrayList<>();
-        for (int i = 0; i < members.size(); i++) {
-            all.add(places.dispatcher(i));
+        for (int i = 0; i < dispatchers.size(); i++) {
+            all.add(loopback.dispatcher(i));
         }
         return all;
     }
 
-    /** Starts all of them, and returns when each answers that it is up. */
-    public void begin() throws IOException {
-        Runtime.getRuntime().addShutdownHook(atExit);
-        for (int i = 0; i < members.size(); i++) {
-            Files.writeString(folder.resolve("config-" + i + ".json"), configuration(day, i));
+    /** Starts all dispatchers and waits until each one reports that it is up. */
+    public void startAll() throws IOException {
+        Runtime.getRuntime().addShutdownHook(shutdownHook);
+        for (int i = 0; i < dispatchers.size(); i++) {
+            Files.writeString(directory.resolve("config-" + i + ".json"), configuration(scenario, i));
             start(i);
         }
-        long end = System.nanoTime() + TO_COME_UP.toNanos();
-        for (int i = 0; i < members.size(); i++) {
+        long end = System.nanoTime() + START_TIMEOUT.toNanos();
+        for (int i = 0; i < dispatchers.size(); i++) {
             while (!isUp(i)) {
-                if (!members.get(i).process.isAlive()) {
+                if (!dispatchers.get(i).process.isAlive()) {
                     throw new IOException("dispatcher " + i + " of " + version.name()
-                            + " ended at its start, with "
-                            + members.get(i).process.exitValue() + ": " + lastLine(i));
+                            + " exited during its start with status "
+                            + dispatchers.get(i).process.exitValue() + ": " + lastLine(i));
                 } else if (System.nanoTime() > end) {
                     throw new IOException("dispatcher " + i + " of " + version.name()
-                            + " did not come up within "
-                            + TO_COME_UP.toSeconds() + " s: " + lastLine(i));
+                            + " did not start within "
+                            + START_TIMEOUT.toSeconds() + " s: " + lastLine(i));
                 }
-                pause(20);
+                sleep(20);
             }
         }
     }
 
     private String lastLine(int i) {
         try {
-            List<String> lines = Files.readAllLines(folder.resolve("dispatcher-" + i + ".log"));
-            return lines.isEmpty() ? "it said nothing" : lines.get(lines.size() - 1);
+            List<String> lines = Files.readAllLines(directory.resolve("dispatcher-" + i + ".log"));
+            return lines.isEmpty() ? "its log is empty" : lines.get(lines.size() - 1);
         } catch (IOException e) {
             return "its log can't be read";
         }
@@ -128,27 +129,27 @@
         ProcessBuilder builder = new ProcessBuilder(command)
                 .redirectErrorStream(true)
                 .redirectOutput(ProcessBuilder.Redirect.appendTo(
-                        folder.resolve("dispatcher-" + i + ".log").toFile()));
+                        directory.resolve("dispatcher-" + i + ".log").toFile()));
         builder.environment()
                 .putAll(Map.of(
                         "EDGE_NAME",
                         "d" + i,
                         "EDGE_LISTEN",
-                        LoopbackAddresses.text(places.dispatcher(i)),
+                        LoopbackAddresses.text(loopback.dispatcher(i)),
                         "EDGE_DISCOVERY",
-                        LoopbackAddresses.text(places.list(i)),
+                        LoopbackAddresses.text(loopback.list(i)),
                         "EDGE_CONFIG",
-                        folder.resolve("config-" + i + ".json").toString()));
-        members.get(i).process = builder.start();
+                        directory.resolve("config-" + i + ".json").toString()));
+        dispatchers.get(i).process = builder.start();
     }
 
     private boolean isUp(int i) {
         return get(i, "/up").startsWith("HTTP/1.1 200");
     }
 
-    /** What it answers to this; nothing where it does not. */
+    /** The response of a dispatcher to a GET request, with its head; empty if there is none. */
     public String get(int i, String path) {
-        InetSocketAddress at = places.dispatcher(i);
+        InetSocketAddress at = loopback.dispatcher(i);
         try (Socket socket = new Socket()) {
             socket.connect(at, 500);
             socket.setSoTimeout(1000);
@@ -162,7 +163,7 @@
         }
     }
 
-    private static void pause(long millis) {
+    private static void sleep(long millis) {
         try {
             Thread.sleep(millis);
         } catch (InterruptedException e) {
@@ -170,50 +171,52 @@
         }
     }
 
-    /** Kills one outright. */
+    /** Kills a dispatcher with SIGKILL. */
     public void kill(int i) {
-        Member member = members.get(i);
-        member.toldToEnd = true;
-        member.cpuOfEarlierLives += cpu(member.process);
-        witness.dispatcherKilled(origin.now(), i);
-        member.process.destroyForcibly();
+        Dispatcher dispatcher = dispatchers.get(i);
+        dispatcher.expectedToExit = true;
+        dispatcher.cpuOfEarlierProcesses += cpuSeconds(dispatcher.process);
+        observer.dispatcherKilled(origin.now(), i);
+        dispatcher.process.destroyForcibly();
         try {
-            member.process.waitFor(5, TimeUnit.SECONDS);
+            dispatcher.process.waitFor(5, TimeUnit.SECONDS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
-        witness.dispatcherKilled(origin.now(), i); // what it took between the two is its clients' too
+        observer.dispatcherKilled(
+                origin.now(), i); // again, so that requests accepted since the first call count as affected too
     }
 
-    /** Tells one to end in order. */
-    public void end(int i) {
-        Member member = members.get(i);
-        member.toldToEnd = true;
-        member.process.destroy();
+    /** Asks a dispatcher to shut down with SIGTERM. */
+    public void shutDown(int i) {
+        Dispatcher dispatcher = dispatchers.get(i);
+        dispatcher.expectedToExit = true;
+        dispatcher.process.destroy();
     }
 
-    /** Stops processes where they stand; each is judged as stopped from before the signal. */
-    public void stop(List<Integer> which) {
-        which.forEach(i -> {
-            members.get(i).stopped = true;
-            witness.dispatcherPaused(origin.now(), i);
+    /** Pauses processes with SIGSTOP; the judge treats each as paused from before the signal. */
+    public void pause(List<Integer> indexes) {
+        indexes.forEach(i -> {
+            dispatchers.get(i).paused = true;
+            observer.dispatcherPaused(origin.now(), i);
         });
-        signal("STOP", which);
+        signal("STOP", indexes);
     }
 
-    public void goOn(List<Integer> which) {
-        signal("CONT", which);
-        which.forEach(i -> {
-            members.get(i).stopped = false;
-            witness.dispatcherResumed(origin.now(), i);
+    /** Resumes paused processes with SIGCONT. */
+    public void resume(List<Integer> indexes) {
+        signal("CONT", indexes);
+        indexes.forEach(i -> {
+            dispatchers.get(i).paused = false;
+            observer.dispatcherResumed(origin.now(), i);
         });
     }
 
-    /** A signal to processes of ours, by their ids. */
-    private void signal(String name, List<Integer> which) {
+    /** Sends a signal to dispatcher processes by their process ids. */
+    private void signal(String name, List<Integer> indexes) {
         List<String> command = new ArrayList<>(List.of("kill", "-" + name));
-        which.stream()
-                .map(i -> members.get(i).process)
+        indexes.stream()
+                .map(i -> dispatchers.get(i).process)
                 .filter(Process::isAlive)
                 .forEach(process -> command.add(Long.toString(process.pid())));
         if (command.size() == 2) {
@@ -222,89 +225,92 @@
         try {
             Process kill = new ProcessBuilder(command).redirectErrorStream(true).start();
             if (!kill.waitFor(5, TimeUnit.SECONDS) || kill.exitValue() != 0) {
-                LOG.warn("{} did not work", command);
+                LOG.warn("{} failed", command);
             }
         } catch (IOException e) {
-            LOG.error("no {} can be sent: {}", name, e.getMessage());
+            LOG.error("signal {} can't be sent: {}", name, e.getMessage());
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    /** Starts one again; one that was told to end and has not is waited for, as a platform would before it kills. */
-    public void revive(int i) {
-        Member member = members.get(i);
+    /**
+     * Restarts a dispatcher. One that is still shutting down gets some time to exit before it is killed, as on a platform.
+     */
+    public void restart(int i) {
+        Dispatcher dispatcher = dispatchers.get(i);
         try {
-            if (!ending) {
-                if (!member.process.waitFor(TO_END.toMillis(), TimeUnit.MILLISECONDS)) {
-                    LOG.warn("dispatcher {} did not end within {} s: killed", i, TO_END.toSeconds());
+            if (!closing) {
+                if (!dispatcher.process.waitFor(STOP_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS)) {
+                    LOG.warn("dispatcher {} did not exit within {} s; killing it", i, STOP_TIMEOUT.toSeconds());
                     kill(i);
                 }
-                member.toldToEnd = false;
+                dispatcher.expectedToExit = false;
                 start(i);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            LOG.error("dispatcher {} can't be started again: {}", i, e.getMessage());
+            LOG.error("dispatcher {} can't be restarted: {}", i, e.getMessage());
         }
     }
 
-    /** From now on the CPU counts. */
-    public void countCpu() {
-        for (Member member : members) {
-            member.cpuBefore = cpu(member.process);
-            member.cpuOfEarlierLives = 0;
+    /** Starts the measurement of CPU time. */
+    public void resetCpu() {
+        for (Dispatcher dispatcher : dispatchers) {
+            dispatcher.cpuAtReset = cpuSeconds(dispatcher.process);
+            dispatcher.cpuOfEarlierProcesses = 0;
         }
     }
 
-    /** Seconds of CPU that all of them have used since. */
-    public double cpu() {
+    /** CPU time of all dispatchers since {@link #resetCpu()}, in seconds. */
+    public double cpuSeconds() {
         double all = 0;
-        for (Member member : members) {
-            all += member.cpuOfEarlierLives
-                    + cpu(member.process)
-                    - (member.cpuOfEarlierLives == 0 ? member.cpuBefore : 0);
+        for (Dispatcher dispatcher : dispatchers) {
+            all += dispatcher.cpuOfEarlierProcesses
+                    + cpuSeconds(dispatcher.process)
+                    - (dispatcher.cpuOfEarlierProcesses == 0 ? dispatcher.cpuAtReset : 0);
         }
         return all;
     }
 
-    private static double cpu(Process process) {
+    private static double cpuSeconds(Process process) {
         try {
             String stat = Files.readString(Path.of("/proc/" + process.pid() + "/stat"));
             String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
-            return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / TICKS;
+            return (Long.parseLong(fields[11]) + Long.parseLong(fields[12])) / CLOCK_TICKS_PER_SECOND;
         } catch (IOException e) {
-            return 0; // it has ended
+            return 0; // the process has exited
         }
     }
 
-    /** The most memory that any of them held, MiB. */
-    public double memory() {
+    /** The largest peak resident memory of a dispatcher, in MiB. */
+    public double maxMemoryMb() {
         double most = 0;
-        for (Member member : members) {
+        for (Dispatcher dispatcher : dispatchers) {
             try {
-                for (String line : Files.readAllLines(Path.of("/proc/" + member.process.pid() + "/status"))) {
+                for (String line : Files.readAllLines(Path.of("/proc/" + dispatcher.process.pid() + "/status"))) {
                     if (line.startsWith("VmHWM:")) {
                         most = Math.max(most, Double.parseDouble(line.replaceAll("[^0-9]", "")) / 1024);
                     }
                 }
             } catch (IOException e) {
-                // it has ended
+                // the process has exited
             }
         }
         return most;
     }
 
+    /** The process id of a dispatcher. */
     public long pid(int i) {
-        return members.get(i).process.pid();
+        return dispatchers.get(i).process.pid();
     }
 
-    /** Those that have ended and were not told to. */
+    /** The dispatchers that exited unexpectedly. */
     public List<Integer> crashed() {
         List<Integer> all = new ArrayList<>();
-        for (int i = 0; i < members.size(); i++) {
-            if (!members.get(i).process.isAlive() && !members.get(i).toldToEnd) {
+        for (int i = 0; i < dispatchers.size(); i++) {
+            if (!dispatchers.get(i).process.isAlive() && !dispatchers.get(i).expectedToExit) {
                 all.add(i);
             }
         }
@@ -312,17 +318,17 @@
     }
 
     private void destroy() {
-        ending = true;
-        goOnAll();
-        members.stream().filter(m -> m.process != null).forEach(m -> m.process.destroy());
+        closing = true;
+        resumeAll();
+        dispatchers.stream().filter(m -> m.process != null).forEach(m -> m.process.destroy());
     }
 
-    /** Guards against processes that stay for ever: one that is stopped hears of no signal to end. */
-    private void goOnAll() {
+    /** Resumes paused processes before the shutdown, since a paused one does not react to SIGTERM and would stay. */
+    private void resumeAll() {
         signal(
                 "CONT",
-                IntStream.range(0, members.size())
-                        .filter(i -> members.get(i).stopped)
+                IntStream.range(0, dispatchers.size())
+                        .filter(i -> dispatchers.get(i).paused)
                         .boxed()
                         .toList());
     }
@@ -330,65 +336,65 @@
     @Override
     public void close() {
         destroy();
-        for (Member member : members) {
+        for (Dispatcher dispatcher : dispatchers) {
             try {
-                if (member.process != null && !member.process.waitFor(6, TimeUnit.SECONDS)) {
-                    member.process.destroyForcibly();
+                if (dispatcher.process != null && !dispatcher.process.waitFor(6, TimeUnit.SECONDS)) {
+                    dispatcher.process.destroyForcibly();
                 }
             } catch (InterruptedException e) {
-                member.process.destroyForcibly();
+                dispatcher.process.destroyForcibly();
                 Thread.currentThread().interrupt();
             }
         }
         try {
-            Runtime.getRuntime().removeShutdownHook(atExit);
+            Runtime.getRuntime().removeShutdownHook(shutdownHook);
         } catch (IllegalStateException e) {
-            // it is on its way
+            // the JVM is already shutting down
         }
     }
 
-    /** What a dispatcher of this day is told, in the words of the platform. */
-    public static String configuration(Day day, int i) throws IOException {
-        DispatcherSettings o = day.orders(i);
+    /** The configuration file of a dispatcher in this scenario, in the format of the platform. */
+    public static String configuration(Scenario scenario, int i) throws IOException {
+        DispatcherSettings dispatcherSettings = scenario.dispatcherSettings(i);
         ObjectNode root = JSON.createObjectNode();
-        root.put("name", "d" + i).put("seed", Long.toHexString(day.seed * 1000 + i + 1));
+        root.put("name", "d" + i).put("seed", Long.toHexString(scenario.seed * 1000 + i + 1));
         root.putObject("limits").put("sockets", 4096).put("memory_mb", 192).put("cores", 1.0);
-        if (o.overload != null) {
+        if (dispatcherSettings.overload != null) {
             root.putObject("overload")
-                    .put("low", o.overload.lowWaitShare())
-                    .put("high", o.overload.highWaitShare())
-                    .put("borne", o.overload.slackShare())
-                    .put("missed", o.overload.tolerableMissShare())
-                    .put("step", us(o.overload.minChangeInterval()))
-                    .put("known", o.overload.minCompletions());
+                    .put("low", dispatcherSettings.overload.lowWaitShare())
+                    .put("high", dispatcherSettings.overload.highWaitShare())
+                    .put("borne", dispatcherSettings.overload.slackShare())
+                    .put("missed", dispatcherSettings.overload.tolerableMissShare())
+                    .put("step", micros(dispatcherSettings.overload.minChangeInterval()))
+                    .put("known", dispatcherSettings.overload.minCompletions());
         }
         ObjectNode settings = root.putObject("settings");
         settings.put("Index", i)
-                .put("NInstances", o.dispatcherCount)
-                .put("Locality", o.zone)
-                .put("Round", us(o.roundInterval))
-                .put("MembershipMode", o.subscribes ? "ask" : "push");
+                .put("NInstances", dispatcherSettings.dispatcherCount)
+                .put("Locality", dispatcherSettings.zone)
+                .put("Round", micros(dispatcherSettings.roundInterval))
+                .put("MembershipMode", dispatcherSettings.subscribes ? "ask" : "push");
         settings.putObject("Limits")
-                .put("Probes", o.mayProbe)
-                .put("MayCancel", o.mayCancel)
-                .put("ParallelTries", o.parallelAttempts)
-                .put("RetryAfter", o.sendsRetryAfter)
-                .put("MostDispatches", o.maxAttempts)
-                .put("MaxRetryAfter", us(o.maxRetryAfter))
-                .put("DialTimeout", us(o.connectTimeout))
-                .put("IdleClose", us(day.idleClose));
+                .put("Probes", dispatcherSettings.mayProbe)
+                .put("MayCancel", dispatcherSettings.mayCancel)
+                .put("ParallelTries", dispatcherSettings.parallelAttempts)
+                .put("RetryAfter", dispatcherSettings.sendsRetryAfter)
+                .put("MostDispatches", dispatcherSettings.maxAttempts)
+                .put("MaxRetryAfter", micros(dispatcherSettings.maxRetryAfter))
+                .put("DialTimeout", micros(dispatcherSettings.connectTimeout))
+                .put("IdleClose", micros(scenario.idleClose));
         settings.putObject("Contract")
-                .put("ColdFrom", o.coldCapacity)
-                .put("WarmWithin", us(o.warmUpTime))
-                .put("TipMultiple", o.coldLimitMultiple)
-                .put("Fall", us(o.coldLimitWindow))
-                .put("DrainGrace", us(day.drainGrace))
-                .put("LateShedding", o.lateRejections);
-        settings.putObject("Callers").put("MarksRetry", o.retriesMarked);
-        settings.putObject("Tariffs").put("CrossZone", o.crossZonePrice);
+                .put("ColdFrom", dispatcherSettings.coldCapacity)
+                .put("WarmWithin", micros(dispatcherSettings.warmUpTime))
+                .put("TipMultiple", dispatcherSettings.coldLimitMultiple)
+                .put("Fall", micros(dispatcherSettings.coldLimitWindow))
+                .put("DrainGrace", micros(scenario.drainGrace))
+                .put("LateShedding", dispatcherSettings.lateRejections);
+        settings.putObject("Callers").put("MarksRetry", dispatcherSettings.retriesMarked);
+        settings.putObject("Tariffs").put("CrossZone", dispatcherSettings.crossZonePrice);
         ObjectNode family = settings.putObject("FamilyInfo")
-                .put("TellsStart", o.reportsStart)
-                .put("Progress", us(o.progressInterval));
+                .put("TellsStart", dispatcherSettings.reportsStart)
+                .put("Progress", micros(dispatcherSettings.progressInterval));
         settings.putObject("LoadReport")
                 .put("How", "piggyback")
                 .putArray("Columns")
@@ -397,20 +403,20 @@
                 .add("x0");
         family.put("ReportX0", "free slots");
         ArrayNode kinds = settings.putArray("MachineTypes");
-        day.makes.stream().map(Make::name).forEach(kinds::add);
-        day.zones.forEach(settings.putArray("Zones")::add);
+        scenario.runnerTypes.stream().map(RunnerType::name).forEach(kinds::add);
+        scenario.zones.forEach(settings.putArray("Zones")::add);
         ArrayNode workloads = settings.putArray("Workloads");
-        for (Workload w : o.workloads) {
+        for (Workload w : dispatcherSettings.workloads) {
             ObjectNode row = workloads.addObject();
             w.zones.forEach(row.withArray("/ZonesOpen")::add);
             w.machineTypes.forEach(row.withArray("/ServedOn")::add);
             row.put("Name", w.name)
-                    .put("PromisedTime", us(w.targetLatency))
-                    .put("Patience", us(w.clientTimeout))
+                    .put("PromisedTime", micros(w.targetLatency))
+                    .put("Patience", micros(w.clientTimeout))
                     .put("Importance", w.importance)
                     .put("AimStretch", w.latencyStretch)
                     .put("TardyImportance", w.lateImportance)
-                    .put("Window", us(w.dedupWindow))
+                    .put("Window", micros(w.dedupWindow))
                     .put(
                             "Repeat",
                             switch (w.repeatSafety) {
@@ -423,7 +429,7 @@
         return JSON.writerWithDefaultPrettyPrinter().writeValueAsString(root);
     }
 
-    private static long us(Duration span) {
+    private static long micros(Duration span) {
         return span.toNanos() / 1000;
     }
 }
--- a/rig/src/main/java/saltdale/rig/load/Trace.java
+++ b/rig/src/main/java/saltdale/rig/load/Trace.java
@@ -10,17 +10,18 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import saltdale.rig.plan.Job;
-import saltdale.rig.plan.Misread;
-import saltdale.rig.plan.Sheet;
+import saltdale.rig.plan.InvalidInputException;
+import saltdale.rig.plan.PlannedWorkload;
+import saltdale.rig.plan.TomlTable;
 
 /**
- * Recorded arrivals. CSV with the head {@code at,workload,size}, or JSON lines with these names: {@code at}
- * in seconds since the trace's start, the workload's name, {@code size} in seconds of work.
+ * Recorded arrivals, as CSV with the header {@code at,workload,size} or as JSON lines with these fields: {@code at} in
+ * seconds since the start of the trace, the name of the workload, {@code size} in seconds of work.
  *
- * <p>Scaling by 2 sends twice as many in the same time: each is sent as often as the factor says, in thinned
- * places for the part that is no whole number, spread over the gap to the next. Splicing takes a part from
- * here and sets it at another time: {@code "10s..20s@5s"}.
+ * <p>Scaling by 2 sends twice as many requests in the same time: each arrival is repeated as the factor says, and the
+ * repetitions are spread over the gap to the next arrival. The fraction of a factor that is not whole is carried over, so
+ * that only some arrivals get one more. Splicing moves a section to another time: {@code "10s..20s@5s"} moves the
+ * arrivals from 10 s to 20 s to 5 s.
  */
 public final class Trace {
     private record Line(double at, String workload, double size) {}
@@ -32,10 +33,12 @@
         this.file = file;
     }
 
+    /** Reads a trace file. */
     public static Trace read(Path file) {
-        return of(file.toString(), Sheet.text(file));
+        return of(file.toString(), TomlTable.readText(file));
     }
 
+    /** Parses a trace; {@code name} is the name of the file in error messages. */
     public static Trace of(String name, String text) {
         Trace trace = new Trace(name);
         ObjectMapper json = new ObjectMapper();
@@ -47,28 +50,30 @@
             }
             Line read = line.stripLeading().startsWith("{") ? trace.json(json, line, number) : trace.csv(line, number);
             if (!(read.at >= 0) || !(read.size > 0) || Double.isInfinite(read.at + read.size)) {
-                throw trace.wrong(number, "at must be 0 or more, size over 0, in seconds");
+                throw trace.invalid(number, "at must be 0 or more, size over 0, in seconds");
             }
             trace.lines.add(read);
         }
         if (trace.lines.isEmpty()) {
-            throw new Misread(name + ": holds no arrival");
+            throw new InvalidInputException(name + ": contains no arrivals");
         }
         trace.lines.sort(Comparator.comparingDouble(Line::at));
         return trace;
     }
 
     private Line csv(String line, int number) {
-        String[] cells = line.split(",", -1);
+        String[] columns = line.split(",", -1);
         try {
-            if (cells.length == 3) {
+            if (columns.length == 3) {
                 return new Line(
-                        Double.parseDouble(cells[0].strip()), cells[1].strip(), Double.parseDouble(cells[2].strip()));
+                        Double.parseDouble(columns[0].strip()),
+                        columns[1].strip(),
+                        Double.parseDouble(columns[2].strip()));
             }
         } catch (NumberFormatException e) {
-            // told below
+            // reported below
         }
-        throw wrong(number, "wanted: at,workload,size with seconds, a name, seconds");
+        throw invalid(number, "expected at,workload,size with seconds, a name, seconds");
     }
 
     private Line json(ObjectMapper mapper, String line, int number) {
@@ -83,28 +88,29 @@
                         node.get("size").doubleValue());
             }
         } catch (JsonProcessingException e) {
-            // told below
+            // reported below
         }
-        throw wrong(number, "wanted: {\"at\":seconds,\"workload\":\"name\",\"size\":seconds}");
+        throw invalid(number, "expected {\"at\":seconds,\"workload\":\"name\",\"size\":seconds}");
     }
 
-    private Misread wrong(int line, String what) {
-        return new Misread(file + ": line " + line + ": " + what);
+    private InvalidInputException invalid(int line, String problem) {
+        return new InvalidInputException(file + ": line " + line + ": " + problem);
     }
 
-    /** Takes parts out of it, each set at another time; with none it stays as it is. */
+    /** Returns a trace of the given sections, each moved to another time; without sections this trace. */
     public Trace spliced(List<String> parts) {
         if (parts.isEmpty()) {
             return this;
         }
-        Trace made = new Trace(file);
+        Trace result = new Trace(file);
         for (String part : parts) {
-            String[] cut = part.split("\\.\\.|@");
+            String[] fields = part.split("\\.\\.|@");
             Duration[] spans = new Duration[3];
             for (int i = 0; i < 3; i++) {
-                spans[i] = cut.length == 3 ? Sheet.span(cut[i]) : null;
+                spans[i] = fields.length == 3 ? TomlTable.parseDuration(fields[i]) : null;
                 if (spans[i] == null) {
-                    throw new Misread(file + ": splice: \"" + part + "\" is not of the form \"10s..20s@5s\"");
+                    throw new InvalidInputException(
+                            file + ": splice: \"" + part + "\" is not of the form \"10s..20s@5s\"");
                 }
             }
             double from = spans[0].toNanos() / 1e9;
@@ -112,24 +118,25 @@
             double at = spans[2].toNanos() / 1e9;
             lines.stream()
                     .filter(line -> line.at >= from && line.at < to)
-                    .forEach(line -> made.lines.add(new Line(line.at - from + at, line.workload, line.size)));
+                    .forEach(line -> result.lines.add(new Line(line.at - from + at, line.workload, line.size)));
         }
-        made.lines.sort(Comparator.comparingDouble(Line::at));
-        return made;
+        result.lines.sort(Comparator.comparingDouble(Line::at));
+        return result;
     }
 
-    /** The asks of this trace, as many times as {@code scale} says. */
-    public List<Ask> asks(List<Job> jobs, double scale, Duration length) {
-        Map<String, Job> byName = new HashMap<>();
-        jobs.forEach(job -> byName.put(job.name(), job));
-        List<Ask> asks = new ArrayList<>();
+    /** The client requests of this trace, with the number of arrivals scaled by {@code scale}. */
+    public List<ClientRequest> requests(List<PlannedWorkload> workloads, double scale, Duration length) {
+        Map<String, PlannedWorkload> byName = new HashMap<>();
+        workloads.forEach(job -> byName.put(job.name(), job));
+        List<ClientRequest> requests = new ArrayList<>();
         double due = 0;
         for (int i = 0; i < lines.size(); i++) {
             Line line = lines.get(i);
-            Job job = byName.get(line.workload);
+            PlannedWorkload job = byName.get(line.workload);
             if (job == null) {
-                throw new Misread(file + ": workload " + line.workload + " is none of the day's: "
-                        + String.join(", ", new java.util.TreeSet<>(byName.keySet())));
+                throw new InvalidInputException(
+                        file + ": workload " + line.workload + " is not defined in the scenario; defined workloads: "
+                                + String.join(", ", new java.util.TreeSet<>(byName.keySet())));
             }
             double gap = i + 1 < lines.size() ? lines.get(i + 1).at - line.at : 0;
             due += scale;
@@ -138,10 +145,10 @@
             for (int k = 0; k < times; k++) {
                 Duration at = Duration.ofNanos((long) ((line.at + gap * k / times) * 1e9));
                 if (at.compareTo(length) < 0) {
-                    asks.add(new Ask(asks.size(), at, job, line.size));
+                    requests.add(new ClientRequest(requests.size(), at, job, line.size));
                 }
             }
         }
-        return asks;
+        return requests;
     }
 }
--- a/rig/src/main/java/saltdale/rig/plan/Traffic.java
+++ b/rig/src/main/java/saltdale/rig/plan/Traffic.java
@@ -4,22 +4,26 @@
 import java.util.List;
 
 /**
- * What clients send and how they behave. {@code rate} is first tries a second on average.
+ * The load that clients generate and their behaviour.
  *
- * @param utilisation where over 0, the rate is this share of what the fleet can do
- * @param swing of a shape: 0 is flat, 1 goes from nothing to twice the mean
- * @param period of a burst, swell or day
- * @param trace a file of recorded arrivals in place of the shape; null for none
- * @param retries further tries of a client after a failure
- * @param firstWait before the first further try; doubles with each
- * @param jitter share of the wait that is drawn at random
- * @param budget further tries may be this share of first tries at the most, over all clients; 1 means no
- *     bound
- * @param leave share of tries whose client goes away halfway through its patience
- * @param clients connections that stay open where there is nothing to do; 0: as many as needed
- * @param marks whether clients mark their repeats
- * @param heavy of the first dispatcher, so many times as much as of each other
- * @param peak null where there is none
+ * @param shape the shape of the rate over time
+ * @param rate mean number of first tries per second
+ * @param utilisation if over 0, the rate is computed as this share of the capacity of the fleet
+ * @param swing amplitude of the shape: 0 is constant, 1 varies from nothing to twice the mean
+ * @param period period of a burst or swell, and the time of a step
+ * @param trace file of recorded arrivals that replaces the shape; null for none
+ * @param scale factor for the number of arrivals of the trace
+ * @param splice sections of the trace to use and their new start times; empty for the whole trace
+ * @param retries maximum number of retries of a client after a failure
+ * @param initialBackoff delay before the first retry; doubles with each further one
+ * @param jitter share of the delay that is random
+ * @param retryBudget maximum ratio of retries to first tries over all clients; 1 means no limit
+ * @param honoursRetryAfter whether clients wait at least as long as {@code Retry-After} asks for
+ * @param abandonShare share of first tries whose client disconnects after half of its timeout
+ * @param clients number of connections that stay open when idle; 0: as many as needed
+ * @param marksRetries whether clients mark their retries
+ * @param firstDispatcherWeight requests to the first dispatcher relative to each other dispatcher
+ * @param peak load peak; null for none
  */
 public record Traffic(
         Shape shape,
@@ -31,16 +35,16 @@
         double scale,
         List<String> splice,
         int retries,
-        Duration firstWait,
+        Duration initialBackoff,
         double jitter,
-        double budget,
-        boolean honoursPause,
-        double leave,
+        double retryBudget,
+        boolean honoursRetryAfter,
+        double abandonShare,
         int clients,
-        boolean marks,
-        int heavy,
+        boolean marksRetries,
+        int firstDispatcherWeight,
         Peak peak) {
-    /** How the rate goes over time. */
+    /** The shape of the request rate over time. */
     public enum Shape {
         STEADY,
         BURST,
@@ -49,31 +53,32 @@
         DAY
     }
 
-    static Traffic read(Sheet sheet) {
-        if (sheet.has("rate") && sheet.has("utilisation")) {
-            throw sheet.wrong("rate", "wanted beside utilisation; give one of the two");
+    static Traffic read(TomlTable table) {
+        if (table.has("rate") && table.has("utilisation")) {
+            throw table.invalid("rate", "allowed together with utilisation; give one of the two");
         }
         return new Traffic(
-                sheet.word("shape", Shape.STEADY),
-                sheet.number("rate", 100, 0.001, 1e6),
-                sheet.number("utilisation", 0, 0.001, 10),
-                sheet.number("swing", 0.5, 0, 1),
-                sheet.span("period", Duration.ofSeconds(10)),
-                sheet.text("trace", null),
-                sheet.number("scale", 1, 0.0001, 10000),
-                sheet.texts("splice", List.of()),
-                sheet.whole("retries", 0, 0, 100),
-                sheet.span("wait", Duration.ofMillis(50)),
-                sheet.number("jitter", 0.5, 0, 1),
-                sheet.number("budget", 1, 0, 1),
-                sheet.flag("honours_pause", true),
-                sheet.number("leave", 0, 0, 1),
-                sheet.whole("clients", 0, 0, 1_000_000),
-                sheet.flag("marks", false),
-                sheet.whole("heavy", 1, 1, 100),
-                sheet.has("peak") ? Peak.read(sheet.part("peak")) : null);
+                table.enumValue("shape", Shape.STEADY),
+                table.number("rate", 100, 0.001, 1e6),
+                table.number("utilisation", 0, 0.001, 10),
+                table.number("swing", 0.5, 0, 1),
+                table.duration("period", Duration.ofSeconds(10)),
+                table.string("trace", null),
+                table.number("scale", 1, 0.0001, 10000),
+                table.strings("splice", List.of()),
+                table.integer("retries", 0, 0, 100),
+                table.duration("wait", Duration.ofMillis(50)),
+                table.number("jitter", 0.5, 0, 1),
+                table.number("budget", 1, 0, 1),
+                table.bool("honours_pause", true),
+                table.number("leave", 0, 0, 1),
+                table.integer("clients", 0, 0, 1_000_000),
+                table.bool("marks", false),
+                table.integer("heavy", 1, 1, 100),
+                table.has("peak") ? Peak.read(table.table("peak")) : null);
     }
 
+    /** Traffic with a constant rate and without retries. */
     public static Traffic steady(double rate) {
         return new Traffic(
                 Shape.STEADY,
@@ -96,7 +101,8 @@
                 null);
     }
 
-    public Traffic at(double newRate) {
+    /** A copy with a fixed rate. */
+    public Traffic withRate(double newRate) {
         return new Traffic(
                 shape,
                 newRate,
@@ -107,40 +113,42 @@
                 scale,
                 splice,
                 retries,
-                firstWait,
+                initialBackoff,
                 jitter,
-                budget,
-                honoursPause,
-                leave,
+                retryBudget,
+                honoursRetryAfter,
+                abandonShare,
                 clients,
-                marks,
-                heavy,
+                marksRetries,
+                firstDispatcherWeight,
                 peak);
     }
 
-    public Traffic shaped(Shape how, double swings, Duration each) {
+    /** A copy with another shape. */
+    public Traffic withShape(Shape newShape, double newSwing, Duration newPeriod) {
         return new Traffic(
-                how,
+                newShape,
                 rate,
                 utilisation,
-                swings,
-                each,
+                newSwing,
+                newPeriod,
                 trace,
                 scale,
                 splice,
                 retries,
-                firstWait,
+                initialBackoff,
                 jitter,
-                budget,
-                honoursPause,
-                leave,
+                retryBudget,
+                honoursRetryAfter,
+                abandonShare,
                 clients,
-                marks,
-                heavy,
+                marksRetries,
+                firstDispatcherWeight,
                 peak);
     }
 
-    public Traffic retrying(int most, Duration first, double share) {
+    /** A copy with another number of retries, initial backoff and retry budget. */
+    public Traffic withRetries(int newRetries, Duration newInitialBackoff, double newBudget) {
         return new Traffic(
                 shape,
                 rate,
@@ -150,15 +158,15 @@
                 trace,
                 scale,
                 splice,
-                most,
-                first,
+                newRetries,
+                newInitialBackoff,
                 jitter,
-                share,
-                honoursPause,
-                leave,
+                newBudget,
+                honoursRetryAfter,
+                abandonShare,
                 clients,
-                marks,
-                heavy,
+                marksRetries,
+                firstDispatcherWeight,
                 peak);
     }
 }
--- a/rig/src/main/java/saltdale/rig/standin/DispatcherConnection.java
+++ b/rig/src/main/java/saltdale/rig/standin/DispatcherConnection.java
@@ -56,9 +56,9 @@
             fleet.observer.attemptEnded(fleet.origin.now(), id, runner.number);
             runner.schedule();
             send(answer(204, "", ""));
-        } else if (path.equals("/alive") && fleet.day.orders.mayProbe) {
+        } else if (path.equals("/alive") && fleet.day.dispatcherSettings.mayProbe) {
             send(answer(200, "", ""));
-        } else if (path.equals("/metrics/load") && fleet.day.orders.mayProbe) {
+        } else if (path.equals("/metrics/load") && fleet.day.dispatcherSettings.mayProbe) {
             send(answer(200, "Content-Type: application/json\r\n", loadBody(report())));
         } else {
             send(answer(404, "", ""));
@@ -68,7 +68,7 @@
     private LoadReport report() {
         LoadReport report = runner.model.report(fleet.origin.now());
         runner.schedule();
-        fleet.watch.told(runner.number, report);
+        fleet.watch.recordReport(runner.number, report);
         return report;
     }
 
--- a/rig/src/main/java/saltdale/rig/standin/StandInFleet.java
+++ b/rig/src/main/java/saltdale/rig/standin/StandInFleet.java
@@ -16,9 +16,9 @@
 import saltdale.rig.fleet.ReceiptStore;
 import saltdale.rig.fleet.TroubleSchedule;
 import saltdale.rig.judge.EventObserver;
-import saltdale.rig.load.Watch;
-import saltdale.rig.plan.Day;
-import saltdale.rig.plan.Job;
+import saltdale.rig.load.RunnerLoadHistory;
+import saltdale.rig.plan.PlannedWorkload;
+import saltdale.rig.plan.Scenario;
 import saltdale.rig.plan.Trouble;
 import saltdale.rig.ways.LinkRelay;
 import saltdale.transport.ConnectionPool;
@@ -36,13 +36,13 @@
     private record Links(LinkRelay toRunner, LinkRelay toDispatcher, ConnectionPool callbacks) {}
 
     final LoopThread loopThread;
-    final Day day;
+    final Scenario day;
     final LoopbackAddresses addresses;
     final Origin origin;
     final EventObserver observer;
     final RunnerStateListener list;
     final TroubleSchedule troubles;
-    final Watch watch;
+    final RunnerLoadHistory watch;
     private final SplittableRandom random;
     final Map<String, Workload> workloads = new HashMap<>();
     private final List<StandInRunner> runners = new ArrayList<>();
@@ -56,7 +56,7 @@
 
     public StandInFleet(
             LoopThread loopThread,
-            Day day,
+            Scenario day,
             LoopbackAddresses addresses,
             Origin origin,
             EventObserver observer,
@@ -70,19 +70,19 @@
         this.observer = observer;
         this.list = list;
         this.troubles = new TroubleSchedule(day.troubles);
-        this.watch = new Watch(day.runners);
+        this.watch = new RunnerLoadHistory(day.runnerCount);
         this.random = new SplittableRandom(seed);
-        for (Job job : day.jobs) {
+        for (PlannedWorkload job : day.workloads) {
             workloads.put(job.name(), job.workload());
         }
-        for (int j = 0; j < day.dispatchers; j++) {
+        for (int j = 0; j < day.dispatcherCount; j++) {
             callbackPools.add(pool(addresses.dispatcher(j)));
         }
-        for (int i = 0; i < day.runners; i++) {
-            for (int j = 0; j < day.dispatchers; j++) {
+        for (int i = 0; i < day.runnerCount; i++) {
+            for (int j = 0; j < day.dispatcherCount; j++) {
                 int runner = i;
                 int dispatcher = j;
-                if (day.troubles.stream().anyMatch(t -> t.befalls(runner, dispatcher))) {
+                if (day.troubles.stream().anyMatch(t -> t.affectsPath(runner, dispatcher))) {
                     links.put(
                             new Pair(i, j),
                             new Links(
@@ -103,7 +103,7 @@
             }
         }
         List<ReceiptStore.ByScope> receipts = ReceiptStore.of(day);
-        for (int i = 0; i < day.runners; i++) {
+        for (int i = 0; i < day.runnerCount; i++) {
             runners.add(new StandInRunner(this, i, receipts.get(i), random.split()));
         }
     }
@@ -153,7 +153,7 @@
     }
 
     /** The samples of the runners' load. */
-    public Watch watch() {
+    public RunnerLoadHistory watch() {
         return watch;
     }
 
@@ -175,8 +175,8 @@
 
     /** Notifies the observer of pairs whose traffic a link or a zone cut begins or ceases to delay. */
     private void notifyDisturbances() {
-        for (int runner = 0; runner < day.runners; runner++) {
-            for (int dispatcher = 0; dispatcher < day.dispatchers; dispatcher++) {
+        for (int runner = 0; runner < day.runnerCount; runner++) {
+            for (int dispatcher = 0; dispatcher < day.dispatcherCount; dispatcher++) {
                 Pair pair = new Pair(runner, dispatcher);
                 Links pairLinks = links.get(pair);
                 boolean clear = !isCut(runner, dispatcher)
@@ -213,7 +213,7 @@
             case CHANGE_LINK -> {
                 links.forEach((pair, pairLinks) -> updateRelays(pair, pairLinks, scheduled.at()));
                 notifyDisturbances();
-                for (int j = 0; j < day.dispatchers; j++) {
+                for (int j = 0; j < day.dispatcherCount; j++) {
                     list.linkChanged(j, troubles.listLinkCondition(j, scheduled.at()));
                 }
             }
--- a/rig/src/main/java/saltdale/rig/standin/StandInRunner.java
+++ b/rig/src/main/java/saltdale/rig/standin/StandInRunner.java
@@ -34,14 +34,14 @@
         this.fleet = fleet;
         this.number = number;
         model = new RunnerModel(
-                fleet.day.make(number),
+                fleet.day.runnerType(number),
                 receipts,
-                fleet.day.orders.coldLimitMultiple,
-                fleet.day.orders.coldLimitWindow,
-                fleet.day.meanSize(),
+                fleet.day.dispatcherSettings.coldLimitMultiple,
+                fleet.day.dispatcherSettings.coldLimitWindow,
+                fleet.day.meanWorkSeconds(),
                 random,
                 this);
-        for (int j = 0; j < fleet.day.dispatchers; j++) {
+        for (int j = 0; j < fleet.day.dispatcherCount; j++) {
             endpoints.add(new RunnerEndpoint(this, j));
         }
     }
@@ -81,7 +81,7 @@
             case CRASH -> {
                 endpoints.forEach(RunnerEndpoint::close);
                 model.stop(now);
-                scheduleListUpdate(ListedHealth.GONE, fleet.day.silentNotice);
+                scheduleListUpdate(ListedHealth.GONE, fleet.day.crashNoticeDelay);
             }
             case VANISH -> {
                 silent = true;
@@ -89,23 +89,23 @@
                 updateEndpoints();
                 reports.clear();
                 model.stop(now);
-                scheduleListUpdate(ListedHealth.GONE, fleet.day.silentNotice);
+                scheduleListUpdate(ListedHealth.GONE, fleet.day.crashNoticeDelay);
             }
             case DRAIN, HAND_BACK -> {
                 model.drain(now, action == Action.HAND_BACK);
-                scheduleListUpdate(ListedHealth.DRAINING, fleet.day.notice);
+                scheduleListUpdate(ListedHealth.DRAINING, fleet.day.listUpdateDelay);
             }
             case REMOVE -> {
                 endpoints.forEach(RunnerEndpoint::close);
                 model.stop(now);
-                scheduleListUpdate(ListedHealth.GONE, fleet.day.notice);
+                scheduleListUpdate(ListedHealth.GONE, fleet.day.listUpdateDelay);
             }
             case START -> {
                 silent = false;
                 model.start(now);
                 fleet.observer.runnerStarted(now, number, model.make);
                 endpoints.forEach(RunnerEndpoint::restart);
-                scheduleListUpdate(ListedHealth.UP, fleet.day.notice);
+                scheduleListUpdate(ListedHealth.UP, fleet.day.listUpdateDelay);
             }
             default -> {}
         }
@@ -136,7 +136,7 @@
 
     @Override
     public void started(Duration at, RunnerJob job) {
-        if (fleet.day.orders.reportsStart) {
+        if (fleet.day.dispatcherSettings.reportsStart) {
             reportsOf(job).add("started", -1, null);
         }
     }
--- a/tools/src/main/java/saltdale/tools/StandIn.java
+++ b/tools/src/main/java/saltdale/tools/StandIn.java
@@ -12,7 +12,7 @@
 import saltdale.rig.fleet.LinkCondition;
 import saltdale.rig.fleet.TroubleSchedule;
 import saltdale.rig.judge.EventObserver;
-import saltdale.rig.plan.Day;
+import saltdale.rig.plan.Scenario;
 import saltdale.rig.standin.LoopThread;
 import saltdale.rig.standin.LoopbackAddresses;
 import saltdale.rig.standin.Origin;
@@ -55,7 +55,7 @@
 
     @Override
     public Integer call() throws Exception {
-        Day day = Day.read(file);
+        Scenario day = Scenario.read(file);
         Duration duration = StandInNodes.span("--for", length);
         Origin origin = new Origin();
         LoopbackAddresses addresses = new LoopbackAddresses(port);
@@ -76,7 +76,7 @@
                     scheduleListChanges(loopThread, day, origin, list);
                 }
             });
-            for (int i = 0; i < day.dispatchers; i++) {
+            for (int i = 0; i < day.dispatcherCount; i++) {
                 Path config = out.resolve("config-" + i + ".json");
                 Files.writeString(config, DispatcherProcesses.configuration(day, i));
                 System.out.println("EDGE_NAME=d" + i + " EDGE_LISTEN=" + LoopbackAddresses.text(addresses.dispatcher(i))
@@ -91,7 +91,7 @@
     }
 
     /** Without runners in this process, applies the changes of the day's troubles directly to the list. */
-    private static void scheduleListChanges(LoopThread loopThread, Day day, Origin origin, RunnerStateListener list) {
+    private static void scheduleListChanges(LoopThread loopThread, Scenario day, Origin origin, RunnerStateListener list) {
         for (TroubleSchedule.ScheduledAction scheduled : new TroubleSchedule(day.troubles).scheduledActions()) {
             boolean noticedLate = scheduled.action() == TroubleSchedule.Action.CRASH
                     || scheduled.action() == TroubleSchedule.Action.VANISH;
@@ -108,7 +108,7 @@
                         () -> list.setSilent(scheduled.action() == TroubleSchedule.Action.SILENCE_LIST));
             } else if (health != null) {
                 loopThread.loop.schedule(
-                        scheduled.at().plus(noticedLate ? day.silentNotice : day.notice),
+                        scheduled.at().plus(noticedLate ? day.crashNoticeDelay : day.listUpdateDelay),
                         () -> scheduled
                                 .trouble()
                                 .runners()
