--- a/proxy/src/test/java/saltdale/proxy/AgreementTest.java
+++ b/proxy/src/test/java/saltdale/proxy/AgreementTest.java
@@ -288,12 +288,12 @@
         final Map<Long, String> acked = new LinkedHashMap<>(); // by revision
         final Map<Long, Long> builtOn = new HashMap<>();
         final Map<Long, String> read = new HashMap<>();
-        final SimTroubles troubles;
+        final SimFaultInjector faults;
         boolean over;
 
         Schedule(long seed, int controlNodes, int wipes) {
             world = new SimWorld(seed).withNodes(controlNodes, 0).startAll();
-            troubles = new SimTroubles(world, wipes);
+            faults = new SimFaultInjector(world, wipes);
         }
 
         long newest() {
@@ -329,15 +329,15 @@
             }
             world.run(1500);
             for (int i = 0; i < 4; i++) {
-                schedule.troubles.strike();
+                schedule.faults.injectFault();
                 world.run(world.random.nextInt(400));
-                schedule.troubles.strike();
+                schedule.faults.injectFault();
                 world.run(world.random.nextInt(1500));
-                schedule.troubles.heal();
+                schedule.faults.repairAll();
                 world.run(world.random.nextInt(2000));
             }
             schedule.over = true;
-            schedule.troubles.heal();
+            schedule.faults.repairAll();
             world.run(5000);
             String last = read(world, world.controlNodes.get(seed % controlNodes));
             assertThat("seed " + seed, last, is(not(nullValue())));
--- a/proxy/src/test/java/saltdale/proxy/ConfigurationOrdersTest.java
+++ b/proxy/src/test/java/saltdale/proxy/ConfigurationOrdersTest.java
@@ -24,11 +24,11 @@
 import saltdale.control.message.Message;
 
 /**
- * Operators' orders: one is taken on each base, whoever sends it, and one that was taken is acknowledged again or left
- * without a clear answer, never refused.
+ * Concurrent configuration orders: at most one is applied on each base, whichever operator sends it, and an applied
+ * order that is resent is acknowledged again or gets no conclusive response; it is never refused.
  */
 class ConfigurationOrdersTest {
-    private static final int OPERATORS = 8; // that many orders may be under way at once
+    private static final int OPERATOR_COUNT = 8; // the number of orders that may be in progress at once
 
     private static SimWorld world(long seed, int controlNodes, SimWorld.ControlNodeFactory factory) {
         SimWorld world = new SimWorld(seed);
@@ -36,115 +36,117 @@
         return world.withNodes(controlNodes, 0).startAll();
     }
 
-    /** Eight operators and troubles of all kinds; gives the model that judged them. */
-    private static OrdersModel day(SimWorld world, int wipes) {
+    /** Runs all operators under faults of all kinds; returns the model that checked their orders. */
+    private static OrdersModel runOperatorsUnderFaults(SimWorld world, int simultaneousDiskLosses) {
         OrdersModel model = new OrdersModel(world);
-        SimTroubles troubles = new SimTroubles(world, wipes);
-        List<OrderingOperator> operators = IntStream.range(0, OPERATORS)
+        SimFaultInjector faults = new SimFaultInjector(world, simultaneousDiskLosses);
+        List<OrderingOperator> operators = IntStream.range(0, OPERATOR_COUNT)
                 .mapToObj(i -> new OrderingOperator(world, model, i))
                 .toList();
-        operators.forEach(OrderingOperator::next);
+        operators.forEach(OrderingOperator::scheduleNextStep);
         world.run(2500);
         for (int i = 0; i < 4; i++) {
-            troubles.strike();
+            faults.injectFault();
             world.run(world.random.nextInt(400));
-            troubles.strike();
+            faults.injectFault();
             world.run(world.random.nextInt(2500));
-            troubles.heal();
+            faults.repairAll();
             world.run(world.random.nextInt(2000));
         }
         world.run(4000);
-        operators.forEach(OrderingOperator::over);
+        operators.forEach(OrderingOperator::stop);
         world.run(4000);
-        model.over();
+        model.checkFinalState();
         return model;
     }
 
     @ParameterizedTest
     @CsvSource({"3,1,0,40", "5,2,1000,16"})
-    void oneOrderIsTakenOnEachBaseAndNoneThatWasTakenIsRefused(int controlNodes, int wipes, int from, int seeds) {
-        int clear = 0;
+    void appliesOneOrderPerBaseAndRefusesNoAppliedOrder(
+            int controlNodes, int simultaneousDiskLosses, int from, int seeds) {
+        int conclusive = 0;
         for (int seed = from; seed < from + seeds; seed++) {
             SimWorld world = world(seed, controlNodes, ControlNode::new);
-            clear += day(world, wipes).clearAnswers;
+            conclusive += runOperatorsUnderFaults(world, simultaneousDiskLosses).conclusiveResponses;
             assertThat("seed " + seed, world.violations, is(empty()));
         }
-        assertThat("enough was answered to tell", clear, greaterThan(20 * seeds));
+        assertThat("number of conclusive responses", conclusive, greaterThan(20 * seeds));
     }
 
     @ParameterizedTest
     @EnumSource(
             value = FaultyOrderHandling.class,
             names = {"ACKNOWLEDGES_BEFORE_CHOSEN", "REFUSES_BEFORE_CHOSEN", "CHECKS_CONTENT_FIRST"})
-    void theModelFindsWrongVariants(FaultyOrderHandling wrong) {
+    void modelDetectsFaultyOrderHandling(FaultyOrderHandling faulty) {
         List<String> found = new ArrayList<>();
-        String fault = faultOf(wrong);
-        for (int seed = 0; seed < 30 && found.stream().noneMatch(each -> each.contains(fault)); seed++) {
-            SimWorld world = world(seed, 3, wrong::node);
-            day(world, 1);
+        String fault = violationCausedBy(faulty);
+        for (int seed = 0; seed < 30 && found.stream().noneMatch(violation -> violation.contains(fault)); seed++) {
+            SimWorld world = world(seed, 3, faulty::node);
+            runOperatorsUnderFaults(world, 1);
             found.addAll(world.violations);
         }
         assertThat(found, hasItem(containsString(fault)));
     }
 
-    private static String faultOf(FaultyOrderHandling wrong) {
-        return switch (wrong) {
-            case ACKNOWLEDGES_BEFORE_CHOSEN -> "acknowledged and not chosen";
+    private static String violationCausedBy(FaultyOrderHandling faulty) {
+        return switch (faulty) {
+            case ACKNOWLEDGES_BEFORE_CHOSEN -> "acknowledged but not chosen";
             case REFUSES_BEFORE_CHOSEN -> "refused with 412 on top of the newest revision";
-            case CHECKS_CONTENT_FIRST -> "refused with 400 though it was taken";
-            case FORGETS_AFTER_64 -> "refused with 412 though it was taken";
+            case CHECKS_CONTENT_FIRST -> "refused with 400 although it was applied";
+            case FORGETS_AFTER_64 -> "refused with 412 although it was applied";
         };
     }
 
-    /** What befalls the control node that runs the ballot. */
-    private enum Blow {
-        STANDS_STILL,
+    /** A fault of the control node that runs the ballot. */
+    private enum ControlNodeFault {
+        FREEZES,
         KILLED,
         LOSES_POWER,
-        CUT_OFF,
+        IS_ISOLATED,
         ALL_LOSE_POWER;
 
-        void strike(SimWorld world, SimMachine at) {
+        void inject(SimWorld world, SimMachine at) {
             switch (this) {
-                case STANDS_STILL -> at.freeze();
+                case FREEZES -> at.freeze();
                 case KILLED -> at.kill();
                 case LOSES_POWER -> at.powerOff();
-                case CUT_OFF -> world.isolate(at);
+                case IS_ISOLATED -> world.isolate(at);
                 case ALL_LOSE_POWER -> world.controlNodes.forEach(SimMachine::powerOff);
             }
         }
     }
 
-    /** Strikes when this message of a ballot is sent, the first being 1. */
-    private static void strikeAt(SimWorld world, SimMachine at, Blow blow, int message) {
+    /** Injects the fault when the given message of a ballot is sent, counted from 1. */
+    private static void injectAtMessage(SimWorld world, SimMachine at, ControlNodeFault fault, int message) {
         Consumer<Message> model = world.messageObserver;
-        int[] seen = new int[1];
+        int[] ballotMessages = new int[1];
         world.messageObserver = sent -> {
             model.accept(sent);
-            if (sent instanceof BallotMessage && ++seen[0] == message) {
-                world.schedule(0, () -> blow.strike(world, at));
+            if (sent instanceof BallotMessage && ++ballotMessages[0] == message) {
+                world.schedule(0, () -> fault.inject(world, at));
             }
         };
     }
 
-    private static void send(OrdersModel model, SimMachine at, OrdersModel.Order order, List<Integer> clear) {
+    private static void send(OrdersModel model, SimMachine at, OrdersModel.Order order, List<Integer> conclusive) {
         if (at.process != null) {
             SimOperator.replace(at, order.base(), order.body(), reply -> {
-                model.answered(order, reply.status());
+                model.recordResponse(order, reply.status());
                 if (reply.status() != 503) {
-                    clear.add(reply.status());
+                    conclusive.add(reply.status());
                 }
             });
         }
     }
 
     /**
-     * One operator's control node is struck at each message of the ballot in turn; after a second of silence the
-     * operator goes on to another, while a second operator sends an order of the same number to the third.
+     * The control node of one operator fails at each message of the ballot in turn. After one second without a
+     * response the operator retries at another control node, while a second operator sends an order with the same
+     * revision to the third.
      */
     @ParameterizedTest
-    @EnumSource(Blow.class)
-    void anOrderCutShortAtAnyMessageIsSentAgainElsewhere(Blow blow) {
+    @EnumSource(ControlNodeFault.class)
+    void orderInterruptedAtAnyMessageCanBeRetriedElsewhere(ControlNodeFault fault) {
         for (int message = 1; message <= 14; message++) {
             for (int seed = 0; seed < 3; seed++) {
                 SimWorld world = world(100 * message + seed, 3, ControlNode::new);
@@ -152,41 +154,42 @@
                 world.run(2500);
                 assertTrue(SimOperator.replaceUntilAcknowledged(world, 0, SimOperator.config(1), 5000));
                 List<SimMachine> nodes = world.controlNodes;
-                OrdersModel.Order one = OrdersModel.Order.replace(1, 3, 0);
-                OrdersModel.Order other = seed == 0 ? one : OrdersModel.Order.replace(1, 3, 1);
-                strikeAt(world, nodes.get(0), blow, message);
-                List<Integer> toOne = new ArrayList<>();
-                List<Integer> toOther = new ArrayList<>();
-                send(model, nodes.get(0), one, toOne);
+                OrdersModel.Order first = OrdersModel.Order.replace(1, 3, 0);
+                OrdersModel.Order second = seed == 0 ? first : OrdersModel.Order.replace(1, 3, 1);
+                injectAtMessage(world, nodes.get(0), fault, message);
+                List<Integer> firstStatuses = new ArrayList<>();
+                List<Integer> secondStatuses = new ArrayList<>();
+                send(model, nodes.get(0), first, firstStatuses);
                 world.schedule(
-                        world.random.nextInt(1500) * 1_000_000L, () -> send(model, nodes.get(2), other, toOther));
+                        world.random.nextInt(1500) * 1_000_000L,
+                        () -> send(model, nodes.get(2), second, secondStatuses));
                 world.run(1000);
-                send(model, nodes.get(1), one, toOne);
+                send(model, nodes.get(1), first, firstStatuses);
                 world.run(3000);
-                new SimTroubles(world, 0).heal();
+                new SimFaultInjector(world, 0).repairAll();
                 world.run(3000);
-                for (SimMachine each : nodes) {
-                    send(model, each, one, toOne);
-                    send(model, each, other, toOther);
+                for (SimMachine controlNode : nodes) {
+                    send(model, controlNode, first, firstStatuses);
+                    send(model, controlNode, second, secondStatuses);
                 }
                 world.run(3000);
-                model.over();
-                String what = blow + " at message " + message + " seed " + seed;
-                assertThat(what, world.violations, is(empty()));
-                assertThat(what, toOne.contains(200) || toOther.contains(200), is(true));
-                assertThat(what, toOne.isEmpty() || toOther.isEmpty(), is(false));
+                model.checkFinalState();
+                String context = fault + " at message " + message + " seed " + seed;
+                assertThat(context, world.violations, is(empty()));
+                assertThat(context, firstStatuses.contains(200) || secondStatuses.contains(200), is(true));
+                assertThat(context, firstStatuses.isEmpty() || secondStatuses.isEmpty(), is(false));
             }
         }
     }
 
     /**
-     * A lost disk brings a change of voters. While it is under way, or right after, one operator's control node is
-     * struck in the middle of an order, and another order of the same number comes to a third one.
+     * The loss of a disk causes a change of voters. During this change, or right after it, the control node of one
+     * operator fails in the middle of an order, and another order with the same revision reaches a third control node.
      */
     @ParameterizedTest
     @CsvSource({"3,false", "3,true", "5,false", "5,true"})
-    void oneOrderIsTakenWhileVotersChange(int controlNodes, boolean atAnotherAddress) {
-        int joint = 0;
+    void appliesOneOrderWhileVotersChange(int controlNodes, boolean atAnotherAddress) {
+        int runsWithJointVoters = 0;
         for (int seed = 0; seed < 20; seed++) {
             SimWorld world = world(seed, controlNodes, ControlNode::new);
             OrdersModel model = new OrdersModel(world);
@@ -201,33 +204,34 @@
                 lost.start();
             }
             world.runUntil(6000, world::isJoint);
-            joint += world.isJoint() ? 1 : 0;
+            runsWithJointVoters += world.isJoint() ? 1 : 0;
             world.run(world.random.nextInt(12));
-            OrdersModel.Order one = OrdersModel.Order.replace(1, 3, 0);
-            OrdersModel.Order other = seed % 4 == 0 ? one : OrdersModel.Order.replace(1, 3, 1);
-            List<Integer> toOne = new ArrayList<>();
-            List<Integer> toOther = new ArrayList<>();
-            send(model, nodes.get(0), one, toOne);
+            OrdersModel.Order first = OrdersModel.Order.replace(1, 3, 0);
+            OrdersModel.Order second = seed % 4 == 0 ? first : OrdersModel.Order.replace(1, 3, 1);
+            List<Integer> firstStatuses = new ArrayList<>();
+            List<Integer> secondStatuses = new ArrayList<>();
+            send(model, nodes.get(0), first, firstStatuses);
             world.run(world.random.nextInt(40));
-            Blow.values()[seed % Blow.values().length].strike(world, nodes.get(0));
-            world.schedule(world.random.nextInt(1500) * 1_000_000L, () -> send(model, nodes.get(2), other, toOther));
+            ControlNodeFault.values()[seed % ControlNodeFault.values().length].inject(world, nodes.get(0));
+            world.schedule(
+                    world.random.nextInt(1500) * 1_000_000L, () -> send(model, nodes.get(2), second, secondStatuses));
             world.run(1000);
-            send(model, nodes.get(nodes.size() - 1), one, toOne);
+            send(model, nodes.get(nodes.size() - 1), first, firstStatuses);
             world.run(3000);
-            new SimTroubles(world, 0).heal();
+            new SimFaultInjector(world, 0).repairAll();
             world.run(4000);
-            nodes.forEach(each -> send(model, each, one, toOne));
-            nodes.forEach(each -> send(model, each, other, toOther));
+            nodes.forEach(controlNode -> send(model, controlNode, first, firstStatuses));
+            nodes.forEach(controlNode -> send(model, controlNode, second, secondStatuses));
             world.run(3000);
-            model.over();
+            model.checkFinalState();
             assertThat("seed " + seed, world.violations, is(empty()));
-            assertThat("seed " + seed, toOne.contains(200) || toOther.contains(200), is(true));
+            assertThat("seed " + seed, firstStatuses.contains(200) || secondStatuses.contains(200), is(true));
         }
-        assertThat("the change of voters was met", joint, greaterThan(15));
+        assertThat("runs in which the change of voters was observed", runsWithJointVoters, greaterThan(15));
     }
 
-    /** Orders of a long day, numbered one by one; the oldest ones were sent when it began. */
-    private static List<OrdersModel.Order> longDay(SimWorld world, OrdersModel model, int changes) {
+    /** Applies {@code changes} orders with consecutive revisions, restarts all control nodes and returns the orders. */
+    private static List<OrdersModel.Order> applyOrdersAndRestart(SimWorld world, OrdersModel model, int changes) {
         List<OrdersModel.Order> orders = new ArrayList<>();
         world.run(2500);
         for (int i = 0; i < changes; i++) {
@@ -235,7 +239,7 @@
             orders.add(order);
             SimMachine at = world.controlNodes.get(i % 3);
             assertThat(SimOperator.replace(world, at, order.base(), order.body()), is(200));
-            model.answered(order, 200);
+            model.recordResponse(order, 200);
         }
         world.controlNodes.forEach(SimMachine::powerOff);
         world.controlNodes.forEach(SimMachine::start);
@@ -243,37 +247,37 @@
         return orders;
     }
 
-    private static int sendsAgain(SimWorld world, OrdersModel model, OrdersModel.Order order) {
+    private static int resend(SimWorld world, OrdersModel model, OrdersModel.Order order) {
         SimMachine at = world.controlNodes.get(world.random.nextInt(3));
         int status = SimOperator.replace(world, at, order.base(), order.body());
-        model.answered(order, status);
+        model.recordResponse(order, status);
         return status;
     }
 
     @Test
-    void anOrderTakenHundredsOfChangesAgoIsAcknowledgedAgainOrGetsNoClearAnswer() {
+    void resentOldOrderIsAcknowledgedAgainOrGetsNoConclusiveResponse() {
         SimWorld world = world(1, 3, ControlNode::new);
         OrdersModel model = new OrdersModel(world);
         int changes = 600;
         int remembered = 512;
-        List<OrdersModel.Order> orders = longDay(world, model, changes);
+        List<OrdersModel.Order> orders = applyOrdersAndRestart(world, model, changes);
         for (int ago : new int[] {1, 2, 63, 64, 65, 200, 511, 512, 513, 514, 600}) {
-            String what = ago + " changes ago";
-            OrdersModel.Order taken = orders.get(changes - ago);
-            assertThat(what, sendsAgain(world, model, taken), is(ago <= remembered ? 200 : 503));
-            OrdersModel.Order lost = OrdersModel.Order.replace(taken.base(), changes + 1, 1);
-            assertThat(what, sendsAgain(world, model, lost), is(ago <= remembered ? 412 : 503));
+            String context = ago + " changes ago";
+            OrdersModel.Order applied = orders.get(changes - ago);
+            assertThat(context, resend(world, model, applied), is(ago <= remembered ? 200 : 503));
+            OrdersModel.Order lost = OrdersModel.Order.replace(applied.base(), changes + 1, 1);
+            assertThat(context, resend(world, model, lost), is(ago <= remembered ? 412 : 503));
         }
         OrdersModel.Order ahead = OrdersModel.Order.replace(changes + 1, changes + 2, 0);
-        assertThat("on a base that is not there yet", sendsAgain(world, model, ahead), is(412));
-        model.over();
+        assertThat("order on a base that does not exist yet", resend(world, model, ahead), is(412));
+        model.checkFinalState();
         assertThat(world.violations, is(empty()));
-        // A digest of six bytes, and one for the step to the next revision.
+        // Each entry has a digest of six bytes and one byte for the step to the next revision.
         assertThat(RememberedOrders.bytes(world.newestChosen), is(7 * remembered));
     }
 
     @Test
-    void revisionsMayBeTimesInNanoseconds() {
+    void acceptsTimestampsInNanosecondsAsRevisions() {
         SimWorld world = world(1, 3, ControlNode::new);
         OrdersModel model = new OrdersModel(world);
         world.run(2500);
@@ -281,31 +285,31 @@
         for (int i = 0; i < 5; i++) {
             long revision = 1_790_000_000_000_000_001L + i * 333_333_333L;
             OrdersModel.Order order = OrdersModel.Order.replace(base, revision, 0);
-            assertThat(sendsAgain(world, model, order), is(200));
-            assertThat(sendsAgain(world, model, order), is(200));
+            assertThat(resend(world, model, order), is(200));
+            assertThat(resend(world, model, order), is(200));
             base = revision;
         }
-        model.over();
+        model.checkFinalState();
         assertThat(world.violations, is(empty()));
     }
 
     @Test
-    void theModelFindsAMemoryOf64Orders() {
+    void modelDetectsThatOnly64OrdersAreRemembered() {
         SimWorld world = world(1, 3, FaultyOrderHandling.FORGETS_AFTER_64::node);
         OrdersModel model = new OrdersModel(world);
-        List<OrdersModel.Order> orders = longDay(world, model, 100);
-        sendsAgain(world, model, orders.get(10));
-        assertThat(world.violations, hasItem(containsString(faultOf(FaultyOrderHandling.FORGETS_AFTER_64))));
+        List<OrdersModel.Order> orders = applyOrdersAndRestart(world, model, 100);
+        resend(world, model, orders.get(10));
+        assertThat(world.violations, hasItem(containsString(violationCausedBy(FaultyOrderHandling.FORGETS_AFTER_64))));
     }
 
-    /** One control node is down, loses its disk, comes back, and gives its place to another machine for good. */
+    /** One control node is down, loses its disk, returns, and is later replaced permanently by another machine. */
     @Test
-    void thousandsOfChangesDoNotMakeTheRecordsGrow() {
+    void recordSizeStaysBoundedOverManyChanges() {
         SimWorld world = world(3, 3, ControlNode::new);
         world.run(2500);
         SimMachine third = world.controlNodes.get(2);
-        int text = SimOperator.config(9999, 5).length();
-        int most = 0;
+        int configurationLength = SimOperator.config(9999, 5).length();
+        int maxRecordBytes = 0;
         for (int i = 0; i < 1500; i++) {
             if (i == 300) {
                 third.powerOff();
@@ -322,21 +326,24 @@
                     "change " + i,
                     status == 200
                             || SimOperator.replaceUntilAcknowledged(world, i, SimOperator.config(i + 1, 5), 9000));
-            for (SimMachine each : world.controlNodes) {
-                most = Math.max(most, recordBytes(each));
+            for (SimMachine controlNode : world.controlNodes) {
+                maxRecordBytes = Math.max(maxRecordBytes, recordBytes(controlNode));
             }
         }
         world.run(3000);
         assertThat(
-                "the new one votes",
+                "the replacement is a voter",
                 world.voters(),
                 hasItem(world.controlNodes.get(3).id()));
-        assertThat("one text, one state", most, lessThanOrEqualTo(text + 7 * 512 + 1500));
+        assertThat(
+                "records hold one configuration text and one state",
+                maxRecordBytes,
+                lessThanOrEqualTo(configurationLength + 7 * 512 + 1500));
         assertThat(world.violations, is(empty()));
     }
 
-    private static int recordBytes(SimMachine of) {
-        return of.synced.entrySet().stream()
+    private static int recordBytes(SimMachine machine) {
+        return machine.synced.entrySet().stream()
                 .mapToInt(record -> record.getKey().length() + record.getValue().length)
                 .sum();
     }
--- a/proxy/src/test/java/saltdale/proxy/Slopes.java
+++ b/proxy/src/test/java/saltdale/proxy/ControlMessageSizes.java
@@ -7,15 +7,18 @@
 import saltdale.control.message.MessageCodec;
 import saltdale.control.message.MessageKind;
 
-/** Not a test: measures the control messages of a simulated cluster by size, for docs/CAPACITY.md. */
-final class Slopes {
-    private static final int SECONDS = 10;
+/**
+ * Measures how the traffic of control messages grows with the size of a simulated cluster, for docs/CAPACITY.md. This
+ * is a program, not a test.
+ */
+final class ControlMessageSizes {
+    private static final int MEASUREMENT_SECONDS = 10;
 
-    private Slopes() {}
+    private ControlMessageSizes() {}
 
     public static void main(String[] args) {
         System.out.println(
-                "proxies functions | a second in all, messages/bytes by kind | bytes of one configuration change");
+                "proxies functions | messages/bytes per second in total, by kind | bytes of one configuration change");
         for (int[] size : new int[][] {{10, 20}, {30, 20}, {90, 20}, {270, 20}, {30, 100}, {30, 300}, {30, 700}}) {
             measure(size[0], size[1]);
         }
@@ -45,11 +48,13 @@
                         + String.join(",", services) + "]}",
                 8000);
         world.run(1500);
-        long change = sent.values().stream().mapToLong(c -> c[1]).sum();
+        long configurationChangeBytes =
+                sent.values().stream().mapToLong(c -> c[1]).sum();
         sent.clear();
-        // One call a second at each proxy, whatever their number.
-        SimOperator.load(world, proxies, SECONDS * 1000, () -> "/f" + world.random.nextInt(functions) + "/1");
-        world.run(SECONDS * 1000);
+        // One call per second at each proxy, independent of the number of proxies.
+        SimOperator.load(
+                world, proxies, MEASUREMENT_SECONDS * 1000, () -> "/f" + world.random.nextInt(functions) + "/1");
+        world.run(MEASUREMENT_SECONDS * 1000);
         StringBuilder line = new StringBuilder(proxies + " " + functions + " |");
         long messages = 0;
         long bytes = 0;
@@ -57,12 +62,13 @@
             line.append(' ')
                     .append(kind.getKey())
                     .append(' ')
-                    .append(kind.getValue()[0] / SECONDS)
+                    .append(kind.getValue()[0] / MEASUREMENT_SECONDS)
                     .append('/')
-                    .append(kind.getValue()[1] / SECONDS);
+                    .append(kind.getValue()[1] / MEASUREMENT_SECONDS);
             messages += kind.getValue()[0];
             bytes += kind.getValue()[1];
         }
-        System.out.println(line + " | all " + messages / SECONDS + "/" + bytes / SECONDS + " | " + change);
+        System.out.println(line + " | all " + messages / MEASUREMENT_SECONDS + "/" + bytes / MEASUREMENT_SECONDS + " | "
+                + configurationChangeBytes);
     }
 }
--- a/proxy/src/test/java/saltdale/proxy/OrderingOperator.java
+++ b/proxy/src/test/java/saltdale/proxy/OrderingOperator.java
@@ -5,19 +5,20 @@
 import java.util.List;
 
 /**
- * One operator among several. It builds on the newest revision that it read, goes on to another control node after a
- * second of silence, loses some answers, and sends orders again that were acknowledged long before.
+ * A simulated operator that changes the configuration concurrently with others. It bases each order on the newest
+ * revision that it read, retries at another control node after one second without a response, loses some responses, and
+ * resends some orders that were answered long before.
  */
 final class OrderingOperator {
-    private static final long SILENCE = 1_000_000_000;
+    private static final long RESPONSE_TIMEOUT_NANOS = 1_000_000_000;
 
     private final SimWorld world;
     private final OrdersModel model;
     private final int number;
-    private final List<OrdersModel.Order> done = new ArrayList<>(); // with a clear answer that came
+    private final List<OrdersModel.Order> answered = new ArrayList<>(); // those with a received response other than 503
     private OrdersModel.Order order;
-    private int turn; // counts steps, so that a late answer does not begin another
-    private boolean over;
+    private int currentStep; // number of the current step; a late response to an earlier step starts no new one
+    private boolean stopped;
 
     OrderingOperator(SimWorld world, OrdersModel model, int number) {
         this.world = world;
@@ -25,50 +26,52 @@
         this.number = number;
     }
 
-    void over() {
-        over = true;
+    /** Stops the operator: it begins no further step. */
+    void stop() {
+        stopped = true;
     }
 
-    void next() {
-        int mine = ++turn;
+    /** Begins the next step after a random delay, at a random control node. */
+    void scheduleNextStep() {
+        int step = ++currentStep;
         world.schedule(world.random.nextInt(250) * 1_000_000L, () -> {
-            SimMachine at = world.controlNodes.get(world.random.nextInt(world.controlNodes.size()));
-            if (over || mine != turn) {
+            SimMachine controlNode = world.controlNodes.get(world.random.nextInt(world.controlNodes.size()));
+            if (stopped || step != currentStep) {
                 return;
-            } else if (at.process == null) {
-                next();
+            } else if (controlNode.process == null) {
+                scheduleNextStep();
                 return;
             }
-            world.schedule(SILENCE, () -> goOn(mine));
-            if (order == null && !done.isEmpty() && world.random.nextInt(4) == 0) {
-                order = done.get(world.random.nextInt(done.size()));
+            world.schedule(RESPONSE_TIMEOUT_NANOS, () -> finishStep(step));
+            if (order == null && !answered.isEmpty() && world.random.nextInt(4) == 0) {
+                order = answered.get(world.random.nextInt(answered.size()));
             }
             if (order == null) {
-                look(at, mine);
+                readAndDraw(controlNode, step);
             } else {
-                send(at, mine);
+                send(controlNode, step);
             }
         });
     }
 
-    private void goOn(int of) {
-        if (of == turn) {
-            next();
+    private void finishStep(int step) {
+        if (step == currentStep) {
+            scheduleNextStep();
         }
     }
 
-    private void look(SimMachine at, int mine) {
-        at.process.deliver(() -> at.controlNode().readConfiguration(reply -> {
-            if (reply.status() == 200 && mine == turn) {
-                order = draw(AgreementTest.revision(new String(reply.body(), StandardCharsets.UTF_8)));
+    private void readAndDraw(SimMachine controlNode, int step) {
+        controlNode.process.deliver(() -> controlNode.controlNode().readConfiguration(reply -> {
+            if (reply.status() == 200 && step == currentStep) {
+                order = drawOrder(AgreementTest.revision(new String(reply.body(), StandardCharsets.UTF_8)));
             }
-            goOn(mine);
+            finishStep(step);
         }));
     }
 
-    /** Pairs of operators send equal bodies at times, and all pick the same numbers at times. */
-    private OrdersModel.Order draw(long base) {
-        // An order whose revision does not rise is invalid.
+    /** Draws a new order; pairs of operators sometimes send equal bodies, and all sometimes choose equal revisions. */
+    private OrdersModel.Order drawOrder(long base) {
+        // An order whose revision is not greater than its base is invalid.
         long revision = base > 0 && world.random.nextInt(16) == 0 ? base : base + 1 + world.random.nextInt(2);
         if (base > 0 && world.random.nextInt(3) == 0) {
             return OrdersModel.Order.amend(base, revision, "m" + number);
@@ -76,19 +79,20 @@
         return OrdersModel.Order.replace(base, revision, number / 2);
     }
 
-    private void send(SimMachine at, int mine) {
+    private void send(SimMachine controlNode, int step) {
         OrdersModel.Order sent = order;
         byte[] body = sent.body().getBytes(StandardCharsets.UTF_8);
-        at.process.deliver(() -> at.controlNode()
+        controlNode.process.deliver(() -> controlNode
+                .controlNode()
                 .changeConfiguration(sent.amends(), Long.toString(sent.base()), body, reply -> {
-                    model.answered(sent, reply.status());
+                    model.recordResponse(sent, reply.status());
                     boolean lost = world.random.nextInt(3) == 0;
-                    if (mine == turn && !lost) {
+                    if (step == currentStep && !lost) {
                         if (reply.status() != 503) {
-                            done.add(sent);
+                            answered.add(sent);
                             order = null;
                         }
-                        goOn(mine);
+                        finishStep(step);
                     }
                 }));
     }
