--- a/proxy/src/test/java/saltdale/proxy/ConfigurationTreeTest.java
+++ b/proxy/src/test/java/saltdale/proxy/ConfigurationTreeTest.java
@@ -18,31 +18,31 @@
 import saltdale.control.message.SessionMessage.ConfigurationChange;
 import saltdale.control.message.SessionMessage.SnapshotPart;
 
-/** Configurations that go from one process to another as snapshots and changes come out as they went in. */
+/** Configurations sent to another process as snapshots and changes are reproduced there unchanged. */
 class ConfigurationTreeTest {
-    private static Map<String, Object> random(long revision, SplittableRandom chance) {
-        Map<String, Object> whole = new LinkedHashMap<>();
-        whole.put("revision", revision);
+    private static Map<String, Object> randomConfiguration(long revision, SplittableRandom random) {
+        Map<String, Object> configuration = new LinkedHashMap<>();
+        configuration.put("revision", revision);
         for (String list : List.of("routes", "services", "other")) {
             List<Object> items = new ArrayList<>();
             for (int i = 0; i < 12; i++) {
-                if (chance.nextInt(3) > 0) {
-                    items.add(new LinkedHashMap<>(Map.of("name", "n-" + i, "weight", chance.nextInt(2) + 0.5)));
+                if (random.nextInt(3) > 0) {
+                    items.add(new LinkedHashMap<>(Map.of("name", "n-" + i, "weight", random.nextInt(2) + 0.5)));
                 }
             }
-            if (chance.nextInt(8) == 0) {
+            if (random.nextInt(8) == 0) {
                 items.add("no item with a name");
             }
-            if (chance.nextInt(4) > 0) {
-                whole.put(list, items);
+            if (random.nextInt(4) > 0) {
+                configuration.put(list, items);
             }
         }
-        whole.put("limits", chance.nextBoolean() ? Map.of("body_size_bytes", (long) chance.nextInt(3)) : null);
-        return whole;
+        configuration.put("limits", random.nextBoolean() ? Map.of("body_size_bytes", (long) random.nextInt(3)) : null);
+        return configuration;
     }
 
-    private static ConfigurationTree over(Map<String, Object> whole) throws MalformedMessage {
-        return ConfigurationTree.of(Trees.fromCbor(Trees.toCbor(whole)));
+    private static ConfigurationTree decode(Map<String, Object> configuration) throws MalformedMessage {
+        return ConfigurationTree.of(Trees.fromCbor(Trees.toCbor(configuration)));
     }
 
     private static ConfigurationChange change(ConfigurationTree from, ConfigurationTree to) throws MalformedMessage {
@@ -59,33 +59,33 @@
     }
 
     @Test
-    void aChangeMakesTheNextOfTheOneBefore() throws Exception {
-        SplittableRandom chance = new SplittableRandom(7);
-        ConfigurationTree present = over(random(1, chance));
-        ConfigurationReplica replica = replica(present);
+    void changeTurnsOneConfigurationIntoTheNext() throws Exception {
+        SplittableRandom random = new SplittableRandom(7);
+        ConfigurationTree current = decode(randomConfiguration(1, random));
+        ConfigurationReplica replica = replica(current);
         for (int revision = 2; revision < 300; revision++) {
-            ConfigurationTree next = over(random(revision, chance));
-            assertThat(next.digest(), is(not(present.digest())));
-            assertThat(replica.apply(change(present, next)), is(ConfigurationReplica.Outcome.APPLIED));
+            ConfigurationTree next = decode(randomConfiguration(revision, random));
+            assertThat(next.digest(), is(not(current.digest())));
+            assertThat(replica.apply(change(current, next)), is(ConfigurationReplica.Outcome.APPLIED));
             assertThat(replica.digest(), is(next.digest()));
-            Map<String, Object> nothing =
+            Map<String, Object> noDifference =
                     Map.of("dropped", List.of(), "set", Map.of(), "removed", Map.of(), "items", Map.of());
-            assertThat("only the order may differ", next.changeTo(replica.tree()), is(nothing));
-            present = replica.tree();
+            assertThat("differences other than the order of items", next.changeTo(replica.tree()), is(noDifference));
+            current = replica.tree();
         }
     }
 
     @Test
-    void aChangeWithAnotherBaseOrAnotherOutcomeIsRefused() throws Exception {
-        SplittableRandom chance = new SplittableRandom(8);
-        ConfigurationTree first = over(random(1, chance));
-        ConfigurationTree second = over(random(2, chance));
-        ConfigurationTree third = over(random(3, chance));
+    void changeWithWrongBaseOrWrongResultIsRejected() throws Exception {
+        SplittableRandom random = new SplittableRandom(8);
+        ConfigurationTree first = decode(randomConfiguration(1, random));
+        ConfigurationTree second = decode(randomConfiguration(2, random));
+        ConfigurationTree third = decode(randomConfiguration(3, random));
         ConfigurationReplica replica = replica(first);
         assertThat(replica.apply(change(second, third)), is(ConfigurationReplica.Outcome.REJECTED));
         assertThat(replica.digest(), is(first.digest()));
-        ConfigurationChange whole = change(first, second);
-        ConfigurationChange wrong = new ConfigurationChange(
+        ConfigurationChange validChange = change(first, second);
+        ConfigurationChange wrongResult = new ConfigurationChange(
                 "",
                 1,
                 1,
@@ -93,19 +93,20 @@
                 2,
                 second.digest(),
                 change(first, third).change());
-        assertThat(replica.apply(wrong), is(ConfigurationReplica.Outcome.REJECTED));
-        assertThat("a snapshot must come", replica.digest(), is(""));
+        assertThat(replica.apply(wrongResult), is(ConfigurationReplica.Outcome.REJECTED));
+        assertThat("digest of a replica that needs a snapshot", replica.digest(), is(""));
         assertThat(replica.revision(), is(1L));
-        assertThat(replica.apply(whole), is(ConfigurationReplica.Outcome.REJECTED));
+        assertThat(replica.apply(validChange), is(ConfigurationReplica.Outcome.REJECTED));
     }
 
     @Test
-    void aSpoiltSnapshotIsNoConfiguration() throws Exception {
-        ConfigurationSnapshot snapshot = ConfigurationSnapshot.of(over(random(1, new SplittableRandom(9))));
-        byte[] spoilt = snapshot.bytes().clone();
-        spoilt[spoilt.length / 2] ^= 1;
+    void corruptedSnapshotIsRejected() throws Exception {
+        ConfigurationSnapshot snapshot =
+                ConfigurationSnapshot.of(decode(randomConfiguration(1, new SplittableRandom(9))));
+        byte[] corrupted = snapshot.bytes().clone();
+        corrupted[corrupted.length / 2] ^= 1;
         ConfigurationReplica replica = new ConfigurationReplica();
-        SnapshotPart part = new SnapshotPart("", snapshot.digest(), 0, spoilt.length, spoilt);
+        SnapshotPart part = new SnapshotPart("", snapshot.digest(), 0, corrupted.length, corrupted);
         assertThrows(MalformedMessage.class, () -> replica.addSnapshotPart(part));
         assertThat(replica.revision(), is(-1L));
         assertThat(replica.snapshotOffset(), is(0));
--- a/proxy/src/test/java/saltdale/proxy/DiskTest.java
+++ b/proxy/src/test/java/saltdale/proxy/DiskTest.java
@@ -20,37 +20,40 @@
 import saltdale.control.Voter;
 import saltdale.control.message.BallotMessage.Accept;
 
-/** A control node whose disk is in trouble is gone round, and what its disk holds can always be used. */
+/** The cluster works around a control node whose disk fails, and the records on that disk always remain usable. */
 class DiskTest {
     @ParameterizedTest
     @EnumSource(SimMachine.Disk.class)
-    void oneBadDiskHoldsNobodyUp(SimMachine.Disk disk) {
+    void oneFaultyDiskDoesNotDelayTheCluster(SimMachine.Disk disk) {
         for (int seed = 0; seed < 10; seed++) {
             SimWorld world = new SimWorld(seed).withNodes(3, 0).startAll();
             world.run(2500);
             assertTrue(replaceUntilAcknowledged(world, 0, config(1), 5000));
-            SimMachine bad = world.controlNodes.get(seed % 3);
-            bad.disk = disk;
-            bad.syncNanos = 2_000_000_000L; // slow, where it is neither full nor hanging
+            SimMachine faulty = world.controlNodes.get(seed % 3);
+            faulty.disk = disk;
+            faulty.syncNanos = 2_000_000_000L; // a slow disk, unless it is full or hangs
             for (int i = 0; i < 4; i++) {
-                long begun = world.now();
+                long startNanos = world.now();
                 assertThat(replace(world, world.controlNodes.get((seed + i) % 3), 1 + i, config(2 + i)), is(200));
-                assertThat("the others answer for it", (world.now() - begun) / 1_000_000, lessThan(1000L));
+                assertThat(
+                        "ms until the other control nodes responded",
+                        (world.now() - startNanos) / 1_000_000,
+                        lessThan(1000L));
             }
-            bad.powerOff();
-            bad.repairDisk();
-            bad.syncNanos = 3_000_000;
-            bad.start();
+            faulty.powerOff();
+            faulty.repairDisk();
+            faulty.syncNanos = 3_000_000;
+            faulty.start();
             world.controlNodes.get((seed + 1) % 3).powerOff();
             world.run(3000);
-            assertThat(read(world, bad), containsString("\"revision\":5"));
+            assertThat(read(world, faulty), containsString("\"revision\":5"));
             assertThat(world.violations, is(empty()));
         }
     }
 
-    /** A vote that counts is found again under its id, though the disk was full when the control node began. */
+    /** A vote that counts is stored with the id of its voter, even if the disk was full when the node started. */
     @Test
-    void aVoteOnDiskIsNeverWithoutItsIdentity() {
+    void voteOnDiskIsAlwaysStoredWithTheIdentity() {
         for (int seed = 0; seed < 20; seed++) {
             SimWorld world = new SimWorld(seed).withNodes(3, 0).startAll();
             world.run(2500);
@@ -62,27 +65,27 @@
             world.run(500 + world.random.nextInt(3000));
             wiped.repairDisk();
             assertTrue(replaceUntilAcknowledged(world, 1, config(2), 5000));
-            assertTrue(world.runUntil(5000, () -> wiped.synced.containsKey("acceptor")), "it votes");
+            assertTrue(world.runUntil(5000, () -> wiped.synced.containsKey("acceptor")), "the wiped node votes");
             assertTrue(wiped.synced.containsKey("identity"), "seed " + seed);
             wiped.powerOff();
-            String before = wiped.id();
+            String idBeforeRestart = wiped.id();
             wiped.start();
             world.run(5000);
-            assertThat("seed " + seed, wiped.id(), is(before));
+            assertThat("seed " + seed, wiped.id(), is(idBeforeRestart));
             assertThat(world.violations, is(empty()));
         }
     }
 
-    /** The disks are full at the first start, heal, and all lose power as soon as they have voted. */
+    /** The disks are full at the first start and are repaired; all nodes lose power once enough of them have voted. */
     @Test
-    void whoVotedKnowsTheFirstVoters() {
+    void nodesThatVotedKnowTheInitialVoters() {
         for (int seed = 0; seed < 20; seed++) {
             SimWorld world = new SimWorld(seed).withNodes(3, 0);
             world.controlNodes.forEach(controlNode -> controlNode.disk = SimMachine.Disk.FULL);
             world.startAll().run(1000 + world.random.nextInt(1000));
             world.controlNodes.forEach(SimMachine::repairDisk);
-            int votes = 1 + seed % 3;
-            assertTrue(world.runUntil(5000, () -> votedOnDisk(world) >= votes), "seed " + seed);
+            int requiredVotes = 1 + seed % 3;
+            assertTrue(world.runUntil(5000, () -> nodesWithVoteOnDisk(world) >= requiredVotes), "seed " + seed);
             world.controlNodes.forEach(SimMachine::powerOff);
             world.run(500);
             world.controlNodes.forEach(SimMachine::start);
@@ -92,20 +95,20 @@
         }
     }
 
-    private static long votedOnDisk(SimWorld world) {
+    private static long nodesWithVoteOnDisk(SimWorld world) {
         return world.controlNodes.stream()
                 .filter(controlNode -> controlNode.synced.containsKey("acceptor"))
                 .count();
     }
 
-    /** Two proposers put different texts forward in turn, faster than the disk syncs. */
+    /** Two proposers propose different texts alternately, faster than the disk syncs. */
     @Test
-    void aTextThatIsPutAgainBeforeTheDiskIsDoneIsThereAfterALossOfPower() throws Exception {
+    void textProposedAgainBeforeTheSyncSurvivesAPowerLoss() throws Exception {
         SimWorld world = new SimWorld(1).withNodes(3, 0).startAll();
         world.run(2500);
         SimMachine controlNode = world.controlNodes.get(0);
         List<Voter> voters = world.controlNodes.stream()
-                .map(k -> new Voter(k.id(), k.host, k.host))
+                .map(node -> new Voter(node.id(), node.host, node.host))
                 .toList();
         ReplicatedState first = ReplicatedState.initial(voters);
         ReplicatedState one = first.withConfiguration(1, "1-one", "order1".getBytes());
