--- a/proxy/src/test/java/saltdale/proxy/AgreementTest.java
+++ b/proxy/src/test/java/saltdale/proxy/AgreementTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What the core acknowledges it keeps, and there is one line of versions, whatever its machines go through. */
+/** Control nodes keep every acknowledged change and agree on one sequence of versions, whatever faults occur. */
 class AgreementTest {
     private static SimWorld world(long seed, int controlNodes) {
         SimWorld world = new SimWorld(seed).withNodes(controlNodes, 0).startAll();
@@ -34,166 +34,175 @@
         return world;
     }
 
-    private static long holding(SimWorld world, long revision) {
+    private static long nodesWithSyncedText(SimWorld world, long revision) {
         return world.controlNodes.stream()
-                .filter(k -> k.synced.keySet().stream().anyMatch(name -> name.startsWith("text:" + revision + "-")))
+                .filter(node ->
+                        node.synced.keySet().stream().anyMatch(name -> name.startsWith("text:" + revision + "-")))
                 .count();
     }
 
     @ParameterizedTest
     @ValueSource(ints = {3, 5})
-    void acknowledgesOnlyWhatAMajorityHoldsSynced(int controlNodes) {
+    void acknowledgesOnlyChangesSyncedOnAMajority(int controlNodes) {
         for (int seed = 0; seed < 10; seed++) {
             SimWorld world = world(seed, controlNodes);
-            world.controlNodes.forEach(k -> k.syncNanos = (1 + world.random.nextInt(150)) * 1_000_000L);
+            world.controlNodes.forEach(node -> node.syncNanos = (1 + world.random.nextInt(150)) * 1_000_000L);
             for (int revision = 1; revision <= 5; revision++) {
-                int by = world.random.nextInt(controlNodes);
-                assertThat(replace(world, world.controlNodes.get(by), revision - 1, config(revision)), is(200));
-                assertThat(holding(world, revision), greaterThanOrEqualTo(controlNodes / 2 + 1L));
+                int acknowledgingNode = world.random.nextInt(controlNodes);
+                assertThat(
+                        replace(world, world.controlNodes.get(acknowledgingNode), revision - 1, config(revision)),
+                        is(200));
+                assertThat(nodesWithSyncedText(world, revision), greaterThanOrEqualTo(controlNodes / 2 + 1L));
             }
         }
     }
 
     @Test
-    void ofTwoChangesOnOneBaseOneWins() {
+    void acceptsOneOfTwoChangesOnTheSameBase() {
         for (int seed = 0; seed < 10; seed++) {
             SimWorld world = world(seed, 3);
-            List<Integer> got = new ArrayList<>();
-            replace(world.controlNodes.get(seed % 3), 0, config(3, 1), reply -> got.add(reply.status()));
-            replace(world.controlNodes.get((seed + 1) % 3), 0, config(4, 2), reply -> got.add(reply.status()));
-            assertTrue(world.runUntil(5000, () -> got.size() == 2));
-            got.sort(null);
-            assertThat("seed " + seed, got, is(List.of(200, 412)));
+            List<Integer> statuses = new ArrayList<>();
+            replace(world.controlNodes.get(seed % 3), 0, config(3, 1), reply -> statuses.add(reply.status()));
+            replace(world.controlNodes.get((seed + 1) % 3), 0, config(4, 2), reply -> statuses.add(reply.status()));
+            assertTrue(world.runUntil(5000, () -> statuses.size() == 2));
+            statuses.sort(null);
+            assertThat("seed " + seed, statuses, is(List.of(200, 412)));
         }
     }
 
     @Test
-    void aRepeatedChangeIsAcknowledgedAgainAnywhere() {
+    void repeatedChangeIsAcknowledgedByAnyControlNode() {
         SimWorld world = world(1, 3);
         assertThat(replace(world, world.controlNodes.get(0), 0, config(2)), is(200));
         assertThat(replace(world, world.controlNodes.get(1), 0, config(2)), is(200));
         assertThat(replace(world, world.controlNodes.get(1), 2, config(5)), is(200));
-        assertThat("after a later one too", replace(world, world.controlNodes.get(2), 0, config(2)), is(200));
-        assertThat("not another on that base", replace(world, world.controlNodes.get(2), 0, config(7)), is(412));
+        assertThat("repeated after a later change", replace(world, world.controlNodes.get(2), 0, config(2)), is(200));
+        assertThat("another change on the same base", replace(world, world.controlNodes.get(2), 0, config(7)), is(412));
         assertThat(read(world, world.controlNodes.get(0)), containsString("\"revision\":5"));
     }
 
     @ParameterizedTest
     @CsvSource({"3,false", "3,true", "5,false", "5,true"})
-    void whoAcknowledgedMayLoseAllRightAfter(int controlNodes, boolean withDisk) {
+    void acknowledgedChangeSurvivesFailureOfTheAcknowledgingNode(int controlNodes, boolean withDisk) {
         for (int seed = 0; seed < 10; seed++) {
             SimWorld world = world(seed, controlNodes);
             assertTrue(replaceUntilAcknowledged(world, 0, config(1), 5000));
-            SimMachine by = world.controlNodes.get(seed % controlNodes);
+            SimMachine acknowledgingNode = world.controlNodes.get(seed % controlNodes);
             SimMachine second = world.controlNodes.get((seed + 1) % controlNodes);
-            assertThat(replace(world, by, 1, config(2)), is(200));
-            // The others lose power as well at times.
+            assertThat(replace(world, acknowledgingNode, 1, config(2)), is(200));
+            // In half of the runs the other control nodes lose power as well.
             if (seed % 2 == 0) {
-                world.controlNodes.stream().filter(k -> k != by).forEach(SimMachine::powerOff);
+                world.controlNodes.stream()
+                        .filter(node -> node != acknowledgingNode)
+                        .forEach(SimMachine::powerOff);
             }
-            for (SimMachine each : controlNodes == 5 ? List.of(by, second) : List.of(by)) {
+            for (SimMachine node :
+                    controlNodes == 5 ? List.of(acknowledgingNode, second) : List.of(acknowledgingNode)) {
                 if (withDisk) {
-                    each.wipe();
+                    node.wipe();
                 } else {
-                    each.powerOff();
+                    node.powerOff();
                 }
             }
             world.controlNodes.forEach(SimMachine::start);
             world.run(5000);
-            for (SimMachine each : world.controlNodes) {
-                assertThat("seed " + seed, read(world, each), containsString("\"revision\":2"));
+            for (SimMachine node : world.controlNodes) {
+                assertThat("seed " + seed, read(world, node), containsString("\"revision\":2"));
             }
             assertThat(world.violations, is(empty()));
         }
     }
 
     @Test
-    void anEmptyDiskDoesNotVoteUntilItIsAVoterAgain() throws Exception {
+    void nodeWithErasedDiskDoesNotVoteBeforeItIsAVoterAgain() throws Exception {
         for (int seed = 0; seed < 10; seed++) {
             SimWorld world = world(seed, 3);
             assertTrue(replaceUntilAcknowledged(world, 0, config(1), 5000));
             SimMachine lost = world.controlNodes.get(0);
-            SimMachine off = world.controlNodes.get(1);
-            String before = lost.id();
-            off.powerOff();
+            SimMachine poweredOff = world.controlNodes.get(1);
+            String previous = lost.id();
+            poweredOff.powerOff();
             lost.wipe();
             lost.start();
             world.run(4000);
-            for (SimMachine each : List.of(lost, world.controlNodes.get(2))) {
-                assertThat("one voter of three is no majority", replace(world, each, 1, config(2)), is(503));
-                assertThat(read(world, each), is(nullValue()));
+            for (SimMachine node : List.of(lost, world.controlNodes.get(2))) {
+                assertThat(
+                        "status with one voter of three, which is no majority",
+                        replace(world, node, 1, config(2)),
+                        is(503));
+                assertThat(read(world, node), is(nullValue()));
             }
-            off.start();
+            poweredOff.start();
             world.run(4000);
-            assertThat("by agreement", world.voters(), hasItem(lost.id()));
-            assertThat(lost.id(), is(not(before)));
+            assertThat("voters after the agreed change", world.voters(), hasItem(lost.id()));
+            assertThat(lost.id(), is(not(previous)));
             assertThat(world.isJoint(), is(false));
             world.controlNodes.get(2).powerOff();
             world.run(2500);
-            assertTrue(replaceUntilAcknowledged(world, 1, config(2), 5000), "its vote counts now");
+            assertTrue(replaceUntilAcknowledged(world, 1, config(2), 5000), "the vote of the new voter counts");
             assertThat(world.violations, is(empty()));
         }
     }
 
     @Test
-    void aControlNodeAtANewAddressTakesThePlaceOfOneGone() throws Exception {
+    void controlNodeAtANewAddressReplacesALostOne() throws Exception {
         for (int seed = 0; seed < 10; seed++) {
             SimWorld world = world(seed, 3);
             assertTrue(replaceUntilAcknowledged(world, 0, config(1), 5000));
-            SimMachine gone = world.controlNodes.get(seed % 3);
-            gone.wipe();
-            SimMachine next = world.controlNode("10.0.0.9", world.controlNodes.get(0).seeds, false);
-            next.start();
+            SimMachine lost = world.controlNodes.get(seed % 3);
+            lost.wipe();
+            SimMachine replacement = world.controlNode("10.0.0.9", world.controlNodes.get(0).seeds, false);
+            replacement.start();
             world.run(6000);
-            assertThat(world.voters(), hasItem(next.id()));
+            assertThat(world.voters(), hasItem(replacement.id()));
             assertThat(world.voters(), hasSize(3));
-            SimMachine off = world.controlNodes.get((seed + 1) % 3);
-            off.powerOff();
+            SimMachine poweredOff = world.controlNodes.get((seed + 1) % 3);
+            poweredOff.powerOff();
             world.run(2500);
-            assertThat(replace(world, next, 1, config(2)), is(200));
-            off.start();
+            assertThat(replace(world, replacement, 1, config(2)), is(200));
+            poweredOff.start();
             world.run(2000);
-            assertThat(read(world, off), containsString("\"revision\":2"));
+            assertThat(read(world, poweredOff), containsString("\"revision\":2"));
             assertThat(world.violations, is(empty()));
         }
     }
 
     @ParameterizedTest
     @ValueSource(ints = {3, 5})
-    void aMinorityAcknowledgesAndReadsNothing(int controlNodes) {
+    void minorityNeitherAcknowledgesNorServesReads(int controlNodes) {
         SimWorld world = world(4, controlNodes);
         assertTrue(replaceUntilAcknowledged(world, 0, config(1), 5000));
-        List<SimMachine> few = world.controlNodes.subList(0, controlNodes / 2);
-        List<SimMachine> most = world.controlNodes.subList(controlNodes / 2, controlNodes);
-        few.forEach(f -> most.forEach(m -> world.cut(f, m)));
-        for (SimMachine each : few) {
-            assertThat(replace(world, each, 1, config(2)), is(503));
-            assertThat(read(world, each), is(nullValue()));
+        List<SimMachine> minority = world.controlNodes.subList(0, controlNodes / 2);
+        List<SimMachine> majority = world.controlNodes.subList(controlNodes / 2, controlNodes);
+        minority.forEach(f -> majority.forEach(m -> world.cut(f, m)));
+        for (SimMachine node : minority) {
+            assertThat(replace(world, node, 1, config(2)), is(503));
+            assertThat(read(world, node), is(nullValue()));
         }
-        assertThat(replace(world, most.get(0), 1, config(3)), is(200));
-        assertThat(read(world, few.get(0)), is(nullValue()));
+        assertThat(replace(world, majority.get(0), 1, config(3)), is(200));
+        assertThat(read(world, minority.get(0)), is(nullValue()));
         world.cutLinks.clear();
         world.run(3000);
-        assertThat(read(world, few.get(0)), containsString("\"revision\":3"));
+        assertThat(read(world, minority.get(0)), containsString("\"revision\":3"));
     }
 
     @ParameterizedTest
     @ValueSource(ints = {3, 5})
-    void aCoreKilledAtOnceIsBack(int controlNodes) {
+    void clusterRecoversAfterAllNodesAreKilledDuringAChange(int controlNodes) {
         for (int seed = 0; seed < 10; seed++) {
             SimWorld world = world(seed, controlNodes);
             assertTrue(replaceUntilAcknowledged(world, 0, config(1), 5000));
-            List<Integer> got = new ArrayList<>();
-            replace(world.controlNodes.get(0), 1, config(2), reply -> got.add(reply.status()));
+            List<Integer> statuses = new ArrayList<>();
+            replace(world.controlNodes.get(0), 1, config(2), reply -> statuses.add(reply.status()));
             world.run(world.random.nextInt(20));
             world.controlNodes.forEach(SimMachine::kill);
             world.run(900);
             world.controlNodes.forEach(SimMachine::start);
             world.run(4000);
-            String is = read(world, world.controlNodes.get(seed % controlNodes));
-            assertThat(is, containsString(got.isEmpty() ? "\"revision\":" : "\"revision\":2"));
+            String configuration = read(world, world.controlNodes.get(seed % controlNodes));
+            assertThat(configuration, containsString(statuses.isEmpty() ? "\"revision\":" : "\"revision\":2"));
             assertTrue(
-                    is.contains("\"revision\":1")
+                    configuration.contains("\"revision\":1")
                             ? replaceUntilAcknowledged(world, 1, config(2), 5000)
                             : replaceUntilAcknowledged(world, 2, config(3), 5000));
             assertThat(world.violations, is(empty()));
@@ -201,7 +210,7 @@
     }
 
     @Test
-    void aCoreKilledWhileItFirstBeginsIsBack() {
+    void clusterRecoversAfterAllNodesAreKilledDuringTheFirstStart() {
         for (int ms = 20; ms <= 1500; ms += 100) {
             SimWorld world = new SimWorld(ms).withNodes(3, 0).startAll();
             world.run(ms);
@@ -213,66 +222,67 @@
         }
     }
 
-    /** One operator among several: each builds on what it last read, and repeats until it has a clear answer. */
+    /** One of several operators: each bases its change on its last read and retries until a conclusive response. */
     private static final class Operator {
-        final Schedule on;
+        final FaultRun run;
         final int number;
         long base;
         long revision;
         String body;
 
-        Operator(Schedule on, int number) {
-            this.on = on;
+        Operator(FaultRun run, int number) {
+            this.run = run;
             this.number = number;
         }
 
-        void next() {
-            on.world.schedule(on.world.random.nextInt(400) * 1_000_000L, () -> {
-                SimMachine at = on.world.controlNodes.get(on.world.random.nextInt(on.world.controlNodes.size()));
-                if (at.process == null) {
-                    next();
+        void scheduleNextStep() {
+            run.world.schedule(run.world.random.nextInt(400) * 1_000_000L, () -> {
+                SimMachine controlNode =
+                        run.world.controlNodes.get(run.world.random.nextInt(run.world.controlNodes.size()));
+                if (controlNode.process == null) {
+                    scheduleNextStep();
                 } else if (body == null) {
-                    look(at);
+                    readAndPrepare(controlNode);
                 } else {
-                    send(at);
+                    send(controlNode);
                 }
             });
         }
 
-        private void look(SimMachine at) {
-            long least = on.newest();
-            boolean[] done = new boolean[1];
-            at.process.deliver(() -> at.controlNode().readConfiguration(reply -> {
+        private void readAndPrepare(SimMachine controlNode) {
+            long minRevision = run.newestAcknowledged();
+            boolean[] finished = new boolean[1];
+            controlNode.process.deliver(() -> controlNode.controlNode().readConfiguration(reply -> {
                 if (reply.status() == 200) {
-                    String is = new String(reply.body());
-                    base = revision(is);
-                    on.seen(base, is, least);
-                    revision = base + 1 + on.world.random.nextInt(3);
+                    String text = new String(reply.body());
+                    base = revision(text);
+                    run.checkRead(base, text, minRevision);
+                    revision = base + 1 + run.world.random.nextInt(3);
                     body = config(revision, 1 + number);
                 }
-                done[0] |= again(done);
+                finished[0] |= finishStep(finished);
             }));
-            on.world.schedule(1_000_000_000L, () -> done[0] |= again(done));
+            run.world.schedule(1_000_000_000L, () -> finished[0] |= finishStep(finished));
         }
 
-        private void send(SimMachine at) {
-            boolean[] done = new boolean[1];
-            long sentOn = base;
+        private void send(SimMachine controlNode) {
+            boolean[] finished = new boolean[1];
+            long sentBase = base;
             long sentRevision = revision;
             String sent = body;
-            replace(at, base, sent, reply -> {
+            replace(controlNode, base, sent, reply -> {
                 if (reply.status() == 200) {
-                    on.acknowledged(sentOn, sentRevision, sent);
+                    run.recordAcknowledged(sentBase, sentRevision, sent);
                 }
                 body = (reply.status() == 200 || reply.status() == 412) && sent.equals(body) ? null : body;
-                done[0] |= again(done);
+                finished[0] |= finishStep(finished);
             });
-            on.world.schedule(1_000_000_000L, () -> done[0] |= again(done));
+            run.world.schedule(1_000_000_000L, () -> finished[0] |= finishStep(finished));
         }
 
-        private boolean again(boolean[] done) {
-            if (!done[0] && !on.over) {
-                next();
+        private boolean finishStep(boolean[] finished) {
+            if (!finished[0] && !run.stopped) {
+                scheduleNextStep();
             }
             return true;
         }
@@ -283,92 +293,93 @@
         return Long.parseLong(from.substring(0, from.indexOf(',')));
     }
 
-    private static final class Schedule {
+    private static final class FaultRun {
         final SimWorld world;
-        final Map<Long, String> acked = new LinkedHashMap<>(); // by revision
-        final Map<Long, Long> builtOn = new HashMap<>();
-        final Map<Long, String> read = new HashMap<>();
+        final Map<Long, String> acknowledgedTexts = new LinkedHashMap<>(); // by revision
+        final Map<Long, Long> revisionByBase = new HashMap<>();
+        final Map<Long, String> readTexts = new HashMap<>();
         final SimFaultInjector faults;
-        boolean over;
+        boolean stopped;
 
-        Schedule(long seed, int controlNodes, int wipes) {
+        FaultRun(long seed, int controlNodes, int simultaneousDiskLosses) {
             world = new SimWorld(seed).withNodes(controlNodes, 0).startAll();
-            faults = new SimFaultInjector(world, wipes);
+            faults = new SimFaultInjector(world, simultaneousDiskLosses);
         }
 
-        long newest() {
-            return acked.keySet().stream().mapToLong(r -> r).max().orElse(0);
+        long newestAcknowledged() {
+            return acknowledgedTexts.keySet().stream().mapToLong(r -> r).max().orElse(0);
         }
 
-        void acknowledged(long base, long revision, String body) {
-            Long other = builtOn.putIfAbsent(base, revision);
-            String text = acked.putIfAbsent(revision, body);
+        void recordAcknowledged(long base, long revision, String body) {
+            Long other = revisionByBase.putIfAbsent(base, revision);
+            String text = acknowledgedTexts.putIfAbsent(revision, body);
             if (other != null && other != revision || text != null && !text.equals(body)) {
-                world.violations.add("two changes on " + base + " are acknowledged: " + other + " and " + revision);
+                world.violations.add("two changes based on " + base + " acknowledged: " + other + " and " + revision);
             }
         }
 
-        void seen(long revision, String text, long least) {
-            String before = read.putIfAbsent(revision, text);
-            if (revision < least || before != null && !before.equals(text)) {
-                world.violations.add("read " + revision + " though " + least + " was acknowledged, or another text");
+        void checkRead(long revision, String text, long minRevision) {
+            String previous = readTexts.putIfAbsent(revision, text);
+            if (revision < minRevision || previous != null && !previous.equals(text)) {
+                world.violations.add("read " + revision + " although " + minRevision
+                        + " was acknowledged, or with a different text");
             }
         }
     }
 
     @ParameterizedTest
     @CsvSource({"3,1,0,140", "5,2,1000,60"})
-    void whateverHappensThereIsOneLineAndNothingAcknowledgedIsLost(int controlNodes, int wipes, int from, int seeds)
-            throws Exception {
+    void keepsOneVersionSequenceAndAllAcknowledgedChangesUnderRandomFaults(
+            int controlNodes, int simultaneousDiskLosses, int from, int seeds) throws Exception {
         int acknowledged = 0;
         for (int seed = from; seed < from + seeds; seed++) {
-            Schedule schedule = new Schedule(seed, controlNodes, wipes);
-            SimWorld world = schedule.world;
+            FaultRun run = new FaultRun(seed, controlNodes, simultaneousDiskLosses);
+            SimWorld world = run.world;
             for (int i = 0; i < 3; i++) {
-                new Operator(schedule, i).next();
+                new Operator(run, i).scheduleNextStep();
             }
             world.run(1500);
             for (int i = 0; i < 4; i++) {
-                schedule.faults.injectFault();
+                run.faults.injectFault();
                 world.run(world.random.nextInt(400));
-                schedule.faults.injectFault();
+                run.faults.injectFault();
                 world.run(world.random.nextInt(1500));
-                schedule.faults.repairAll();
+                run.faults.repairAll();
                 world.run(world.random.nextInt(2000));
             }
-            schedule.over = true;
-            schedule.faults.repairAll();
+            run.stopped = true;
+            run.faults.repairAll();
             world.run(5000);
-            String last = read(world, world.controlNodes.get(seed % controlNodes));
-            assertThat("seed " + seed, last, is(not(nullValue())));
-            schedule.seen(revision(last), last, schedule.newest());
+            String finalText = read(world, world.controlNodes.get(seed % controlNodes));
+            assertThat("seed " + seed, finalText, is(not(nullValue())));
+            run.checkRead(revision(finalText), finalText, run.newestAcknowledged());
             assertThat("seed " + seed, world.violations, is(empty()));
-            acknowledged += schedule.acked.size();
+            acknowledged += run.acknowledgedTexts.size();
         }
-        assertThat("enough came through to tell", acknowledged, greaterThanOrEqualTo(4 * seeds));
+        assertThat("number of acknowledged changes", acknowledged, greaterThanOrEqualTo(4 * seeds));
     }
 
-    /** Ballots of all control nodes, one each 25 ms at any of them: none waits for pauses of others. */
+    /** Runs a ballot about every 25 ms at a random control node: none is delayed by the back-off of others. */
     @ParameterizedTest
     @ValueSource(ints = {3, 5})
-    void ballotsOfAllControlNodesDoNotHoldEachOtherUp(int controlNodes) {
+    void concurrentBallotsDoNotDelayEachOther(int controlNodes) {
         for (int seed = 0; seed < 5; seed++) {
             SimWorld world = SimOperator.servingCluster(seed, controlNodes, 1);
-            List<Long> took = new ArrayList<>();
+            List<Long> readMs = new ArrayList<>();
             for (int i = 0; i < 300; i++) {
-                SimMachine at = world.controlNodes.get(world.random.nextInt(controlNodes));
-                long asked = world.now();
-                at.controlNode().readConfiguration(reply -> {
+                SimMachine controlNode = world.controlNodes.get(world.random.nextInt(controlNodes));
+                long startNanos = world.now();
+                controlNode.controlNode().readConfiguration(reply -> {
                     if (reply.status() == 200) {
-                        took.add((world.now() - asked) / 1_000_000);
+                        readMs.add((world.now() - startNanos) / 1_000_000);
                     }
                 });
                 world.run(13 + world.random.nextInt(25));
             }
             world.run(4000);
-            assertThat("seed " + seed + ", all are answered", took, hasSize(300));
-            long late = took.stream().filter(each -> each > 100).count();
-            assertThat("seed " + seed + ", answered after 100 ms", late, lessThanOrEqualTo(3L));
+            assertThat("seed " + seed + ", number of successful reads", readMs, hasSize(300));
+            long slowReads = readMs.stream().filter(ms -> ms > 100).count();
+            assertThat("seed " + seed + ", reads that took more than 100 ms", slowReads, lessThanOrEqualTo(3L));
         }
     }
 }
