--- a/nodes/src/main/java/saltdale/nodes/membership/Membership.java
+++ b/nodes/src/main/java/saltdale/nodes/membership/Membership.java
@@ -13,106 +13,111 @@
 import java.util.Set;
 
 /**
- * Turns what is seen of nodes into what a dispatcher is told of runners. No I/O, no clock, no sockets: it is
- * told each thing with its time, and hands out the changes that follow.
+ * Derives the changes of runners that a dispatcher needs from the changes of nodes. It does no I/O and has
+ * neither clock nor sockets: each method that reports an observation receives the time, and {@link
+ * #changes} returns the resulting changes.
  *
- * <p>A vanished node is a runner gone, at once. One exception: where more than {@link Rules#massShare} of the
- * nodes vanish within one session time-out, that is taken for the service's own trouble: what vanishes then
- * is held, while probes say that it answers, for at most {@link Rules#hold}. A drain mark always counts at
- * once.
+ * <p>A deleted node means that its runner is gone, at once. There is one exception: if more than {@link
+ * Rules#massShare} of the nodes are deleted within one session time-out, the cause is assumed to be the
+ * service itself. Runners whose nodes are deleted then are held, as long as they answer probes, for at
+ * most {@link Rules#hold}. A drain mark always takes effect at once.
  */
 public final class Membership {
-    /** What a dispatcher is to be told of a runner. */
+    /** Health of a runner as reported to a dispatcher. */
     public enum Health {
         UP,
         DRAINING,
         GONE
     }
 
-    /** How the service can be heard. */
+    /** State of the connection to the service. */
     public enum Link {
         CONNECTED,
         SUSPENDED,
         EXPIRED
     }
 
-    /** One change, to be told once. */
-    public record Change(String name, Box box, Health health) {}
+    /** One change of a runner; each is returned once. */
+    public record Change(String name, RunnerInfo runner, Health health) {}
 
     /**
      * @param sessionTimeout as negotiated with the service
-     * @param massShare of the nodes, over which their vanishing is the service's trouble; 1 switches the hold
-     *     off
-     * @param massLeast so few nodes are never a mass
-     * @param hold how long a held runner is kept without its node, at the most
-     * @param fade how long the list stands unheard until nothing of its trust is left
+     * @param massShare share of the nodes above which deletions count as a mass disappearance, caused by
+     *     the service; 1 disables holding
+     * @param massMinimum fewer deletions than this never count as a mass disappearance
+     * @param hold longest time that a runner is held without its node
+     * @param fade time without contact to the service until the trust in the list has fallen to 0
      */
-    public record Rules(Duration sessionTimeout, double massShare, int massLeast, Duration hold, Duration fade) {
-        /** Ratios to the session's time-out. */
+    public record Rules(Duration sessionTimeout, double massShare, int massMinimum, Duration hold, Duration fade) {
+        /** Rules with all times in proportion to the session time-out. */
         public static Rules of(Duration sessionTimeout) {
             return new Rules(sessionTimeout, 0.3, 3, sessionTimeout.multipliedBy(3), sessionTimeout.multipliedBy(20));
         }
     }
 
     private static final class Entry {
-        Box box;
-        /** Its node is there, as far as is known. */
+        RunnerInfo runner;
+        /** Whether the node exists, as far as is known. */
         boolean present = true;
-        /** Null while it is not held. */
+        /** Null if the runner is not held. */
         Duration heldSince;
-        /** What was told of it last; null before the first time. */
-        Health toldHealth;
+        /** The health reported last; null before the first report. */
+        Health reportedHealth;
 
-        Box toldBox;
+        RunnerInfo reportedRunner;
     }
 
     private final Rules rules;
     private final Map<String, Entry> entries = new LinkedHashMap<>();
-    private final Deque<Duration> goings = new ArrayDeque<>();
-    /** Bad data that was logged already, by node; once is enough. */
-    private final Map<String, Integer> badSeen = new HashMap<>();
+    private final Deque<Duration> recentDeletions = new ArrayDeque<>();
+    /**
+     * Hash of the unreadable data that was logged last, by node, so that the same data is logged only
+     * once.
+     */
+    private final Map<String, Integer> badDataHashes = new HashMap<>();
 
     private final List<Change> changes = new ArrayList<>();
     private Link link = Link.SUSPENDED;
-    private Duration heardAt;
-    private boolean mass;
-    private long bad;
-    private long masses;
+    private Duration lastHeardAt;
+    private boolean massDisappearance;
+    private long unreadableNodes;
+    private long massDisappearances;
     private long held;
 
     public Membership(Rules rules) {
         this.rules = rules;
     }
 
-    // ---- What is seen.
+    // ---- Observations.
 
-    public void link(Duration now, Link next) {
-        // Silence says nothing about any box: neither a suspended link nor an expired session changes an
-        // entry.
+    /** Records a change of the connection to the service. */
+    public void linkChanged(Duration now, Link next) {
+        // A lost connection says nothing about any runner: neither a suspended connection nor an expired
+        // session changes an entry.
         if (link == Link.CONNECTED && next != Link.CONNECTED) {
-            heardAt = now;
+            lastHeardAt = now;
         }
         link = next;
     }
 
-    /** All nodes as one pass of reading found them: what is not among them has vanished. */
-    public void whole(Duration now, Map<String, byte[]> nodes) {
+    /** Takes the result of a complete read pass: known nodes that are missing from it have been deleted. */
+    public void replaceAll(Duration now, Map<String, byte[]> nodes) {
         Set<String> missing = new HashSet<>(entries.keySet());
         missing.removeAll(nodes.keySet());
-        nodes.forEach((name, data) -> seen(now, name, data));
-        // In the order of the entries, so that the same nodes give the same changes.
-        List.copyOf(entries.keySet()).stream().filter(missing::contains).forEach(name -> vanished(now, name));
+        nodes.forEach((name, data) -> nodeRead(now, name, data));
+        // In the order of the entries, so that equal input gives equal changes.
+        List.copyOf(entries.keySet()).stream().filter(missing::contains).forEach(name -> nodeDeleted(now, name));
     }
 
-    /** A node is there, with this data; true where its data could be read. */
-    public boolean seen(Duration now, String name, byte[] data) {
-        heardAt = now;
-        Box box = Box.read(data);
+    /** Records a node that exists with this data; returns whether the data could be parsed. */
+    public boolean nodeRead(Duration now, String name, byte[] data) {
+        lastHeardAt = now;
+        RunnerInfo runner = RunnerInfo.read(data);
         Entry entry = entries.get(name);
-        if (box == null) {
-            bad++;
-            if (entry != null && entry.box != null) {
-                entry.present = true; // the node before it stands
+        if (runner == null) {
+            unreadableNodes++;
+            if (entry != null && entry.runner != null) {
+                entry.present = true; // the last readable data remains in effect
                 release(name, entry);
             }
             return false;
@@ -121,133 +126,135 @@
             entry = new Entry();
             entries.put(name, entry);
         }
-        // Guards against an old tree: an earlier life of the same box is no news.
-        boolean older = entry.box != null && box.bornMillis() < entry.box.bornMillis();
+        // Guards against reading an outdated tree: data of an earlier start of the same runner is ignored.
+        boolean older = entry.runner != null && runner.bornMillis() < entry.runner.bornMillis();
         if (!older) {
-            entry.box = box;
+            entry.runner = runner;
         }
         entry.present = true;
         release(name, entry);
         return true;
     }
 
-    /** Whether this bad data is worth a line in the log: once for each data of a node. */
-    public boolean worthLogging(String name, byte[] data) {
+    /** Whether this unreadable data should be logged: true once for each new data of a node. */
+    public boolean isNewBadData(String name, byte[] data) {
         int hash = Arrays.hashCode(data);
-        Integer before = badSeen.put(name, hash);
+        Integer before = badDataHashes.put(name, hash);
         return before == null || before != hash;
     }
 
-    /** A node is there no more. */
-    public void vanished(Duration now, String name) {
-        heardAt = now;
+    /** Records that a node was deleted. */
+    public void nodeDeleted(Duration now, String name) {
+        lastHeardAt = now;
         Entry entry = entries.get(name);
         if (entry == null || !entry.present) {
             return;
         }
         entry.present = false;
-        goings.addLast(now);
-        trim(now);
-        if (!mass && isMass()) {
-            mass = true;
-            masses++;
-            // Those of the same wave that were told gone are held with the rest, unless they were draining.
+        recentDeletions.addLast(now);
+        discardOldDeletions(now);
+        if (!massDisappearance && exceedsMassShare()) {
+            massDisappearance = true;
+            massDisappearances++;
+            // Runners of the same wave that were already reported as gone are held too, unless they were
+            // draining.
             entries.forEach((each, e) -> {
                 if (e != entry
                         && !e.present
                         && e.heldSince == null
-                        && e.toldHealth == Health.GONE
-                        && !e.box.draining()) {
+                        && e.reportedHealth == Health.GONE
+                        && !e.runner.draining()) {
                     hold(now, each, e);
                 }
             });
         }
-        if (mass && !entry.box.draining()) {
+        if (massDisappearance && !entry.runner.draining()) {
             hold(now, name, entry);
         } else {
-            tell(name, entry, Health.GONE);
+            report(name, entry, Health.GONE);
         }
     }
 
-    /** A probe of a held runner has come to this. */
-    public void probed(Duration now, String name, boolean answered) {
+    /** Records the result of a probe of a held runner. */
+    public void probeCompleted(Duration now, String name, boolean answered) {
         Entry entry = entries.get(name);
         if (entry == null || entry.heldSince == null) {
             return;
         }
-        if (!answered) { // probes agree with the service: it is gone
+        if (!answered) { // the probe confirms the deletion: the runner is gone
             entry.heldSince = null;
-            tell(name, entry, Health.GONE);
+            report(name, entry, Health.GONE);
         } else {
-            tell(name, entry, Health.UP);
+            report(name, entry, Health.UP);
         }
     }
 
-    /** Time has passed. */
+    /** Ends holds that have expired, and forgets runners that are gone. */
     public void tick(Duration now) {
-        trim(now);
+        discardOldDeletions(now);
         entries.forEach((name, entry) -> {
             if (entry.heldSince != null && now.compareTo(entry.heldSince.plus(rules.hold)) >= 0) {
                 entry.heldSince = null;
-                tell(name, entry, Health.GONE);
+                report(name, entry, Health.GONE);
             }
         });
-        if (mass && entries.values().stream().noneMatch(e -> e.heldSince != null)) {
-            mass = false;
-            goings.clear();
+        if (massDisappearance && entries.values().stream().noneMatch(e -> e.heldSince != null)) {
+            massDisappearance = false;
+            recentDeletions.clear();
         }
         entries.values()
-                .removeIf(e -> !e.present && e.heldSince == null && e.toldHealth == Health.GONE && changes.isEmpty());
+                .removeIf(
+                        e -> !e.present && e.heldSince == null && e.reportedHealth == Health.GONE && changes.isEmpty());
     }
 
-    // ---- What follows.
+    // ---- Resulting changes.
 
-    private boolean isMass() {
+    private boolean exceedsMassShare() {
         long known = entries.values().stream()
                         .filter(e -> e.present || e.heldSince != null)
                         .count()
-                + goings.size();
-        return goings.size() >= rules.massLeast && goings.size() > rules.massShare * known;
+                + recentDeletions.size();
+        return recentDeletions.size() >= rules.massMinimum && recentDeletions.size() > rules.massShare * known;
     }
 
-    private void trim(Duration now) {
-        while (!goings.isEmpty() && now.minus(goings.peek()).compareTo(rules.sessionTimeout) > 0) {
-            goings.poll();
+    private void discardOldDeletions(Duration now) {
+        while (!recentDeletions.isEmpty() && now.minus(recentDeletions.peek()).compareTo(rules.sessionTimeout) > 0) {
+            recentDeletions.poll();
         }
     }
 
-    /** Nothing goes to a held runner until a probe was answered: it is told as draining up to then. */
+    /**
+     * Holds a runner; it is reported as draining, so that it receives no requests until a probe was
+     * answered.
+     */
     private void hold(Duration now, String name, Entry entry) {
         entry.heldSince = now;
         held++;
-        tell(name, entry, Health.DRAINING);
+        report(name, entry, Health.DRAINING);
     }
 
     private void release(String name, Entry entry) {
         entry.heldSince = null;
-        tell(name, entry, entry.box.draining() ? Health.DRAINING : Health.UP);
+        report(name, entry, entry.runner.draining() ? Health.DRAINING : Health.UP);
     }
 
-    private void tell(String name, Entry entry, Health health) {
-        if (entry.toldHealth == health && entry.box.equals(entry.toldBox)) {
+    private void report(String name, Entry entry, Health health) {
+        if (entry.reportedHealth == health && entry.runner.equals(entry.reportedRunner)) {
             return;
         }
-        entry.toldHealth = health;
-        entry.toldBox = entry.box;
-        changes.add(new Change(name, entry.box, health));
+        entry.reportedHealth = health;
+        entry.reportedRunner = entry.runner;
+        changes.add(new Change(name, entry.runner, health));
     }
 
-    /** The changes since this was last asked. */
+    /** The changes since the previous call. */
     public List<Change> changes() {
         List<Change> all = List.copyOf(changes);
         changes.clear();
         return all;
     }
 
-    /**
-     * The held runners that are to be probed, since no answer of theirs is known yet or it is to be asked
-     * again.
-     */
+    /** The held runners. All of them are to be probed, whether or not they have answered a probe before. */
     public List<String> toProbe() {
         List<String> all = new ArrayList<>();
         entries.forEach((name, entry) -> {
@@ -258,30 +265,36 @@
         return all;
     }
 
-    /** How much of the list is to be believed: 1 while it is heard, falling evenly to 0 over the fade. */
+    /**
+     * How far the list can be trusted: 1 while connected, then falling linearly to 0 over {@link
+     * Rules#fade}.
+     */
     public double trust(Duration now) {
         if (link == Link.CONNECTED) {
             return 1;
-        } else if (heardAt == null) {
+        } else if (lastHeardAt == null) {
             return 0;
         }
-        double age = now.minus(heardAt).toNanos() / (double) rules.fade.toNanos();
+        double age = now.minus(lastHeardAt).toNanos() / (double) rules.fade.toNanos();
         return Math.max(0, 1 - age);
     }
 
-    public boolean isMassVanishing() {
-        return mass;
+    /** Whether a mass disappearance is in progress. */
+    public boolean isMassDisappearance() {
+        return massDisappearance;
     }
 
-    /** Counters: bad data, mass vanishings, runners held. */
-    public long bad() {
-        return bad;
+    /** Number of reads whose data could not be parsed. */
+    public long unreadableNodes() {
+        return unreadableNodes;
     }
 
-    public long masses() {
-        return masses;
+    /** Number of mass disappearances so far. */
+    public long massDisappearances() {
+        return massDisappearances;
     }
 
+    /** Number of times that a runner was held. */
     public long held() {
         return held;
     }
--- a/nodes/src/main/java/saltdale/nodes/standin/Journal.java
+++ b/nodes/src/main/java/saltdale/nodes/standin/Journal.java
@@ -11,83 +11,90 @@
 import java.util.List;
 import java.util.zip.CRC32C;
 import saltdale.nodes.tree.Tree.Change;
-import saltdale.nodes.wire.Malformed;
+import saltdale.nodes.wire.MalformedRecordException;
 import saltdale.nodes.wire.RecordReader;
 import saltdale.nodes.wire.RecordWriter;
 
 /**
- * What a stand-in must still know after it was killed: each record with its length and CRC32C before it,
- * synced before anything is acknowledged. Reading stops at the first record that is not whole: what comes
- * after it was never told.
+ * The log from which a stand-in recovers its state after it was killed. Each record is preceded by its
+ * length and CRC32C, and is synced before the change is acknowledged. Reading stops at the first
+ * incomplete record: nothing after it was acknowledged.
  */
 public final class Journal implements AutoCloseable {
-    /** One acknowledged thing: changes that belong together, or a session's opening or end. */
+    /** One acknowledged entry: changes that were applied together, or the opening or closing of a session. */
     public record Entry(Kind kind, List<Change> changes, long session, byte[] password, int timeoutMillis) {
-        /** What was acknowledged. */
+        /** What the entry records; written to disk by position. */
         public enum Kind {
             CHANGES,
             SESSION_OPENED,
             SESSION_CLOSED
         }
 
+        /** An entry for changes that are applied together. */
         public static Entry changes(List<Change> changes) {
             return new Entry(Kind.CHANGES, changes, 0, null, 0);
         }
 
+        /** The opening of a session. */
         public static Entry opened(long session, byte[] password, int timeoutMillis) {
             return new Entry(Kind.SESSION_OPENED, List.of(), session, password, timeoutMillis);
         }
 
-        /** The end of a session, and of its nodes with it. */
+        /** The end of a session, together with the deletion of its ephemeral nodes. */
         public static Entry closed(long session, List<Change> changes) {
             return new Entry(Kind.SESSION_CLOSED, changes, session, null, 0);
         }
 
         private byte[] record() {
             RecordWriter out = new RecordWriter()
-                    .number(kind.ordinal())
-                    .longNumber(session)
-                    .buffer(password)
-                    .number(timeoutMillis)
-                    .number(changes.size());
+                    .writeInt(kind.ordinal())
+                    .writeLong(session)
+                    .writeBuffer(password)
+                    .writeInt(timeoutMillis)
+                    .writeInt(changes.size());
             for (Change c : changes) {
-                out.longNumber(c.zxid())
-                        .number(c.kind().ordinal())
-                        .text(c.path())
-                        .buffer(c.data())
-                        .longNumber(c.owner())
-                        .longNumber(c.atMillis());
+                out.writeLong(c.zxid())
+                        .writeInt(c.kind().ordinal())
+                        .writeString(c.path())
+                        .writeBuffer(c.data())
+                        .writeLong(c.owner())
+                        .writeLong(c.atMillis());
             }
             return out.record();
         }
 
-        private static Entry read(byte[] record) throws Malformed {
+        private static Entry read(byte[] record) throws MalformedRecordException {
             RecordReader in = new RecordReader(record);
-            int kind = in.number();
+            int kind = in.readInt();
             if (kind < 0 || kind >= Kind.values().length) {
-                throw new Malformed("an entry of kind " + kind);
+                throw new MalformedRecordException("an entry of kind " + kind);
             }
-            long session = in.longNumber();
-            byte[] password = in.buffer();
-            int timeout = in.number();
-            int count = in.count(36);
+            long session = in.readLong();
+            byte[] password = in.readBuffer();
+            int timeout = in.readInt();
+            int count = in.readCount(36);
             List<Change> changes = new ArrayList<>();
             for (int i = 0; i < count; i++) {
-                long zxid = in.longNumber();
-                int what = in.number();
-                if (what < 0 || what >= Change.Kind.values().length) {
-                    throw new Malformed("a change of kind " + what);
+                long zxid = in.readLong();
+                int changeKind = in.readInt();
+                if (changeKind < 0 || changeKind >= Change.Kind.values().length) {
+                    throw new MalformedRecordException("a change of kind " + changeKind);
                 }
                 changes.add(new Change(
-                        zxid, Change.Kind.values()[what], in.path(), in.buffer(), in.longNumber(), in.longNumber()));
+                        zxid,
+                        Change.Kind.values()[changeKind],
+                        in.readPath(),
+                        in.readBuffer(),
+                        in.readLong(),
+                        in.readLong()));
             }
-            in.end();
+            in.expectEnd();
             return new Entry(Kind.values()[kind], changes, session, password, timeout);
         }
     }
 
-    private static final int HEAD = 8;
-    private static final int MOST = 16 << 20; // bytes of a record
+    private static final int HEADER_BYTES = 8;
+    private static final int MAX_RECORD_BYTES = 16 << 20;
 
     private final Path file;
     private FileChannel channel;
@@ -100,43 +107,44 @@
     }
 
     /**
-     * Opens it, or begins one; what was acknowledged is added to {@code entries}, what was not is cut off.
+     * Opens or creates the log. Acknowledged entries are added to {@code entries}; an incomplete tail is
+     * truncated.
      */
     public static Journal open(Path file, List<Entry> entries) throws IOException {
         byte[] all = Files.exists(file) ? Files.readAllBytes(file) : new byte[0];
-        int good = read(all, entries);
+        int validBytes = read(all, entries);
         FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE);
-        channel.truncate(good);
-        channel.position(good);
+        channel.truncate(validBytes);
+        channel.position(validBytes);
         channel.force(true);
-        return new Journal(file, channel, good);
+        return new Journal(file, channel, validBytes);
     }
 
-    /** Reads all whole records; how many bytes they take. */
+    /** Reads all complete records and returns the number of bytes that they occupy. */
     public static int read(byte[] all, List<Entry> entries) {
         ByteBuffer in = ByteBuffer.wrap(all);
-        while (in.remaining() >= HEAD) {
+        while (in.remaining() >= HEADER_BYTES) {
             int start = in.position();
             int size = in.getInt();
-            int sum = in.getInt();
-            if (size < 0 || size > MOST || size > in.remaining()) {
+            int expectedChecksum = in.getInt();
+            if (size < 0 || size > MAX_RECORD_BYTES || size > in.remaining()) {
                 return start;
             }
             byte[] record = new byte[size];
             in.get(record);
             try {
-                if (sum(record) != sum) {
+                if (checksum(record) != expectedChecksum) {
                     return start;
                 }
                 entries.add(Entry.read(record));
-            } catch (Malformed e) {
+            } catch (MalformedRecordException e) {
                 return start;
             }
         }
         return in.position();
     }
 
-    private static int sum(byte[] record) {
+    private static int checksum(byte[] record) {
         CRC32C crc = new CRC32C();
         crc.update(record);
         return (int) crc.getValue();
@@ -144,15 +152,15 @@
 
     private static ByteBuffer framed(Entry entry) {
         byte[] record = entry.record();
-        return ByteBuffer.allocate(HEAD + record.length)
+        return ByteBuffer.allocate(HEADER_BYTES + record.length)
                 .putInt(record.length)
-                .putInt(sum(record))
+                .putInt(checksum(record))
                 .put(record)
                 .flip();
     }
 
-    /** Once this has returned, the entry outlives a kill. */
-    public void add(Entry entry) throws IOException {
+    /** Appends an entry; once this method has returned, the entry survives a kill of the process. */
+    public void append(Entry entry) throws IOException {
         ByteBuffer bytes = framed(entry);
         length += bytes.remaining();
         while (bytes.hasRemaining()) {
@@ -161,13 +169,14 @@
         channel.force(false);
     }
 
+    /** Length of the log in bytes. */
     public long length() {
         return length;
     }
 
     /**
-     * Begins it anew with these entries alone, as a snapshot; killed at any moment, one of the two files is
-     * whole.
+     * Replaces the log by a snapshot of these entries. If the process is killed at any moment, one of the
+     * two files is complete.
      */
     public void replace(List<Entry> entries) throws IOException {
         Path next = file.resolveSibling(file.getFileName() + ".next");
--- a/nodes/src/main/java/saltdale/nodes/standin/Sessions.java
+++ b/nodes/src/main/java/saltdale/nodes/standin/Sessions.java
@@ -9,107 +9,119 @@
 import java.util.SplittableRandom;
 
 /**
- * The sessions of a stand-in: who has one, until when it lives unheard. Told the time; time-outs go by ticks.
+ * The sessions of a stand-in, with the time at which each of them expires. The time is passed in by the
+ * caller; expiry is rounded up to whole ticks.
  */
 public final class Sessions {
-    /** One session; {@code heardAt} is when its client last said anything. */
+    /** One session; {@code lastHeardAt} is the time of its client's last request. */
     public static final class Session {
         public final long id;
         public final byte[] password;
         public final Duration timeout;
-        private Duration heardAt;
+        private Duration lastHeardAt;
 
-        private Session(long id, byte[] password, Duration timeout, Duration heardAt) {
+        private Session(long id, byte[] password, Duration timeout, Duration lastHeardAt) {
             this.id = id;
             this.password = password;
             this.timeout = timeout;
-            this.heardAt = heardAt;
+            this.lastHeardAt = lastHeardAt;
         }
     }
 
     private final Duration tick;
-    private final SplittableRandom chance;
-    private final Map<Long, Session> live = new LinkedHashMap<>();
-    private long next;
+    private final SplittableRandom random;
+    private final Map<Long, Session> openSessions = new LinkedHashMap<>();
+    private long nextId;
 
-    /** Time-outs are granted from 2 to 20 ticks, as the protocol's servers do. */
-    public Sessions(Duration tick, long firstId, SplittableRandom chance) {
+    /** Session time-outs are limited to 2 to 20 ticks, as ZooKeeper servers do. */
+    public Sessions(Duration tick, long firstId, SplittableRandom random) {
         this.tick = tick;
-        this.next = firstId;
-        this.chance = chance;
+        this.nextId = firstId;
+        this.random = random;
     }
 
-    public Duration granted(Duration asked) {
-        Duration least = tick.multipliedBy(2);
-        Duration most = tick.multipliedBy(20);
-        return asked.compareTo(least) < 0 ? least : asked.compareTo(most) > 0 ? most : asked;
+    /** The time-out granted to a client that requests this one. */
+    public Duration negotiatedTimeout(Duration requested) {
+        Duration minTimeout = tick.multipliedBy(2);
+        Duration maxTimeout = tick.multipliedBy(20);
+        return requested.compareTo(minTimeout) < 0
+                ? minTimeout
+                : requested.compareTo(maxTimeout) > 0 ? maxTimeout : requested;
     }
 
-    public Session open(Duration now, Duration asked) {
+    /** Opens a new session. */
+    public Session open(Duration now, Duration requested) {
         byte[] password = new byte[16];
         for (int i = 0; i < password.length; i++) {
-            password[i] = (byte) chance.nextInt(256);
+            password[i] = (byte) random.nextInt(256);
         }
-        return add(new Session(next++, password, granted(asked), now));
+        return add(new Session(nextId++, password, negotiatedTimeout(requested), now));
     }
 
-    /** One that was open before a restart: it lives a whole time-out more. */
+    /** Restores a session that was open before a restart; its time-out starts again. */
     public Session restored(Duration now, long id, byte[] password, Duration timeout) {
-        next = Math.max(next, id + 1);
+        nextId = Math.max(nextId, id + 1);
         return add(new Session(id, password, timeout, now));
     }
 
     private Session add(Session session) {
-        live.put(session.id, session);
+        openSessions.put(session.id, session);
         return session;
     }
 
-    /** The session that a client resumes; null where it is over, or where the password is not its own. */
+    /** Resumes a session; null if it has expired or if the password does not match. */
     public Session resume(Duration now, long id, byte[] password) {
-        Session session = live.get(id);
+        Session session = openSessions.get(id);
         if (session == null || password == null || !MessageDigest.isEqual(session.password, password)) {
             return null;
         }
-        session.heardAt = now;
+        session.lastHeardAt = now;
         return session;
     }
 
+    /** The open session of this id; null if there is none. */
     public Session find(long id) {
-        return live.get(id);
+        return openSessions.get(id);
     }
 
-    public void heard(Duration now, long id) {
-        Session session = live.get(id);
+    /** Records that the client of a session was heard. */
+    public void touch(Duration now, long id) {
+        Session session = openSessions.get(id);
         if (session != null) {
-            session.heardAt = now;
+            session.lastHeardAt = now;
         }
     }
 
+    /** Removes a session. */
     public void close(long id) {
-        live.remove(id);
+        openSessions.remove(id);
     }
 
+    /** Number of open sessions. */
     public int size() {
-        return live.size();
+        return openSessions.size();
     }
 
-    /** All of them, as a snapshot keeps them. */
+    /** The entries that record all open sessions in a snapshot. */
     List<Journal.Entry> entries() {
         List<Journal.Entry> all = new ArrayList<>();
-        live.values().forEach(s -> all.add(Journal.Entry.opened(s.id, s.password, (int) s.timeout.toMillis())));
+        openSessions.values().forEach(s -> all.add(Journal.Entry.opened(s.id, s.password, (int) s.timeout.toMillis())));
         return all;
     }
 
-    /** Those that have not been heard for their time-out, rounded up to whole ticks; they are over. */
+    /**
+     * Removes and returns the sessions from which nothing was heard for their time-out, rounded up to
+     * whole ticks.
+     */
     public List<Long> expired(Duration now) {
-        List<Long> over = new ArrayList<>();
-        for (Session each : live.values()) {
-            long ticks = (each.heardAt.plus(each.timeout).toNanos() + tick.toNanos() - 1) / tick.toNanos();
+        List<Long> expiredIds = new ArrayList<>();
+        for (Session each : openSessions.values()) {
+            long ticks = (each.lastHeardAt.plus(each.timeout).toNanos() + tick.toNanos() - 1) / tick.toNanos();
             if (now.compareTo(tick.multipliedBy(ticks)) >= 0) {
-                over.add(each.id);
+                expiredIds.add(each.id);
             }
         }
-        over.forEach(live::remove);
-        return over;
+        expiredIds.forEach(openSessions::remove);
+        return expiredIds;
     }
 }
--- a/nodes/src/main/java/saltdale/nodes/tree/Tree.java
+++ b/nodes/src/main/java/saltdale/nodes/tree/Tree.java
@@ -9,20 +9,20 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.TreeSet;
+import saltdale.nodes.wire.ErrorCode;
 import saltdale.nodes.wire.Event;
-import saltdale.nodes.wire.Fault;
 import saltdale.nodes.wire.Paths;
 import saltdale.nodes.wire.Stat;
 
 /**
- * The nodes of a coordination service, without I/O or a clock. Each change has its number, the zxid, and
- * either happens whole or not at all; what it is that happens is told as plain {@link Change}s, by which the
- * same tree can be made again.
+ * The tree of nodes of a ZooKeeper server, without I/O or a clock. Each transaction has a number, the
+ * zxid, and is applied completely or not at all. Its effects are returned as plain {@link Change}s, from
+ * which the same tree can be rebuilt.
  */
 public final class Tree {
-    /** One node's change, as a log keeps it. */
+    /** A change of one node, as recorded in the log. */
     public record Change(long zxid, Kind kind, String path, byte[] data, long owner, long atMillis) {
-        /** What happened to the node. */
+        /** The kind of change; written to disk by position. */
         public enum Kind {
             CREATE,
             DELETE,
@@ -30,9 +30,9 @@
         }
     }
 
-    /** One step of a request that changes something; several are taken together or not at all. */
-    public record Step(Kind kind, String path, byte[] data, int version, boolean ephemeral, boolean sequential) {
-        /** What the step does, or checks. */
+    /** One operation of a write request; the operations of a multi are applied together or not at all. */
+    public record Operation(Kind kind, String path, byte[] data, int version, boolean ephemeral, boolean sequential) {
+        /** The kind of operation; CHECK only compares the version. */
         public enum Kind {
             CREATE,
             DELETE,
@@ -40,235 +40,255 @@
             CHECK
         }
 
-        public static Step create(String path, byte[] data, boolean ephemeral, boolean sequential) {
-            return new Step(Kind.CREATE, path, data, -1, ephemeral, sequential);
+        public static Operation create(String path, byte[] data, boolean ephemeral, boolean sequential) {
+            return new Operation(Kind.CREATE, path, data, -1, ephemeral, sequential);
         }
 
-        public static Step delete(String path, int version) {
-            return new Step(Kind.DELETE, path, null, version, false, false);
+        public static Operation delete(String path, int version) {
+            return new Operation(Kind.DELETE, path, null, version, false, false);
         }
 
-        public static Step set(String path, byte[] data, int version) {
-            return new Step(Kind.SET, path, data, version, false, false);
+        public static Operation set(String path, byte[] data, int version) {
+            return new Operation(Kind.SET, path, data, version, false, false);
         }
 
-        public static Step check(String path, int version) {
-            return new Step(Kind.CHECK, path, null, version, false, false);
+        public static Operation check(String path, int version) {
+            return new Operation(Kind.CHECK, path, null, version, false, false);
         }
     }
 
-    /** What became of a step: its fault, or the path that was created or the node as it is now. */
-    public record Result(Fault fault, String path, Stat stat) {}
+    /** Result of one operation: its error, or the created path, or the stat of the changed node. */
+    public record OperationResult(ErrorCode error, String path, Stat stat) {}
 
-    /** What became of all of them, and the events that follow. */
-    public record Taken(boolean done, List<Result> results, List<Change> changes, List<Event> events) {}
+    /** Results of all operations of a transaction, the changes made, and the watch events caused by it. */
+    public record TransactionResult(
+            boolean done, List<OperationResult> results, List<Change> changes, List<Event> events) {}
 
     private static final class Node {
         byte[] data;
-        final long created;
-        final long createdAt;
+        final long czxid;
+        final long ctimeMillis;
         final long owner;
-        long modified;
-        long modifiedAt;
-        long childrenChanged;
+        long mzxid;
+        long mtimeMillis;
+        long pzxid;
         int version;
-        int childVersion;
+        int cversion;
         final Set<String> children = new TreeSet<>();
 
         Node(byte[] data, long zxid, long atMillis, long owner) {
             this.data = data;
-            this.created = zxid;
-            this.createdAt = atMillis;
+            this.czxid = zxid;
+            this.ctimeMillis = atMillis;
             this.owner = owner;
-            modified = zxid;
-            modifiedAt = atMillis;
-            childrenChanged = zxid;
+            mzxid = zxid;
+            mtimeMillis = atMillis;
+            pzxid = zxid;
         }
 
         Stat stat() {
             return new Stat(
-                    created,
-                    modified,
-                    createdAt,
-                    modifiedAt,
+                    czxid,
+                    mzxid,
+                    ctimeMillis,
+                    mtimeMillis,
                     version,
-                    childVersion,
+                    cversion,
                     0,
                     owner,
                     data == null ? 0 : data.length,
                     children.size(),
-                    childrenChanged);
+                    pzxid);
         }
     }
 
     private final Map<String, Node> nodes = new HashMap<>();
     private final Map<Long, Set<String>> ephemerals = new TreeMap<>();
-    private final int mostData;
+    private final int maxDataBytes;
     private long zxid;
 
-    /** {@code mostData}: bytes that a node may hold. */
-    public Tree(int mostData) {
-        this.mostData = mostData;
+    /** {@code maxDataBytes}: upper bound of the data of a node. */
+    public Tree(int maxDataBytes) {
+        this.maxDataBytes = maxDataBytes;
         nodes.put("/", new Node(new byte[0], 0, 0, 0));
     }
 
+    /** The zxid of the last transaction. */
     public long zxid() {
         return zxid;
     }
 
+    /** Number of nodes, including the root. */
     public int size() {
         return nodes.size();
     }
 
-    // ---- Reading.
+    // ---- Reads.
 
-    /** Null where there is no such node. */
+    /** The stat of a node; null if it does not exist. */
     public Stat stat(String path) {
         Node node = nodes.get(path);
         return node == null ? null : node.stat();
     }
 
+    /** The data of an existing node. */
     public byte[] data(String path) {
         return nodes.get(path).data;
     }
 
+    /** Names of the children of an existing node. */
     public List<String> children(String path) {
         return List.copyOf(nodes.get(path).children);
     }
 
-    /** The nodes that go with this session. */
+    /** The ephemeral nodes owned by this session. */
     public List<String> ephemerals(long session) {
         return List.copyOf(ephemerals.getOrDefault(session, Set.of()));
     }
 
-    // ---- Changing.
+    // ---- Writes.
 
-    /** Takes all these steps as one change with one zxid, or none of them. */
-    public Taken take(List<Step> steps, long session, long atMillis) {
-        List<Result> results = new ArrayList<>();
+    /** Applies all operations as one transaction with one zxid, or none of them. */
+    public TransactionResult apply(List<Operation> operations, long session, long atMillis) {
+        List<OperationResult> results = new ArrayList<>();
         List<Change> done = new ArrayList<>();
         List<Event> events = new ArrayList<>();
         List<Runnable> undo = new ArrayList<>();
-        long next = zxid + 1;
-        for (Step step : steps) {
-            Result result = one(step, session, next, atMillis, done, events, undo);
-            if (result.fault() != Fault.OK) {
+        long nextZxid = zxid + 1;
+        for (Operation operation : operations) {
+            OperationResult result = applyOne(operation, session, nextZxid, atMillis, done, events, undo);
+            if (result.error() != ErrorCode.OK) {
                 for (int i = undo.size() - 1; i >= 0; i--) {
                     undo.get(i).run();
                 }
                 int failed = results.size();
                 results.clear();
-                // as the protocol tells it: those after it were not looked at
-                for (int i = 0; i < steps.size(); i++) {
+                // As in ZooKeeper's reply to a failed multi: the operations after the failed one were not
+                // examined.
+                for (int i = 0; i < operations.size(); i++) {
                     results.add(
                             i == failed
                                     ? result
-                                    : new Result(i < failed ? Fault.OK : Fault.RUNTIME_INCONSISTENCY, null, null));
+                                    : new OperationResult(
+                                            i < failed ? ErrorCode.OK : ErrorCode.RUNTIME_INCONSISTENCY, null, null));
                 }
-                return new Taken(false, results, List.of(), List.of());
+                return new TransactionResult(false, results, List.of(), List.of());
             }
             results.add(result);
         }
-        zxid = done.isEmpty() ? zxid : next;
-        return new Taken(true, results, done, events);
+        zxid = done.isEmpty() ? zxid : nextZxid;
+        return new TransactionResult(true, results, done, events);
     }
 
-    private Result one(
-            Step step,
+    private OperationResult applyOne(
+            Operation operation,
             long session,
-            long next,
+            long nextZxid,
             long atMillis,
             List<Change> done,
             List<Event> events,
             List<Runnable> undo) {
-        Fault fault = fault(step);
-        if (fault != Fault.OK) {
-            return new Result(fault, null, null);
+        ErrorCode error = validate(operation);
+        if (error != ErrorCode.OK) {
+            return new OperationResult(error, null, null);
         }
-        switch (step.kind()) {
+        switch (operation.kind()) {
             case CREATE -> {
-                Node parent = nodes.get(Paths.parent(step.path()));
-                String path =
-                        step.sequential() ? step.path() + String.format("%010d", parent.childVersion) : step.path();
+                Node parent = nodes.get(Paths.parent(operation.path()));
+                String path = operation.sequential()
+                        ? operation.path() + String.format("%010d", parent.cversion)
+                        : operation.path();
                 if (nodes.containsKey(path)) {
-                    return new Result(Fault.NODE_EXISTS, null, null);
+                    return new OperationResult(ErrorCode.NODE_EXISTS, null, null);
                 }
                 Change change = new Change(
-                        next, Change.Kind.CREATE, path, step.data(), step.ephemeral() ? session : 0, atMillis);
+                        nextZxid,
+                        Change.Kind.CREATE,
+                        path,
+                        operation.data(),
+                        operation.ephemeral() ? session : 0,
+                        atMillis);
                 undo.add(create(change));
                 done.add(change);
                 events.add(new Event(Event.Kind.CREATED, path));
                 events.add(new Event(Event.Kind.CHILDREN_CHANGED, Paths.parent(path)));
-                return new Result(Fault.OK, path, nodes.get(path).stat());
+                return new OperationResult(ErrorCode.OK, path, nodes.get(path).stat());
             }
             case DELETE -> {
-                Change change = new Change(next, Change.Kind.DELETE, step.path(), null, 0, atMillis);
+                Change change = new Change(nextZxid, Change.Kind.DELETE, operation.path(), null, 0, atMillis);
                 undo.add(delete(change));
                 done.add(change);
-                events.add(new Event(Event.Kind.DELETED, step.path()));
-                events.add(new Event(Event.Kind.CHILDREN_CHANGED, Paths.parent(step.path())));
-                return new Result(Fault.OK, step.path(), null);
+                events.add(new Event(Event.Kind.DELETED, operation.path()));
+                events.add(new Event(Event.Kind.CHILDREN_CHANGED, Paths.parent(operation.path())));
+                return new OperationResult(ErrorCode.OK, operation.path(), null);
             }
             case SET -> {
-                Change change = new Change(next, Change.Kind.SET, step.path(), step.data(), 0, atMillis);
+                Change change = new Change(nextZxid, Change.Kind.SET, operation.path(), operation.data(), 0, atMillis);
                 undo.add(set(change));
                 done.add(change);
-                events.add(new Event(Event.Kind.DATA_CHANGED, step.path()));
-                return new Result(Fault.OK, step.path(), nodes.get(step.path()).stat());
+                events.add(new Event(Event.Kind.DATA_CHANGED, operation.path()));
+                return new OperationResult(
+                        ErrorCode.OK,
+                        operation.path(),
+                        nodes.get(operation.path()).stat());
             }
             default -> {
-                return new Result(Fault.OK, step.path(), null);
+                return new OperationResult(ErrorCode.OK, operation.path(), null);
             }
         }
     }
 
-    private Fault fault(Step step) {
-        if (Paths.fault(step.path()) != null && !step.sequential()
-                || step.data() != null && step.data().length > mostData) {
-            return Fault.BAD_ARGUMENTS;
+    private ErrorCode validate(Operation operation) {
+        if (Paths.validationError(operation.path()) != null && !operation.sequential()
+                || operation.data() != null && operation.data().length > maxDataBytes) {
+            return ErrorCode.BAD_ARGUMENTS;
         }
-        if (step.kind() == Step.Kind.CREATE) {
-            if (Paths.fault(step.path() + (step.sequential() ? "0" : "")) != null
-                    || step.path().equals("/")) {
-                return Fault.BAD_ARGUMENTS;
+        if (operation.kind() == Operation.Kind.CREATE) {
+            if (Paths.validationError(operation.path() + (operation.sequential() ? "0" : "")) != null
+                    || operation.path().equals("/")) {
+                return ErrorCode.BAD_ARGUMENTS;
             }
-            Node parent = nodes.get(Paths.parent(step.path()));
-            return parent == null ? Fault.NO_NODE : parent.owner != 0 ? Fault.NO_CHILDREN_FOR_EPHEMERALS : Fault.OK;
+            Node parent = nodes.get(Paths.parent(operation.path()));
+            return parent == null
+                    ? ErrorCode.NO_NODE
+                    : parent.owner != 0 ? ErrorCode.NO_CHILDREN_FOR_EPHEMERALS : ErrorCode.OK;
         }
-        Node node = nodes.get(step.path());
+        Node node = nodes.get(operation.path());
         if (node == null) {
-            return Fault.NO_NODE;
-        } else if (step.version() != -1 && step.version() != node.version) {
-            return Fault.BAD_VERSION;
-        } else if (step.kind() == Step.Kind.DELETE) {
-            return step.path().equals("/") ? Fault.BAD_ARGUMENTS : node.children.isEmpty() ? Fault.OK : Fault.NOT_EMPTY;
+            return ErrorCode.NO_NODE;
+        } else if (operation.version() != -1 && operation.version() != node.version) {
+            return ErrorCode.BAD_VERSION;
+        } else if (operation.kind() == Operation.Kind.DELETE) {
+            return operation.path().equals("/")
+                    ? ErrorCode.BAD_ARGUMENTS
+                    : node.children.isEmpty() ? ErrorCode.OK : ErrorCode.NOT_EMPTY;
         }
-        return Fault.OK;
+        return ErrorCode.OK;
     }
 
-    /** A session is over: its nodes go with it, as one change. */
-    public Taken end(long session, long atMillis) {
-        List<Step> steps = new ArrayList<>();
-        ephemerals(session).forEach(path -> steps.add(Step.delete(path, -1)));
-        return take(steps, session, atMillis);
+    /** Ends a session: its ephemeral nodes are deleted in one transaction. */
+    public TransactionResult closeSession(long session, long atMillis) {
+        List<Operation> operations = new ArrayList<>();
+        ephemerals(session).forEach(path -> operations.add(Operation.delete(path, -1)));
+        return apply(operations, session, atMillis);
     }
 
-    /** Changes that make this tree's nodes and data, parents first; versions begin anew with them. */
+    /** The changes that rebuild the nodes and data of this tree, parents first. Versions start again at 0. */
     public List<Change> changes() {
         List<Change> all = new ArrayList<>();
         new TreeMap<>(nodes).forEach((path, node) -> {
             if (!path.equals("/")) {
-                all.add(new Change(node.created, Change.Kind.CREATE, path, node.data, node.owner, node.createdAt));
+                all.add(new Change(node.czxid, Change.Kind.CREATE, path, node.data, node.owner, node.ctimeMillis));
             }
         });
-        if (zxid > 0) { // so that no number comes twice
+        if (zxid > 0) { // so that no zxid is used twice
             all.add(new Change(zxid, Change.Kind.SET, "/", nodes.get("/").data, 0, 0));
         }
         return all;
     }
 
-    /** Makes a change again, as a log has it. */
-    public void again(Change change) {
+    /** Applies a change again, as recorded in the log. */
+    public void replay(Change change) {
         switch (change.kind()) {
             case CREATE -> create(change);
             case DELETE -> delete(change);
@@ -279,18 +299,18 @@
 
     private Runnable create(Change c) {
         Node parent = nodes.get(Paths.parent(c.path()));
-        long childrenChanged = parent.childrenChanged;
+        long pzxid = parent.pzxid;
         nodes.put(c.path(), new Node(c.data(), c.zxid(), c.atMillis(), c.owner()));
         parent.children.add(Paths.name(c.path()));
-        parent.childVersion++;
-        parent.childrenChanged = c.zxid();
+        parent.cversion++;
+        parent.pzxid = c.zxid();
         if (c.owner() != 0) {
             ephemerals.computeIfAbsent(c.owner(), k -> new TreeSet<>()).add(c.path());
         }
         return () -> {
             remove(c.path(), c.owner());
-            parent.childVersion--;
-            parent.childrenChanged = childrenChanged;
+            parent.cversion--;
+            parent.pzxid = pzxid;
         };
     }
 
@@ -309,15 +329,15 @@
     private Runnable delete(Change c) {
         Node node = nodes.get(c.path());
         Node parent = nodes.get(Paths.parent(c.path()));
-        long childrenChanged = parent.childrenChanged;
+        long pzxid = parent.pzxid;
         remove(c.path(), node.owner);
-        parent.childVersion++;
-        parent.childrenChanged = c.zxid();
+        parent.cversion++;
+        parent.pzxid = c.zxid();
         return () -> {
             nodes.put(c.path(), node);
             parent.children.add(Paths.name(c.path()));
-            parent.childVersion--;
-            parent.childrenChanged = childrenChanged;
+            parent.cversion--;
+            parent.pzxid = pzxid;
             if (node.owner != 0) {
                 ephemerals.computeIfAbsent(node.owner, k -> new TreeSet<>()).add(c.path());
             }
@@ -327,21 +347,21 @@
     private Runnable set(Change c) {
         Node node = nodes.get(c.path());
         byte[] data = node.data;
-        long modified = node.modified;
-        long modifiedAt = node.modifiedAt;
+        long mzxid = node.mzxid;
+        long mtimeMillis = node.mtimeMillis;
         node.data = c.data();
-        node.modified = c.zxid();
-        node.modifiedAt = c.atMillis();
+        node.mzxid = c.zxid();
+        node.mtimeMillis = c.atMillis();
         node.version++;
         return () -> {
             node.data = data;
-            node.modified = modified;
-            node.modifiedAt = modifiedAt;
+            node.mzxid = mzxid;
+            node.mtimeMillis = mtimeMillis;
             node.version--;
         };
     }
 
-    /** All that can be read of it, for comparing two trees. */
+    /** The whole readable state, for comparing two trees. */
     @Override
     public String toString() {
         StringBuilder all = new StringBuilder();
--- a/rig/src/test/java/saltdale/rig/simulate/SimulationTest.java
+++ b/rig/src/test/java/saltdale/rig/simulate/SimulationTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 import saltdale.rig.experiment.Run;
 import saltdale.rig.load.Arrivals;
-import saltdale.rig.plan.Day;
-import saltdale.rig.plan.Sheet;
+import saltdale.rig.plan.Scenario;
+import saltdale.rig.plan.TomlTable;
 
 class SimulationTest {
     private static final String BASE_DAY = """
@@ -27,8 +27,9 @@
             """;
 
     private static Simulation simulate(String text) {
-        Day day = new Day(Sheet.of("day", text));
-        return new Simulation(day, ModuleDispatcher::new, new Arrivals(day.traffic, day.jobs, day.length, day.seed))
+        Scenario day = new Scenario(TomlTable.of("day", text));
+        return new Simulation(
+                        day, ModuleDispatcher::new, new Arrivals(day.traffic, day.workloads, day.length, day.seed))
                 .run();
     }
 
@@ -85,8 +86,9 @@
     }
 
     private static Map<String, Double> figures(String text) {
-        Day day = new Day(Sheet.of("day", text));
-        return Run.simulated(day, "now", "", 0, Run.asks(day, null), null).figures();
+        Scenario day = new Scenario(TomlTable.of("day", text));
+        return Run.runSimulated(day, "now", "", 0, Run.clientRequests(day, null), null)
+                .figures();
     }
 
     @Test
@@ -139,7 +141,7 @@
         String day = trouble("slow", "part = 0.4\nsize = 10")
                 .replace("rate = 300", "rate = 350\nswing = 0")
                 .replace("name = \"w\"", "name = \"w\"\npromised = \"60ms\"");
-        Day parsedDay = new Day(Sheet.of("day", day));
+        Scenario parsedDay = new Scenario(TomlTable.of("day", day));
         Simulation randomSelection = new Simulation(
                         parsedDay,
                         (settings, actions, random) -> new BaselineDispatcher(
@@ -148,7 +150,7 @@
                                 random,
                                 BaselineDispatcher.SelectionPolicy.RANDOM,
                                 BaselineDispatcher.Defect.NONE),
-                        new Arrivals(parsedDay.traffic, parsedDay.jobs, parsedDay.length, parsedDay.seed))
+                        new Arrivals(parsedDay.traffic, parsedDay.workloads, parsedDay.length, parsedDay.seed))
                 .run();
         double moduleService = simulate(day).tally().service();
         assertTrue(
--- a/tools/src/main/java/saltdale/tools/Load.java
+++ b/tools/src/main/java/saltdale/tools/Load.java
@@ -13,16 +13,16 @@
 import saltdale.rig.experiment.Run;
 import saltdale.rig.judge.EventObserver;
 import saltdale.rig.load.Generator;
-import saltdale.rig.plan.Day;
+import saltdale.rig.plan.Scenario;
 import saltdale.rig.standin.LoopThread;
 import saltdale.rig.standin.Origin;
 
 @Command(
         name = "load",
         mixinStandardHelpOptions = true,
-        description = "Sends a day's load to dispatchers that run already, in an open loop, and prints what came back.")
+        description = "Sends a day's load to running dispatchers, in an open loop, and prints the figures.")
 final class Load implements Callable<Integer> {
-    @Parameters(paramLabel = "FILE", description = "The day, TOML.")
+    @Parameters(paramLabel = "FILE", description = "The day whose load is sent (TOML).")
     private Path file;
 
     @Option(
@@ -30,12 +30,12 @@
             required = true,
             split = ",",
             paramLabel = "ADDRESS:PORT",
-            description = "The dispatchers; numbers on loopback only.")
+            description = "The dispatchers; numeric loopback addresses only.")
     private List<String> to;
 
     @Override
     public Integer call() throws Exception {
-        Day day = Day.read(file);
+        Scenario day = Scenario.read(file);
         List<InetSocketAddress> addresses = new ArrayList<>();
         to.forEach(each -> addresses.add(StandInNodes.loopback("--to", each)));
         Origin origin = new Origin();
@@ -51,19 +51,20 @@
                     day.seed + 3,
                     "l" + origin.unixMillis,
                     start);
-            loopThread.inside(
-                    () -> generator.begin(Run.asks(day, file.toAbsolutePath().getParent(), start)));
-            Duration last =
-                    start.plus(day.length).plus(day.orders.maxClientTimeout()).plusSeconds(5);
-            while (origin.now().compareTo(last) < 0 && !generator.isOver()) {
+            loopThread.runAndWait(() -> generator.start(
+                    Run.clientRequests(day, file.toAbsolutePath().getParent(), start)));
+            Duration giveUpAt = start.plus(day.length)
+                    .plus(day.dispatcherSettings.maxClientTimeout())
+                    .plusSeconds(5);
+            while (origin.now().compareTo(giveUpAt) < 0 && !generator.isOver()) {
                 Thread.sleep(50);
             }
-            loopThread.inside(() -> generator
-                    .tally()
+            loopThread.runAndWait(() -> generator
+                    .statistics()
                     .figures()
                     .forEach((name, value) -> System.out.printf(Locale.ROOT, "%-34s %.6g%n", name, value)));
-            if (generator.isVoid() != null) {
-                System.err.println("saltdale: void: " + generator.isVoid());
+            if (generator.voidReason() != null) {
+                System.err.println("saltdale: void: " + generator.voidReason());
                 return 1;
             }
         }
