--- a/tools/src/main/java/saltdale/tools/Cost.java
+++ b/tools/src/main/java/saltdale/tools/Cost.java
@@ -21,9 +21,10 @@
 @Command(
         name = "cost",
         mixinStandardHelpOptions = true,
-        description = "CPU of the dispatcher a job, on one core, beside a bare relay of the same exchanges.")
+        description =
+                "Measures CPU time per job of the dispatcher, on one core, against a minimal relay of the same calls.")
 final class Cost implements Callable<Integer> {
-    private static final int WATCHED_S = 4;
+    private static final int TRACE_SECONDS = 4;
     private static final String DAY = """
             length = "12s"
             warm_up = "4s"
@@ -44,19 +45,25 @@
             size = {kind = "constant", mean = "2ms"}
             """;
 
-    @Option(names = "--core", defaultValue = "1", description = "The dispatcher's core (default: ${DEFAULT-VALUE}).")
+    @Option(
+            names = "--core",
+            defaultValue = "1",
+            description = "CPU core of the dispatcher (default: ${DEFAULT-VALUE}).")
     private String core;
 
-    @Option(names = "--rates", split = ",", defaultValue = "500,2000", description = "Jobs a second.")
+    @Option(names = "--rates", split = ",", defaultValue = "500,2000", description = "Jobs per second to measure at.")
     private List<Integer> rates;
 
-    @Option(names = "--repeats", defaultValue = "2", description = "Of each (default: ${DEFAULT-VALUE}).")
+    @Option(
+            names = "--repeats",
+            defaultValue = "2",
+            description = "Repeats of each measurement (default: ${DEFAULT-VALUE}).")
     private int repeats;
 
-    @Option(names = "--ceiling", description = "Also looks for the most jobs a second that keep the promised time.")
+    @Option(names = "--ceiling", description = "Also finds the highest rate at which jobs keep the promised time.")
     private boolean ceiling;
 
-    @Option(names = "--system-calls", description = "Also counts system calls a job at the first rate; wants strace.")
+    @Option(names = "--system-calls", description = "Also counts system calls per job at the first rate; needs strace.")
     private boolean systemCalls;
 
     @Option(names = "--out", defaultValue = "out/cost")
@@ -71,13 +78,13 @@
 
     @Override
     public Integer call() throws IOException {
-        Version own = Version.current("dispatcher", Main.home());
+        Version dispatcher = Version.current("dispatcher", Main.home());
         System.out.printf("%-12s %8s %10s %10s %10s %10s%n", "", "jobs/s", "us/job", "p50 ms", "p99 ms", "1000 in s");
         for (int rate : rates) {
             List<Double> ratios = new ArrayList<>();
             for (int i = 0; i < repeats; i++) {
-                double price = play(own, rate, i).get("cpu_us_per_job");
-                ratios.add(price / play(relay, rate, i).get("cpu_us_per_job"));
+                double cpuMicros = measure(dispatcher, rate, i).get("cpu_us_per_job");
+                ratios.add(cpuMicros / measure(relay, rate, i).get("cpu_us_per_job"));
             }
             System.out.printf(
                     Locale.ROOT,
@@ -89,26 +96,23 @@
                             .toList());
         }
         if (systemCalls) {
-            systemCalls(own, rates.get(0));
+            systemCalls(dispatcher, rates.get(0));
             systemCalls(relay, rates.get(0));
         }
         if (ceiling) {
-            for (Version version : List.of(own, relay)) {
-                System.out.printf(Locale.ROOT, "%s: %d jobs/s at the most%n", version.name(), most(version));
+            for (Version version : List.of(dispatcher, relay)) {
+                System.out.printf(Locale.ROOT, "%s: %d jobs/s at the most%n", version.name(), findCeiling(version));
             }
         }
         return 0;
     }
 
-    /**
-     * System calls a job, counted from outside over some seconds; being watched slows the run, so no time is
-     * taken.
-     */
+    /** Counts system calls per job with strace over some seconds; tracing slows the run, so times are not reported. */
     private void systemCalls(Version version, int rate) throws IOException {
         Scenario day = day(rate, 0);
         Path counts = out.resolve("system-calls-" + version.name() + "-" + rate + ".txt");
         Files.createDirectories(out);
-        Process[] watching = new Process[1];
+        Process[] tracer = new Process[1];
         Run.runOnSockets(
                 day,
                 version,
@@ -118,13 +122,13 @@
                 out.resolve("watched"),
                 core,
                 (share, dispatchers) -> {
-                    if (share > 0.4 && watching[0] == null) {
+                    if (share > 0.4 && tracer[0] == null) {
                         try {
-                            watching[0] = new ProcessBuilder(
+                            tracer[0] = new ProcessBuilder(
                                             "timeout",
                                             "-s",
                                             "INT",
-                                            String.valueOf(WATCHED_S),
+                                            String.valueOf(TRACE_SECONDS),
                                             "strace",
                                             "-c",
                                             "-f",
@@ -134,24 +138,26 @@
                                             String.valueOf(dispatchers.pid(0)))
                                     .start();
                         } catch (IOException e) {
-                            throw new UncheckedIOException("strace can't be started: " + e.getMessage(), e);
+                            throw new UncheckedIOException("cannot start strace: " + e.getMessage(), e);
                         }
                     }
                 });
         try {
-            watching[0].waitFor();
+            tracer[0].waitFor();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
         System.out.printf("%s at %d jobs/s, system calls a job:%n", version.name(), rate);
         for (String line : Files.readAllLines(counts)) {
-            String[] cells = line.strip().split("\\s+");
-            if (cells.length >= 5 && cells[3].matches("\\d+") && Long.parseLong(cells[3]) > rate * WATCHED_S / 50) {
+            String[] columns = line.strip().split("\\s+");
+            if (columns.length >= 5
+                    && columns[3].matches("\\d+")
+                    && Long.parseLong(columns[3]) > rate * TRACE_SECONDS / 50) {
                 System.out.printf(
                         Locale.ROOT,
                         "  %-16s %.2f%n",
-                        cells[cells.length - 1],
-                        Long.parseLong(cells[3]) / (double) (rate * WATCHED_S));
+                        columns[columns.length - 1],
+                        Long.parseLong(columns[3]) / (double) (rate * TRACE_SECONDS));
             }
         }
     }
@@ -160,19 +166,19 @@
         return new Scenario(TomlTable.of("cost", DAY).with("load.rate", rate).with("seed", repeat + 1));
     }
 
-    private int most(Version version) throws IOException {
-        int kept = 0;
+    private int findCeiling(Version version) throws IOException {
+        int highestRate = 0;
         for (int rate = 2000; rate < 100_000; rate = rate * 5 / 4) {
-            Map<String, Double> f = play(version, rate, 0);
-            if (f.get("service") < 0.99) {
-                return kept;
+            Map<String, Double> figures = measure(version, rate, 0);
+            if (figures.get("service") < 0.99) {
+                return highestRate;
             }
-            kept = rate;
+            highestRate = rate;
         }
-        return kept;
+        return highestRate;
     }
 
-    private Map<String, Double> play(Version version, int rate, int repeat) throws IOException {
+    private Map<String, Double> measure(Version version, int rate, int repeat) throws IOException {
         Scenario day = day(rate, repeat);
         Path folder = out.resolve(version.name() + "-" + rate + "-" + repeat);
         Files.createDirectories(folder);
@@ -185,17 +191,17 @@
                 folder,
                 core,
                 (share, dispatchers) -> {});
-        Map<String, Double> f = outcome.figures();
+        Map<String, Double> figures = outcome.figures();
         System.out.printf(
                 Locale.ROOT,
                 "%-12s %8d %10.0f %10.2f %10.2f %10.2f%s%n",
                 version.name(),
                 rate,
-                f.get("cpu_us_per_job"),
-                f.get("p50_ms"),
-                f.get("p99_ms"),
-                f.get("first_1000_answers_s"),
+                figures.get("cpu_us_per_job"),
+                figures.get("p50_ms"),
+                figures.get("p99_ms"),
+                figures.get("first_1000_answers_s"),
                 outcome.voidReason() == null ? "" : "  void: " + outcome.voidReason());
-        return f;
+        return figures;
     }
 }
--- a/tools/src/main/java/saltdale/tools/MeasureNodes.java
+++ b/tools/src/main/java/saltdale/tools/MeasureNodes.java
@@ -27,7 +27,7 @@
 @Command(
         name = "measure-nodes",
         mixinStandardHelpOptions = true,
-        description = "Boxes' goings, reads after a return, time and memory of the list from ephemeral nodes.")
+        description = "Measures the list from ephemeral nodes: removals, reads after a reconnect, time and memory.")
 final class MeasureNodes implements Callable<Integer> {
     private static final String PATH = "/boxes";
     private static final Duration SESSION = Duration.ofSeconds(4);
@@ -35,19 +35,22 @@
     @Option(names = "--nodes", defaultValue = "2000")
     private int nodes;
 
-    @Option(names = "--lists", defaultValue = "20", description = "Dispatchers that follow them.")
+    @Option(
+            names = "--lists",
+            defaultValue = "20",
+            description = "Number of lists that follow the nodes, one per dispatcher.")
     private int lists;
 
     @Option(names = "--goings", defaultValue = "10000")
-    private int goings;
+    private int removals;
 
     @Option(names = "--port", defaultValue = "7420")
     private int port;
 
     private EventLoop loop;
     private SocketBudget sockets;
-    private final Map<String, Long> goneAt = new HashMap<>();
-    private final Histogram late = new Histogram(60_000_000L, 3);
+    private final Map<String, Long> removedAt = new HashMap<>();
+    private final Histogram removalDelayMicros = new Histogram(60_000_000L, 3);
     private final List<Integer> up = new ArrayList<>();
     private long unexpected;
 
@@ -55,53 +58,53 @@
     public Integer call() throws IOException {
         loop = new EventLoop();
         sockets = new SocketBudget(loop, 100_000);
-        InetSocketAddress at = new InetSocketAddress("127.0.0.1", port);
+        InetSocketAddress address = new InetSocketAddress("127.0.0.1", port);
         NodeServer server = new NodeServer(loop, sockets, Duration.ofMillis(200), null, System::currentTimeMillis, 1);
-        server.listen(at);
-        NodeClient boxes = client(at);
-        make(boxes, PATH, new byte[0], false);
+        server.listen(address);
+        NodeClient client = client(address);
+        createNode(client, PATH, new byte[0], false);
         for (int i = 0; i < nodes; i++) {
-            make(boxes, PATH + "/b" + i, data(i), true);
+            createNode(client, PATH + "/b" + i, nodeData(i), true);
         }
-        until(() -> pending == 0);
-        long began = System.nanoTime();
-        long heap = heap();
-        List<NodeList> all = new ArrayList<>();
+        awaitCondition(() -> pending == 0);
+        long startedAt = System.nanoTime();
+        long heapBytes = heapBytes();
+        List<NodeList> nodeLists = new ArrayList<>();
         for (int i = 0; i < lists; i++) {
             int list = i;
             up.add(0);
             NodeList each = new NodeList(
                     loop,
                     sockets,
-                    List.of(at),
+                    List.of(address),
                     SESSION,
                     Duration.ofSeconds(1),
                     PATH,
                     new SplittableRandom(i),
-                    changes -> changes.forEach(c -> told(list, c.name(), c.health())));
-            all.add(each);
+                    changes -> changes.forEach(c -> recordChange(list, c.name(), c.health())));
+            nodeLists.add(each);
             each.start();
         }
-        until(() -> up.stream().allMatch(n -> n == nodes));
+        awaitCondition(() -> up.stream().allMatch(n -> n == nodes));
         System.out.printf(
                 Locale.ROOT,
                 "%d nodes known to %d lists after %.2f s; %.0f bytes of heap a node and list%n",
                 nodes,
                 lists,
-                (System.nanoTime() - began) / 1e9,
-                (heap() - heap) / (double) nodes / lists);
+                (System.nanoTime() - startedAt) / 1e9,
+                (heapBytes() - heapBytes) / (double) nodes / lists);
 
         long readsBefore = server.reads();
-        server.disconnect(at);
-        until(() -> all.stream().noneMatch(l -> l.membership().trust(loop.now()) == 1));
-        turn();
-        turn();
-        server.listen(at);
+        server.disconnect(address);
+        awaitCondition(() -> nodeLists.stream().noneMatch(l -> l.membership().trust(loop.now()) == 1));
+        runLoopOnce();
+        runLoopOnce();
+        server.listen(address);
         long returned = System.nanoTime();
-        until(() -> all.stream().allMatch(l -> l.membership().trust(loop.now()) == 1));
+        awaitCondition(() -> nodeLists.stream().allMatch(l -> l.membership().trust(loop.now()) == 1));
         Histogram rate = new Histogram(10_000_000L, 3);
         long[] last = {server.reads(), System.nanoTime()};
-        until(() -> {
+        awaitCondition(() -> {
             if (System.nanoTime() - last[1] > 100_000_000L) {
                 rate.recordValue(Math.max(0, (server.reads() - last[0]) * 10));
                 last[0] = server.reads();
@@ -117,69 +120,69 @@
                 rate.getMaxValue(),
                 unexpected);
 
-        until(() -> boxes.state() == NodeClient.State.CONNECTED);
-        for (int i = 0; i < goings; i++) {
+        awaitCondition(() -> client.state() == NodeClient.State.CONNECTED);
+        for (int i = 0; i < removals; i++) {
             String name = "b" + i % nodes;
             long begin = System.nanoTime();
-            goneAt.put(name, begin);
+            removedAt.put(name, begin);
             pending++;
-            boxes.delete(PATH + "/" + name, -1, (fault, nothing) -> pending--);
-            until(() -> pending == 0
+            client.delete(PATH + "/" + name, -1, (fault, nothing) -> pending--);
+            awaitCondition(() -> pending == 0
                     && up.get(lists - 1) == nodes - 1
                     && up.stream().allMatch(n -> n == nodes - 1));
-            goneAt.remove(name);
-            make(boxes, PATH + "/" + name, data(i % nodes), true);
-            until(() -> up.stream().allMatch(n -> n == nodes));
+            removedAt.remove(name);
+            createNode(client, PATH + "/" + name, nodeData(i % nodes), true);
+            awaitCondition(() -> up.stream().allMatch(n -> n == nodes));
         }
         System.out.printf(
                 Locale.ROOT,
                 "%d goings to %d lists: told after %.2f ms at the median, %.2f ms at p99.9, %.2f ms " + "at the most%n",
-                goings,
+                removals,
                 lists,
-                late.getValueAtPercentile(50) / 1e3,
-                late.getValueAtPercentile(99.9) / 1e3,
-                late.getMaxValue() / 1e3);
+                removalDelayMicros.getValueAtPercentile(50) / 1e3,
+                removalDelayMicros.getValueAtPercentile(99.9) / 1e3,
+                removalDelayMicros.getMaxValue() / 1e3);
         server.close();
-        return late.getMaxValue() <= 550_000 ? 0 : 1;
+        return removalDelayMicros.getMaxValue() <= 550_000 ? 0 : 1;
     }
 
     private int pending;
 
-    private void told(int list, String name, Health health) {
+    private void recordChange(int list, String name, Health health) {
         if (health == Health.UP) {
             up.set(list, up.get(list) + 1);
             return;
         }
         up.set(list, up.get(list) - 1);
-        Long began = goneAt.get(name);
-        if (began == null) {
+        Long startedAt = removedAt.get(name);
+        if (startedAt == null) {
             unexpected++;
         } else {
-            late.recordValue(Math.min(60_000_000L, (System.nanoTime() - began) / 1000));
+            removalDelayMicros.recordValue(Math.min(60_000_000L, (System.nanoTime() - startedAt) / 1000));
         }
     }
 
-    private NodeClient client(InetSocketAddress at) throws IOException {
-        NodeClient client =
-                new NodeClient(loop, sockets, List.of(at), SESSION, new SplittableRandom(5), new NodeClient.Listener() {
+    private NodeClient client(InetSocketAddress address) throws IOException {
+        NodeClient client = new NodeClient(
+                loop, sockets, List.of(address), SESSION, new SplittableRandom(5), new NodeClient.Listener() {
                     @Override
                     public void stateChanged(NodeClient.State state) {
-                        // asked for below
+                        // polled instead
                     }
 
                     @Override
                     public void event(Event event) {
-                        // it watches nothing
+                        // this client watches nothing
                     }
                 });
         client.start();
-        until(() -> client.state() == NodeClient.State.CONNECTED);
+        awaitCondition(() -> client.state() == NodeClient.State.CONNECTED);
         return client;
     }
 
-    private void make(NodeClient client, String path, byte[] data, boolean ephemeral) {
+    private void createNode(NodeClient client, String path, byte[] nodeData, boolean ephemeral) {
         pending++;
-        client.create(path, data, ephemeral, false, (fault, name) -> {
+        client.create(path, nodeData, ephemeral, false, (fault, name) -> {
             if (fault != ErrorCode.OK) {
                 throw new IllegalStateException(path + ": " + fault);
             }
@@ -187,26 +190,26 @@
         });
     }
 
-    private static byte[] data(int number) {
+    private static byte[] nodeData(int number) {
         return new RunnerInfo("127.0.0.1:" + (1024 + number % 60_000), "a", "m", number % 8, 1, 1000, false).data();
     }
 
-    private void turn() throws IOException {
+    private void runLoopOnce() throws IOException {
         loop.schedule(Duration.ofMillis(5), () -> {});
         loop.runOnce(() -> {});
     }
 
-    private void until(BooleanSupplier come) throws IOException {
+    private void awaitCondition(BooleanSupplier condition) throws IOException {
         long end = System.nanoTime() + 60_000_000_000L;
-        while (!come.getAsBoolean()) {
+        while (!condition.getAsBoolean()) {
             if (System.nanoTime() > end) {
-                throw new IOException("what was waited for has not come within 60 s; up: " + up);
+                throw new IOException("condition not met within 60 s; nodes up by list: " + up);
             }
-            turn();
+            runLoopOnce();
         }
     }
 
-    private static long heap() {
+    private static long heapBytes() {
         System.gc();
         return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
     }
--- a/tools/src/main/java/saltdale/tools/Platform.java
+++ b/tools/src/main/java/saltdale/tools/Platform.java
@@ -22,8 +22,13 @@
 @Command(
         name = "platform",
         mixinStandardHelpOptions = true,
-        description = "The platform front and function scaler, on loopback against a stand-in of the platform.",
-        subcommands = {Platform.TryOut.class, Platform.SoakRun.class, Platform.Standing.class, Platform.Settings.class})
+        description = "Runs the platform front and function scaler on loopback, against a stand-in for the platform.",
+        subcommands = {
+            Platform.TryCommand.class,
+            Platform.SoakCommand.class,
+            Platform.StandInCommand.class,
+            Platform.SettingsCommand.class
+        })
 final class Platform implements Callable<Integer> {
     @Override
     public Integer call() {
@@ -31,7 +36,7 @@
         return 2;
     }
 
-    /** The site, of whatever is done with it. */
+    /** Options for the size and the addresses of a deployment. */
     static final class Size {
         @Option(
                 names = "--control-nodes",
@@ -52,12 +57,12 @@
                 description = "Machines at 127.N.zone.number, runners at 127.N+1 (default: ${DEFAULT-VALUE}).")
         private int net;
 
-        Deployment site() {
-            return site(0);
+        Deployment deployment() {
+            return deployment(0);
         }
 
-        /** The same at other addresses: what an earlier one listens at in this process stays taken. */
-        Deployment site(int offset) {
+        /** The deployment at other addresses: those of an earlier one stay in use in this process. */
+        Deployment deployment(int offset) {
             try {
                 return Deployment.small(net + offset, proxies, controlNodes);
             } catch (IllegalArgumentException e) {
@@ -66,23 +71,23 @@
         }
     }
 
-    /** The build that is played, and where its files go. */
+    /** Options for the program to run and the folder for its files. */
     static final class Build {
         static final String DEFAULT = "node/target/saltdale-node.jar";
 
-        @Option(names = "--jar", paramLabel = "FILE", description = "The program (default: " + DEFAULT + ").")
+        @Option(names = "--jar", paramLabel = "FILE", description = "The program to run (default: " + DEFAULT + ").")
         private Path jar;
 
         @Option(
                 names = "--out",
                 defaultValue = "out/platform",
-                description = "Where settings, disks and logs go (default: ${DEFAULT-VALUE}).")
+                description = "Folder for settings, disks and logs (default: ${DEFAULT-VALUE}).")
         private Path out;
 
         Path jar() {
             Path file = jar == null ? Main.home().resolve(DEFAULT) : jar;
             if (!Files.isReadable(file)) {
-                throw new InvalidInputException("--jar: there is no " + file + "; build it or name another");
+                throw new InvalidInputException("--jar: cannot read " + file + "; build it or name another file");
             }
             return file;
         }
@@ -91,44 +96,50 @@
     @Command(
             name = "try",
             mixinStandardHelpOptions = true,
-            description =
-                    "Starts the stand-in and the real processes, sends calls, kills a proxy, and judges from outside.")
-    static final class TryOut implements Callable<Integer> {
+            description = "Starts the stand-in and real processes, sends calls, kills a proxy, and checks the results.")
+    static final class TryCommand implements Callable<Integer> {
         @Mixin
         private Size size;
 
         @Mixin
         private Build build;
 
-        @Option(names = "--seconds", defaultValue = "15", description = "Of traffic (default: ${DEFAULT-VALUE}).")
+        @Option(
+                names = "--seconds",
+                defaultValue = "15",
+                description = "Duration of the traffic (default: ${DEFAULT-VALUE}).")
         private int seconds;
 
-        @Option(names = "--rate", defaultValue = "60", description = "Calls a second (default: ${DEFAULT-VALUE}).")
+        @Option(names = "--rate", defaultValue = "60", description = "Calls per second (default: ${DEFAULT-VALUE}).")
         private double rate;
 
         @Option(
                 names = "--fault",
                 paramLabel = "lost|garbled|cut|extra=SHARE",
-                description = "Share of the answers that runners spoil in the second half; may be repeated.")
+                description = "Share of responses that runners corrupt in the second half; may be repeated.")
         private Map<String, Double> faults = Map.of();
 
-        @Option(names = "--drain-worker", description = "A worker is emptied half-way.")
+        @Option(names = "--drain-worker", description = "Drains a worker half-way.")
         private boolean drain;
 
-        @Option(names = "--crash-worker", description = "A worker crashes half-way, and comes back empty.")
+        @Option(names = "--crash-worker", description = "Crashes a worker half-way; it comes back empty.")
         private boolean crash;
 
-        @Option(names = "--seed", defaultValue = "1", description = "Of all chance (default: ${DEFAULT-VALUE}).")
+        @Option(
+                names = "--seed",
+                defaultValue = "1",
+                description = "Seed of all random choices (default: ${DEFAULT-VALUE}).")
         private long seed;
 
         @Override
         public Integer call() throws Exception {
             if (seconds < 1 || !(rate > 0)) {
-                throw new InvalidInputException("--seconds and --rate: wanted over 0");
+                throw new InvalidInputException("--seconds and --rate: expected values over 0");
             }
             Path jar = build.jar();
             EndToEndRun.Scenario day = new EndToEndRun.Scenario(seconds, rate, drain, crash);
-            return EndToEndRun.run(size.site(), day, jar, build.out, new RunnerFaults(kinds(), seed), seed, System.out)
+            return EndToEndRun.run(
+                            size.deployment(), day, jar, build.out, new RunnerFaults(kinds(), seed), seed, System.out)
                     ? 0
                     : 1;
         }
@@ -139,7 +150,7 @@
                 try {
                     kinds.put(RunnerFaults.Kind.valueOf(name.toUpperCase(java.util.Locale.ROOT)), share);
                 } catch (IllegalArgumentException e) {
-                    throw new InvalidInputException("--fault: there is no " + name);
+                    throw new InvalidInputException("--fault: unknown kind " + name);
                 }
             });
             return kinds;
@@ -149,9 +160,9 @@
     @Command(
             name = "soak",
             mixinStandardHelpOptions = true,
-            description = "Real processes under troubles that overlap, operators at work all the while; many seeds.")
-    static final class SoakRun implements Callable<Integer> {
-        private static final int MOST_SEEDS = 50;
+            description = "Runs real processes under overlapping faults and configuration changes, for many seeds.")
+    static final class SoakCommand implements Callable<Integer> {
+        private static final int MAX_SEEDS = 50;
 
         @Mixin
         private Size size;
@@ -159,25 +170,31 @@
         @Mixin
         private Build build;
 
-        @Option(names = "--seeds", defaultValue = "1", description = "How many are played (default: ${DEFAULT-VALUE}).")
+        @Option(
+                names = "--seeds",
+                defaultValue = "1",
+                description = "Number of seeds to run (default: ${DEFAULT-VALUE}).")
         private int seeds;
 
-        @Option(names = "--seed", defaultValue = "1", description = "The first one (default: ${DEFAULT-VALUE}).")
+        @Option(names = "--seed", defaultValue = "1", description = "The first seed (default: ${DEFAULT-VALUE}).")
         private long seed;
 
-        @Option(names = "--bouts", defaultValue = "5", description = "Of troubles, a seed (default: ${DEFAULT-VALUE}).")
+        @Option(
+                names = "--bouts",
+                defaultValue = "5",
+                description = "Rounds of faults per seed (default: ${DEFAULT-VALUE}).")
         private int bouts;
 
         @Override
         public Integer call() throws Exception {
-            if (seeds < 1 || seeds > MOST_SEEDS || bouts < 1) {
-                throw new InvalidInputException("--seeds: wanted 1 to " + MOST_SEEDS + "; --bouts: wanted over 0");
+            if (seeds < 1 || seeds > MAX_SEEDS || bouts < 1) {
+                throw new InvalidInputException("--seeds: expected 1 to " + MAX_SEEDS + "; --bouts: expected over 0");
             }
             List<String> program = List.of("-jar", build.jar().toAbsolutePath().toString());
             int failed = 0;
             for (int i = 0; i < seeds; i++) {
                 Path folder = build.out.resolve("seed-" + (seed + i));
-                boolean passed = Soak.run(size.site(2 * i), program, folder, bouts, seed + i, System.out);
+                boolean passed = Soak.run(size.deployment(2 * i), program, folder, bouts, seed + i, System.out);
                 failed += passed ? 0 : 1;
             }
             System.out.println(seeds + " seeds, " + failed + " failed");
@@ -188,31 +205,34 @@
     @Command(
             name = "stand-in",
             mixinStandardHelpOptions = true,
-            description = "Stands in for the platform and its runners until it is told to end.")
-    static final class Standing implements Callable<Integer> {
+            description = "Stands in for the platform and its runners until it is stopped.")
+    static final class StandInCommand implements Callable<Integer> {
         @Mixin
         private Size size;
 
         @Option(
                 names = "--configure",
-                description = "Sends the first configuration to the control nodes until it is taken.")
+                description = "Sends the first configuration to the control nodes until one accepts it.")
         private boolean configure;
 
-        @Option(names = "--calls", paramLabel = "FILE", description = "Takes a line for each call of the platform.")
+        @Option(
+                names = "--calls",
+                paramLabel = "FILE",
+                description = "File that gets a line for each call to the platform.")
         private Path calls;
 
         @Option(
                 names = "--for",
                 paramLabel = "SPAN",
                 defaultValue = "1h",
-                description = "Ends by itself after this long (default: ${DEFAULT-VALUE}).")
+                description = "Exits after this time (default: ${DEFAULT-VALUE}).")
         private String length;
 
         @Override
         public Integer call() throws Exception {
-            Deployment site = size.site();
-            try (PlatformStandIn standIn = new PlatformStandIn(site, new RunnerFaults(Map.of(), 1), 1, calls)) {
-                System.out.println("platform at " + site.platformAddress());
+            Deployment deployment = size.deployment();
+            try (PlatformStandIn standIn = new PlatformStandIn(deployment, new RunnerFaults(Map.of(), 1), 1, calls)) {
+                System.out.println("platform at " + deployment.platformAddress());
                 if (configure) {
                     standIn.sendFirstConfiguration(
                             status -> System.out.println("configuration answered with " + status));
@@ -226,8 +246,8 @@
     @Command(
             name = "settings",
             mixinStandardHelpOptions = true,
-            description = "Writes the settings files of a first start, and prints the commands that use them.")
-    static final class Settings implements Callable<Integer> {
+            description = "Writes the settings files for a first start, and prints the commands that use them.")
+    static final class SettingsCommand implements Callable<Integer> {
         @Mixin
         private Size size;
 
@@ -237,7 +257,7 @@
         @Override
         public Integer call() throws Exception {
             Path jar = build.jar == null ? Main.home().resolve(Build.DEFAULT) : build.jar;
-            NodeProcesses processes = new NodeProcesses(size.site(), jar, build.out);
+            NodeProcesses processes = new NodeProcesses(size.deployment(), jar, build.out);
             for (Map.Entry<Machine, Path> each : processes.writeSettings().entrySet()) {
                 System.out.println(
                         "SALTDALE_BOOT=" + each.getValue() + " " + String.join(" ", processes.command(each.getKey())));
--- a/tools/src/main/java/saltdale/tools/Prove.java
+++ b/tools/src/main/java/saltdale/tools/Prove.java
@@ -9,7 +9,7 @@
 @Command(
         name = "prove",
         mixinStandardHelpOptions = true,
-        description = "Proves the judge: dispatchers that are wrong in one way each are caught, right ones pass.")
+        description = "Tests the judge: it must catch dispatchers with one defect each, and pass correct ones.")
 final class Prove implements Callable<Integer> {
     @Override
     public Integer call() {
--- a/tools/src/main/java/saltdale/tools/Register.java
+++ b/tools/src/main/java/saltdale/tools/Register.java
@@ -23,26 +23,39 @@
         name = "register",
         mixinStandardHelpOptions = true,
         description = {
-            "Holds the ephemeral node of a box that can't itself, through expiries of its session.",
-            "SIGTERM takes the node away; SIGUSR2 marks it as draining."
+            "Keeps the ephemeral node of a runner that cannot do so itself, also after its session expires.",
+            "SIGTERM removes the node; SIGUSR2 marks it as draining."
         })
 final class Register implements Callable<Integer> {
     private static final Logger LOG = LoggerFactory.getLogger(Register.class);
 
-    @Option(names = "--to", required = true, split = ",", paramLabel = "ADDRESS:PORT", description = "The service.")
+    @Option(
+            names = "--to",
+            required = true,
+            split = ",",
+            paramLabel = "ADDRESS:PORT",
+            description = "Servers of the coordination service.")
     private List<String> to;
 
-    @Option(names = "--node", required = true, paramLabel = "PATH", description = "Such as /boxes/b1.")
+    @Option(
+            names = "--node",
+            required = true,
+            paramLabel = "PATH",
+            description = "Path of the node, such as /boxes/b1.")
     private String node;
 
-    @Option(names = "--dial", required = true, paramLabel = "ADDRESS:PORT", description = "Where the box listens.")
+    @Option(
+            names = "--dial",
+            required = true,
+            paramLabel = "ADDRESS:PORT",
+            description = "Address at which the runner listens.")
     private String dial;
 
     @Option(names = "--site", defaultValue = "")
     private String site;
 
-    @Option(names = "--class", defaultValue = "", description = "Its kind of machine.")
-    private String kind;
+    @Option(names = "--class", defaultValue = "", description = "Machine class of the runner.")
+    private String machineClass;
 
     @Option(names = "--block", defaultValue = "0")
     private int block;
@@ -50,23 +63,26 @@
     @Option(
             names = "--born",
             defaultValue = "0",
-            description = "When its process started, Unix time in ms (0: long ago).")
+            description = "Start time of its process, Unix time in ms (0: long ago).")
     private long born;
 
-    @Option(names = "--session", defaultValue = "6s", description = "Time-out to ask for (default: ${DEFAULT-VALUE}).")
+    @Option(
+            names = "--session",
+            defaultValue = "6s",
+            description = "Session timeout to request (default: ${DEFAULT-VALUE}).")
     private String session;
 
     @Override
     public Integer call() throws Exception {
         if (Address.parse(dial) == null) {
-            throw new InvalidInputException("--dial: " + dial + " is no numeric address with a port");
+            throw new InvalidInputException("--dial: " + dial + " is not a numeric address with a port");
         } else if (Paths.validationError(node) != null) {
             throw new InvalidInputException("--node: a path that " + Paths.validationError(node));
         }
         List<InetSocketAddress> servers = new ArrayList<>();
         to.forEach(each -> servers.add(StandInNodes.loopback("--to", each)));
         EventLoop loop = new EventLoop();
-        RunnerInfo box = new RunnerInfo(dial, site, kind, block, 1, born, false);
+        RunnerInfo box = new RunnerInfo(dial, site, machineClass, block, 1, born, false);
         Registration registration = new Registration(
                 loop,
                 new SocketBudget(loop, 64),
@@ -78,26 +94,27 @@
         registration.start();
         Signal.handle(
                 new Signal("USR2"),
-                s -> loop.execute(() -> registration.update(new RunnerInfo(dial, site, kind, block, 1, born, true))));
+                s -> loop.execute(
+                        () -> registration.update(new RunnerInfo(dial, site, machineClass, block, 1, born, true))));
         for (String signal : List.of("TERM", "INT")) {
             Signal.handle(new Signal(signal), s -> loop.execute(() -> registration.close(loop::stop)));
         }
-        say(loop, registration, null);
+        logChanges(loop, registration, null);
         loop.run(() -> {});
         return 0;
     }
 
-    /** A line whenever it holds its node or does no more. */
-    private static void say(EventLoop loop, Registration registration, String last) {
-        String now = registration.isHeld()
-                ? "its node is there"
+    /** Logs a line whenever the state of the registration changes. */
+    private static void logChanges(EventLoop loop, Registration registration, String lastState) {
+        String state = registration.isHeld()
+                ? "the node is registered"
                 : registration.failureReason() == null
-                        ? "no node; the service is "
+                        ? "the node is not registered; service state: "
                                 + registration.state().name().toLowerCase()
                         : registration.failureReason();
-        if (!now.equals(last)) {
-            LOG.info("{}", now);
+        if (!state.equals(lastState)) {
+            LOG.info("{}", state);
         }
-        loop.schedule(Duration.ofMillis(100), () -> say(loop, registration, now));
+        loop.schedule(Duration.ofMillis(100), () -> logChanges(loop, registration, state));
     }
 }
--- a/tools/src/main/java/saltdale/tools/Reporting.java
+++ b/tools/src/main/java/saltdale/tools/Reporting.java
@@ -14,7 +14,7 @@
 @Command(
         name = "report",
         mixinStandardHelpOptions = true,
-        description = "Prints the figures that an experiment left in a folder, and draws its report.html anew.")
+        description = "Prints the figures of an experiment from its results folder, and rewrites its report.html.")
 final class Reporting implements Callable<Integer> {
     @Parameters(paramLabel = "DIR")
     private Path folder;
@@ -23,7 +23,7 @@
     public Integer call() throws Exception {
         Path results = folder.resolve("results.json");
         if (!Files.isReadable(results)) {
-            throw new InvalidInputException(folder + ": holds no results.json of an experiment");
+            throw new InvalidInputException(folder + ": contains no readable results.json of an experiment");
         }
         JsonNode root = new ObjectMapper().readTree(results.toFile());
         for (JsonNode run : root.path("runs")) {
--- a/tools/src/main/java/saltdale/tools/StandIn.java
+++ b/tools/src/main/java/saltdale/tools/StandIn.java
@@ -91,7 +91,8 @@
     }
 
     /** Without runners in this process, applies the changes of the day's troubles directly to the list. */
-    private static void scheduleListChanges(LoopThread loopThread, Scenario day, Origin origin, RunnerStateListener list) {
+    private static void scheduleListChanges(
+            LoopThread loopThread, Scenario day, Origin origin, RunnerStateListener list) {
         for (TroubleSchedule.ScheduledAction scheduled : new TroubleSchedule(day.troubles).scheduledActions()) {
             boolean noticedLate = scheduled.action() == TroubleSchedule.Action.CRASH
                     || scheduled.action() == TroubleSchedule.Action.VANISH;
--- a/tools/src/test/java/saltdale/tools/FaultsTest.java
+++ b/tools/src/test/java/saltdale/tools/FaultsTest.java
@@ -18,8 +18,8 @@
 import saltdale.rig.plan.TomlTable;
 
 /**
- * Real processes of the dispatcher before stand-in runners, with faults of the processes and of the ways between. The
- * judge goes by what clients, runners and the list have seen. Invariants only: how well it is done is for experiments.
+ * Real dispatcher processes with stand-in runners, under faults of processes and links. The judge uses what clients,
+ * runners and the list observed. Only invariants are checked here; experiments measure the quality of service.
  */
 @Timeout(120)
 class FaultsTest {
@@ -61,12 +61,12 @@
     @TempDir
     Path folder;
 
-    private Map<String, Double> played(String more) throws IOException {
-        return played(DAY, more);
+    private Map<String, Double> run(String extraLines) throws IOException {
+        return run(DAY, extraLines);
     }
 
-    private Map<String, Double> played(String text, String more) throws IOException {
-        Scenario day = new Scenario(TomlTable.of("faults", text + more));
+    private Map<String, Double> run(String text, String extraLines) throws IOException {
+        Scenario day = new Scenario(TomlTable.of("faults", text + extraLines));
         RunResult outcome = Run.runOnSockets(
                 day,
                 Version.current("now", Path.of("..")),
@@ -81,10 +81,10 @@
         return outcome.figures();
     }
 
-    /** Bound work stays where it may run, also while all of that is down; what was turned away may have run. */
+    /** Jobs bound to a zone or kind never run elsewhere, even while all of it is down; rejected jobs may have run. */
     @Test
-    void placementAndFullThatProvesNothing() throws IOException {
-        Map<String, Double> figures = played(
+    void placementIsKeptWhenARejectionDoesNotProveNonExecution() throws IOException {
+        Map<String, Double> figures = run(
                 DAY.replace("name = \"view\"", "name = \"view\"\nzones = [\"a\"]")
                         .replace("name = \"rebuild\"", "name = \"rebuild\"\nkinds = [\"wide\"]")
                         .replace(
@@ -93,26 +93,27 @@
                 trouble("late-shed", "at = \"1s\"; length = \"6s\"; part = 1.0; size = 0.3")
                         + trouble("crash", "at = \"3s\"; length = \"2s\"; runners = [0, 2, 4]")
                         + trouble("way-reset", "at = \"5s\"; length = \"1s\"; runners = [1, 3]; dispatchers = [0]"));
-        assertTrue(
-                figures.get("given_up_share") > 0, "effectful work that was turned away can't be answered otherwise");
+        assertTrue(figures.get("given_up_share") > 0, "rejected effectful jobs can only be given up");
     }
 
-    private static String trouble(String kind, String more) {
-        return "[[trouble]]\nkind = \"" + kind + "\"\n" + more.replace("; ", "\n") + "\n";
+    private static String trouble(String kind, String extraLines) {
+        return "[[trouble]]\nkind = \"" + kind + "\"\n" + extraLines.replace("; ", "\n") + "\n";
     }
 
     @Test
-    void processesStoppedSlowedKilledAndStartedAgainInTheMidst() throws IOException {
-        Map<String, Double> figures = played(trouble("dispatcher-stop", "at = \"2s\"; length = \"2s\"; runners = [0]")
+    void survivesPausedSlowedKilledAndRestartedProcesses() throws IOException {
+        Map<String, Double> figures = run(trouble("dispatcher-stop", "at = \"2s\"; length = \"2s\"; runners = [0]")
                 + trouble("dispatcher-slow", "at = \"1s\"; length = \"3s\"; runners = [1]; size = 0.6")
                 + trouble("dispatcher-restart", "at = \"1s\"; length = \"1s\"; runners = [2]")
                 + trouble("dispatcher-kill", "at = \"5s\"; length = \"1s\"; runners = [1]"));
-        assertTrue(figures.get("requests_answered") < figures.get("requests"), "a stop of 2 s outlasts some patience");
+        assertTrue(
+                figures.get("requests_answered") < figures.get("requests"),
+                "a stop of 2 s exceeds some client timeouts");
     }
 
     @Test
-    void waysResetSilentOneSidedLateSlowAndFlapping() throws IOException {
-        Map<String, Double> figures = played(trouble(
+    void survivesResetSilentOneSidedDelayedSlowAndFlappingLinks() throws IOException {
+        Map<String, Double> figures = run(trouble(
                         "way-silent", "at = \"1s\"; length = \"2s\"; zone = \"a\"; dispatchers = [0]")
                 + trouble("way-reset", "at = \"1500ms\"; length = \"2s\"; runners = [1, 2]; dispatchers = [1]")
                 + trouble("way-one-sided", "at = \"2s\"; length = \"2s\"; runners = [3]; size = 1")
--- a/tools/src/test/java/saltdale/tools/LayersTest.java
+++ b/tools/src/test/java/saltdale/tools/LayersTest.java
@@ -9,7 +9,7 @@
 import com.tngtech.archunit.junit.ArchTest;
 import com.tngtech.archunit.lang.ArchRule;
 
-/** The layers of docs/architecture.md. */
+/** Checks the layers described in docs/architecture.md, and that pure logic has no dependency on I/O. */
 @AnalyzeClasses(packages = "saltdale", importOptions = DoNotIncludeTests.class)
 class LayersTest {
     @ArchTest
@@ -93,7 +93,7 @@
             .mayOnlyBeAccessedByLayers("routing", "program", "sim", "main");
 
     @ArchTest
-    static final ArchRule DECISIONS_KNOW_NO_IO = noClasses()
+    static final ArchRule DECISIONS_DO_NO_IO = noClasses()
             .that()
             .resideInAnyPackage(
                     "saltdale.decision",
@@ -116,7 +116,7 @@
             .resideInAnyPackage("java.net..", "java.nio.channels..", "saltdale.transport");
 
     @ArchTest
-    static final ArchRule MEMBERSHIP_KNOWS_NO_SOCKETS = noClasses()
+    static final ArchRule MEMBERSHIP_USES_NO_SOCKETS = noClasses()
             .that()
             .resideInAnyPackage("saltdale.nodes.membership", "saltdale.nodes.tree", "saltdale.nodes.wire")
             .should()
@@ -130,7 +130,7 @@
                     "saltdale.nodes.standin");
 
     @ArchTest
-    static final ArchRule ROLES_KNOW_NO_IO_AND_NO_CLOCK = noClasses()
+    static final ArchRule ROLES_USE_NO_IO_AND_NO_CLOCK = noClasses()
             .that()
             .resideInAnyPackage("saltdale.control", "saltdale.control.message", "saltdale.proxy")
             .should()
@@ -148,5 +148,6 @@
                     "saltdale.node");
 
     @ArchTest
-    static final ArchRule NO_RINGS = slices().matching("saltdale.(*)").should().beFreeOfCycles();
+    static final ArchRule NO_DEPENDENCY_CYCLES =
+            slices().matching("saltdale.(*)").should().beFreeOfCycles();
 }
--- a/tools/src/test/java/saltdale/tools/OverloadTest.java
+++ b/tools/src/test/java/saltdale/tools/OverloadTest.java
@@ -20,8 +20,8 @@
 import saltdale.rig.plan.TomlTable;
 
 /**
- * Overloads met by levels, in real processes with faults between them, as clients, runners and the list see them. What
- * must hold whatever the machine does: no rule broken, nobody died, and no more level changes than the terms allow.
+ * Overload levels in real processes with faults, observed by clients, runners and the list. Checks only what must hold on
+ * any machine: no rule broken, no process died, and no more level changes than the limit allows.
  */
 @Timeout(120)
 class OverloadTest {
@@ -82,7 +82,7 @@
                 "the list silent, a third of them lost  | 1.8 | receipted | list-silent; at = '1s'; length = '4s' & crash; at = '2s'; length = '2s'; part = 0.34",
                 "seven in ten killed in the peak        | 1.8 | receipted | dispatcher-kill; at = '2s'; length = '2s'; part = 0.7",
             })
-    void rulesHold(String name, String load, String repeat, String troubles) throws IOException {
+    void keepsTheRulesUnderOverload(String name, String load, String repeat, String troubles) throws IOException {
         StringBuilder text = new StringBuilder(DAY.formatted(load, repeat));
         for (String each : troubles.replace('\'', '"').split(" & ")) {
             text.append(trouble(each));
--- a/tools/src/test/java/saltdale/tools/SoakTest.java
+++ b/tools/src/test/java/saltdale/tools/SoakTest.java
@@ -14,8 +14,8 @@
 import saltdale.rig.platform.live.Soak;
 
 /**
- * The short form of {@code saltdale platform soak}: real processes of the platform on real sockets, under troubles that
- * overlap, judged by invariants alone.
+ * The short form of {@code saltdale platform soak}: real processes of the platform on real sockets, under
+ * overlapping faults, checked by invariants only.
  */
 @Timeout(150)
 class SoakTest {
@@ -27,9 +27,9 @@
     @Test
     void nothingAcknowledgedIsLostOrLate() throws Exception {
         List<String> program = List.of("-cp", System.getProperty("java.class.path"), "saltdale.node.Main");
-        ByteArrayOutputStream told = new ByteArrayOutputStream();
-        PrintStream out = new PrintStream(told, true, StandardCharsets.UTF_8);
+        ByteArrayOutputStream output = new ByteArrayOutputStream();
+        PrintStream out = new PrintStream(output, true, StandardCharsets.UTF_8);
         boolean passed = Soak.run(Deployment.small(NET, 2, 3), program, folder, 1, 1, out);
-        assertTrue(passed, told.toString(StandardCharsets.UTF_8));
+        assertTrue(passed, output.toString(StandardCharsets.UTF_8));
     }
 }
