--- a/experiments/platform/troubles.py
+++ b/experiments/platform/troubles.py
@@ -1,6 +1,6 @@
-"""Troubles of the control side and of all else, with their variants, as fields of an entry besides 'at' and 'kind'."""
+"""Troubles of the control side and of other parts: the fields of each variant of an entry, except 'at' and 'kind'."""
 
-# Of the control side: kind -> variants.
+# Troubles of the control side: kind -> variants.
 CONTROL = {
     "core_cut": [
         'count = 1, for_s = 5, how = "leader race hard"',
@@ -75,7 +75,7 @@
     'kind = "wipe_after_ack", down_s = 1.0, how = "taken"',
 ]
 
-# Variants of the same that only the mixes draw.
+# Further variants, drawn only by `mixes` and `longs`.
 MORE_CONTROL = {
     "core_cut": [
         'count = 1, for_s = 5, how = "all"',
@@ -100,7 +100,7 @@
         for how in ("same_place", "no_weight", "no_timeout", "stale_match", "shared_key")
     ],
 }
-# Of proxies, instances, workers and clients.
+# Troubles of proxies, instances, workers and clients.
 OTHER = {
     "node_cut": [
         "share = 0.2, for_s = 5",
--- a/rig/src/test/java/saltdale/rig/standin/StandInFleetTest.java
+++ b/rig/src/test/java/saltdale/rig/standin/StandInFleetTest.java
@@ -46,7 +46,7 @@
     private Socket jobSocket;
     private ServerSocket dispatcher;
 
-    /** Starts a fleet with this trouble from the beginning, and a dispatcher that records the job reports it receives. */
+    /** Starts a fleet with this trouble from the start, and a dispatcher that records the reports it receives. */
     private void fleet(String kind, String extraLines) throws IOException {
         fleet(kind, "1h", extraLines);
     }
