--- a/rig/src/main/java/saltdale/rig/experiment/DispatcherProcesses.java
+++ b/rig/src/main/java/saltdale/rig/experiment/DispatcherProcesses.java
@@ -235,7 +235,8 @@
     }
 
     /**
-     * Restarts a dispatcher. One that is still shutting down gets some time to exit before it is killed, as on a platform.
+     * Restarts a dispatcher. One that is still shutting down gets some time to exit before it is killed, as on a
+     * platform.
      */
     public void restart(int i) {
         Dispatcher dispatcher = dispatchers.get(i);
--- a/rig/src/main/java/saltdale/rig/load/Generator.java
+++ b/rig/src/main/java/saltdale/rig/load/Generator.java
@@ -24,8 +24,8 @@
 import saltdale.transport.Timer;
 
 /**
- * An open-loop load generator on sockets: each request is sent at its intended time, however earlier ones ended. The lag
- * behind the intended times is measured; a run with too much lag is void.
+ * An open-loop load generator on sockets: each request is sent at its intended time, however earlier ones ended. The
+ * lag behind the intended times is measured; a run with too much lag is void.
  */
 public final class Generator {
     private static final Duration CONNECT_LIMIT = Duration.ofSeconds(1);
--- a/rig/src/main/java/saltdale/rig/load/OverloadFigures.java
+++ b/rig/src/main/java/saltdale/rig/load/OverloadFigures.java
@@ -9,8 +9,8 @@
 import saltdale.rig.plan.Scenario;
 
 /**
- * Figures on the effects of an overload: the service compared with the attainable one, the recovery after the end of the
- * cause, and the balance among dispatchers.
+ * Figures on the effects of an overload: the service compared with the attainable one, the recovery after the end of
+ * the cause, and the balance among dispatchers.
  */
 public final class OverloadFigures {
     private static final double RECOVERED_SHARE = 0.98; // of the service before the peak
@@ -45,8 +45,8 @@
     }
 
     /**
-     * The share of the offered importance that would be served if the work with the most importance per second ran first
-     * and no capacity was lost.
+     * The share of the offered importance that would be served if the work with the most importance per second ran
+     * first and no capacity was lost.
      */
     static double attainableShare(RequestStatistics statistics, double workCapacity) {
         List<RequestStatistics.Row> rows = new ArrayList<>();
--- a/rig/src/main/java/saltdale/rig/load/Trace.java
+++ b/rig/src/main/java/saltdale/rig/load/Trace.java
@@ -19,8 +19,8 @@
  * seconds since the start of the trace, the name of the workload, {@code size} in seconds of work.
  *
  * <p>Scaling by 2 sends twice as many requests in the same time: each arrival is repeated as the factor says, and the
- * repetitions are spread over the gap to the next arrival. The fraction of a factor that is not whole is carried over, so
- * that only some arrivals get one more. Splicing moves a section to another time: {@code "10s..20s@5s"} moves the
+ * repetitions are spread over the gap to the next arrival. The fraction of a factor that is not whole is carried over,
+ * so that only some arrivals get one more. Splicing moves a section to another time: {@code "10s..20s@5s"} moves the
  * arrivals from 10 s to 20 s to 5 s.
  */
 public final class Trace {
--- a/rig/src/main/java/saltdale/rig/plan/RunnerType.java
+++ b/rig/src/main/java/saltdale/rig/plan/RunnerType.java
@@ -65,7 +65,9 @@
                 table.bool("cancel_stops", true));
     }
 
-    /** A type without queueing discipline other than FIFO, warm-up or report delay, for tests against closed formulas. */
+    /**
+     * A type without queueing discipline other than FIFO, warm-up or report delay, for tests against closed formulas.
+     */
     public static RunnerType plain(int cores, int queue) {
         return new RunnerType(
                 "plain",
--- a/rig/src/main/java/saltdale/rig/plan/Scenario.java
+++ b/rig/src/main/java/saltdale/rig/plan/Scenario.java
@@ -266,8 +266,8 @@
     }
 
     /**
-     * The longest time that a client can take: all its tries, each with the client timeout, and the delays between them.
-     * A request counts as unanswered only after this time.
+     * The longest time that a client can take: all its tries, each with the client timeout, and the delays between
+     * them. A request counts as unanswered only after this time.
      */
     public Duration maxClientTime() {
         int tries = traffic.retries() + 1;
--- a/rig/src/main/java/saltdale/rig/plan/Trouble.java
+++ b/rig/src/main/java/saltdale/rig/plan/Trouble.java
@@ -47,7 +47,9 @@
         CRASH(0, 0, 0, 0),
         /** The machine stops responding while connections stay open; it restarts cold. */
         VANISH(0, 0, 0, 0),
-        /** The runner drains for the length of the fault and then ends; size 1: it restarts cold after the same time. */
+        /**
+         * The runner drains for the length of the fault and then ends; size 1: it restarts cold after the same time.
+         */
         DRAIN(0, 0, 1, 0),
         /** As {@link #DRAIN}, and the runner returns assignments that have not started. */
         HAND_BACK(0, 0, 1, 0),
--- a/rig/src/main/java/saltdale/rig/report/Report.java
+++ b/rig/src/main/java/saltdale/rig/report/Report.java
@@ -213,7 +213,9 @@
         }
     }
 
-    /** Adds a line of samples, each an array whose first element is the time; {@code column} is the index of the value. */
+    /**
+     * Adds a line of samples, each an array whose first element is the time; {@code column} is the index of the value.
+     */
     private static void add(XYChart chart, String name, JsonNode samples, int column, double least) {
         List<Double> x = new ArrayList<>();
         List<Double> y = new ArrayList<>();
--- a/tools/src/test/java/saltdale/tools/OverloadTest.java
+++ b/tools/src/test/java/saltdale/tools/OverloadTest.java
@@ -20,8 +20,8 @@
 import saltdale.rig.plan.TomlTable;
 
 /**
- * Overload levels in real processes with faults, observed by clients, runners and the list. Checks only what must hold on
- * any machine: no rule broken, no process died, and no more level changes than the limit allows.
+ * Overload levels in real processes with faults, observed by clients, runners and the list. Checks only what must hold
+ * on any machine: no rule broken, no process died, and no more level changes than the limit allows.
  */
 @Timeout(120)
 class OverloadTest {
